--- a/crates/rillgap-core/src/admission/back_end.rs
+++ b/crates/rillgap-core/src/admission/back_end.rs
@@ -9,7 +9,7 @@
 use super::queue::{ClassQueue, Queued};
 use super::report::{LoadReport, ServiceLoad, merge_service_loads};
 use super::service_time::ServiceTimes;
-use super::threshold::{Pressure, Threshold};
+use super::threshold::{Threshold, WindowLoad};
 use super::{Completion, QueueDecision, Ticket, Verdict};
 use crate::code::ResultCode;
 use crate::id::{AttemptId, NodeId, ServiceName};
@@ -115,7 +115,7 @@
     }
 
     /// Tells that a call made on behalf of a running attempt was answered with `load`.
-    pub fn nested(&mut self, attempt: AttemptId, load: &LoadReport) {
+    pub fn record_nested_load(&mut self, attempt: AttemptId, load: &LoadReport) {
         if let Some(running) = self.running.get_mut(&attempt) {
             merge_service_loads(&mut running.involved, &load.services);
             running.nested_wait += Duration::from_micros(u64::from(load.waited_micros));
@@ -202,7 +202,7 @@
 
     fn offer_full(&mut self, now: Instant, ticket: Ticket) -> Verdict {
         let work_micros = self.times.class_occupancy_micros(ticket.class);
-        self.threshold.arrived(ticket.level(), work_micros);
+        self.threshold.record_arrival(ticket.level(), work_micros);
         let expected = self.times.expected(ticket.class);
         let remaining = ticket.deadline.saturating_since(now);
         if remaining < expected && !self.may_probe() {
@@ -303,7 +303,7 @@
         if self.settings.mode != ControlMode::Full || !self.threshold.is_due(now) {
             return;
         }
-        let pressure = Pressure {
+        let pressure = WindowLoad {
             limit: f64::from(self.current_limit().max(1)),
             mean_service_micros: self.times.mean_occupancy_micros(),
             queued: Class::ALL
--- a/crates/rillgap-core/src/admission/demand.rs
+++ b/crates/rillgap-core/src/admission/demand.rs
@@ -58,7 +58,7 @@
     }
 
     /// Counts a request that is expected to take this much slot time.
-    pub fn arrived(&mut self, level: Level, work_micros: f64) {
+    pub fn record_arrival(&mut self, level: Level, work_micros: f64) {
         self.current.count += 1;
         self.current.work_micros += work_micros;
         self.current.lowest = self.current.lowest.min(level);
--- a/crates/rillgap-core/src/admission/entry.rs
+++ b/crates/rillgap-core/src/admission/entry.rs
@@ -83,7 +83,7 @@
     }
 
     /// Takes in the levels that any answer or refusal of a service carried.
-    pub fn observe(&mut self, now: Instant, _service: &ServiceName, load: &LoadReport) {
+    pub fn record_levels(&mut self, now: Instant, _service: &ServiceName, load: &LoadReport) {
         for reported in &load.services {
             if let Some(levels) = self.levels.get_mut(&reported.service) {
                 levels.report(now, reported.reporter, reported.level);
@@ -96,13 +96,16 @@
     }
 
     /// Learns from the whole answer to a root request which services such requests involve.
-    pub fn learn(&mut self, service: &ServiceName, route: RouteId, load: &LoadReport) {
+    pub fn record_involvement(&mut self, service: &ServiceName, route: RouteId, load: &LoadReport) {
         let below = load
             .services
             .iter()
             .map(|reported| &reported.service)
             .filter(|involved| *involved != service);
-        self.involvement.entry(route).or_default().learn(below);
+        self.involvement
+            .entry(route)
+            .or_default()
+            .record_answer(below);
     }
 
     /// Returns the highest level over the services that such requests involve.
--- a/crates/rillgap-core/src/admission/mod.rs
+++ b/crates/rillgap-core/src/admission/mod.rs
@@ -26,7 +26,7 @@
 pub use report::{LoadReport, MAX_SERVICE_LOADS, ServiceLoad};
 pub use reported::{Involvement, ServiceLevels};
 pub use retry::RetryBudget;
-pub use threshold::{Pressure, Threshold, Tuning};
+pub use threshold::{Threshold, Tuning, WindowLoad};
 
 use crate::id::{AttemptId, RootId};
 use crate::policy::Class;
--- a/crates/rillgap-core/src/admission/mode.rs
+++ b/crates/rillgap-core/src/admission/mode.rs
@@ -26,12 +26,12 @@
     }
 
     /// Returns whether work that nobody waits for any more is cancelled.
-    pub const fn cancels_work(&self) -> bool {
+    pub const fn cancels_abandoned_work(&self) -> bool {
         matches!(self.mode, ControlMode::Full)
     }
 
     /// Returns whether the baseline limits only the attempts of each hop, not of the chain.
-    pub const fn unbounded_chain(&self) -> bool {
+    pub const fn has_unbounded_chain(&self) -> bool {
         !matches!(self.mode, ControlMode::Full)
     }
 }
--- a/crates/rillgap-core/src/admission/reported.rs
+++ b/crates/rillgap-core/src/admission/reported.rs
@@ -113,7 +113,7 @@
 
 impl<S: Ord + Clone> Involvement<S> {
     /// Takes in which services one answer involved.
-    pub fn learn<'a>(&mut self, services: impl Iterator<Item = &'a S>)
+    pub fn record_answer<'a>(&mut self, services: impl Iterator<Item = &'a S>)
     where
         S: 'a,
     {
@@ -134,7 +134,7 @@
     }
 
     /// Takes in that one answer involved these services, and perhaps others that it did not come to.
-    pub fn learn_part<'a>(&mut self, services: impl Iterator<Item = &'a S>)
+    pub fn record_partial_answer<'a>(&mut self, services: impl Iterator<Item = &'a S>)
     where
         S: 'a,
     {
--- a/crates/rillgap-core/src/admission/retry.rs
+++ b/crates/rillgap-core/src/admission/retry.rs
@@ -34,7 +34,7 @@
     }
 
     /// Counts a success.
-    pub fn success(&mut self, service: &ServiceName) {
+    pub fn record_success(&mut self, service: &ServiceName) {
         let share = self.share;
         let tokens = self.tokens_of(service);
         *tokens = (*tokens + share).min(BURST);
--- a/crates/rillgap-core/src/admission/threshold.rs
+++ b/crates/rillgap-core/src/admission/threshold.rs
@@ -61,7 +61,7 @@
 
 /// What the controller needs to know at the end of a window.
 #[derive(Clone, Debug)]
-pub struct Pressure {
+pub struct WindowLoad {
     /// Concurrency limit.
     pub limit: f64,
     /// Mean slot time over all requests in microseconds.
@@ -111,7 +111,7 @@
     }
 
     /// Counts a request that asks to be run and is expected to take this much slot time.
-    pub fn arrived(&mut self, level: Level, work_micros: f64) {
+    pub fn record_arrival(&mut self, level: Level, work_micros: f64) {
         if f64::from(level.0) < self.cut() {
             return;
         }
@@ -119,7 +119,7 @@
         self.demand
             .entry(tier)
             .or_insert_with(|| TierDemand::new(tier, self.tuning.demand_weight))
-            .arrived(level, work_micros);
+            .record_arrival(level, work_micros);
     }
 
     /// Returns whether a window is over, so that [`Self::update`] has something to do.
@@ -128,7 +128,7 @@
     }
 
     /// Ends the window and moves the level.
-    pub fn update(&mut self, now: Instant, pressure: &Pressure) {
+    pub fn update(&mut self, now: Instant, pressure: &WindowLoad) {
         let elapsed = micros(now.saturating_since(self.window_started)) as f64;
         let windows = elapsed / micros(WINDOW) as f64;
         let cut = self.cut();
@@ -174,7 +174,7 @@
     }
 
     /// Returns the lowest level at which the demand that remains fits the capacity.
-    fn needed_level(&self, pressure: &Pressure) -> f64 {
+    fn needed_level(&self, pressure: &WindowLoad) -> f64 {
         let mut carried = 0.0;
         let mut queued = 0;
         for (tier, demand) in self.demand.iter().rev() {
@@ -207,7 +207,7 @@
     }
 
     /// Returns the demand to admit, given the requests queued of the tiers that matter.
-    fn capacity(&self, queued: usize, pressure: &Pressure) -> f64 {
+    fn capacity(&self, queued: usize, pressure: &WindowLoad) -> f64 {
         let off_target = self.tuning.queue_target - queued as f64 / pressure.limit;
         let correction = off_target * pressure.mean_service_micros / HORIZON_MICROS;
         self.trim + correction.clamp(CORRECTION.0, CORRECTION.1)
--- a/crates/rillgap-core/src/call/gate/ending.rs
+++ b/crates/rillgap-core/src/call/gate/ending.rs
@@ -27,7 +27,7 @@
             }
             Phase::Running { .. } if local.dispatch.key.is_some() => {}
             // A baseline without cancellation works on for nobody.
-            Phase::Running { .. } if !self.cancels_work => {}
+            Phase::Running { .. } if !self.cancels_abandoned_work => {}
             Phase::Running { .. } => self.abort(now, attempt, ports),
         }
     }
@@ -145,7 +145,7 @@
             Phase::Queued => {
                 self.cancel_queued(now, attempt, ResultCode::DeadlineUnmet, ports);
             }
-            Phase::Running { .. } if !self.cancels_work => {}
+            Phase::Running { .. } if !self.cancels_abandoned_work => {}
             Phase::Running { .. } => self.abort(now, attempt, ports),
         }
     }
--- a/crates/rillgap-core/src/call/gate/mod.rs
+++ b/crates/rillgap-core/src/call/gate/mod.rs
@@ -77,7 +77,7 @@
     random: ChaCha8Rng,
     announced_leaving: bool,
     stopping: bool,
-    cancels_work: bool,
+    cancels_abandoned_work: bool,
     ended: Vec<AttemptId>,
 }
 
@@ -93,7 +93,7 @@
             random: ChaCha8Rng::seed_from_u64(settings.random_seed ^ TOKEN_SEED_SALT),
             announced_leaving: false,
             stopping: false,
-            cancels_work: settings.admission.cancels_work(),
+            cancels_abandoned_work: settings.admission.cancels_abandoned_work(),
             ended: Vec::new(),
         }
     }
@@ -137,8 +137,8 @@
     }
 
     /// Takes in the load that the answer to a call of a running attempt carried.
-    pub fn nested(&mut self, attempt: AttemptId, load: &LoadReport) {
-        self.admission.nested(attempt, load);
+    pub fn record_nested_load(&mut self, attempt: AttemptId, load: &LoadReport) {
+        self.admission.record_nested_load(attempt, load);
     }
 
     /// Takes the attempts that ended since the last call, whose own calls nobody needs now.
--- a/crates/rillgap-core/src/call/sender/answers.rs
+++ b/crates/rillgap-core/src/call/sender/answers.rs
@@ -92,9 +92,10 @@
             return;
         };
         self.settle_target(now, &call, TargetResult::Answered);
-        self.retry_budget.success(&call.service);
+        self.retry_budget.record_success(&call.service);
         if call.parent.is_none() {
-            self.entry_admission.learn(&call.service, call.route, load);
+            self.entry_admission
+                .record_involvement(&call.service, call.route, load);
         }
         if call.keyed.is_some() {
             let context = &mut *ports.context;
@@ -228,9 +229,9 @@
             return;
         };
         self.entry_admission
-            .observe(now.instant, &call.service, load);
+            .record_levels(now.instant, &call.service, load);
         if let Some(link) = call.parent {
-            gate.nested(link.attempt, load);
+            gate.record_nested_load(link.attempt, load);
         }
         if let Some(current) = &call.attempt {
             self.router
--- a/crates/rillgap-core/src/call/sender/budget.rs
+++ b/crates/rillgap-core/src/call/sender/budget.rs
@@ -13,7 +13,7 @@
         let Some(call) = self.calls.get(&id) else {
             return false;
         };
-        if self.unbounded_chain {
+        if self.has_unbounded_chain {
             return call.next_attempt < MOST_BASELINE_ATTEMPTS;
         }
         let service = call.service.clone();
--- a/crates/rillgap-core/src/call/sender/mod.rs
+++ b/crates/rillgap-core/src/call/sender/mod.rs
@@ -55,7 +55,7 @@
     random: ChaCha8Rng,
     next_sequence: u64,
     stopping: bool,
-    unbounded_chain: bool,
+    has_unbounded_chain: bool,
 }
 
 impl Sender {
@@ -73,7 +73,7 @@
             random: ChaCha8Rng::seed_from_u64(settings.random_seed ^ IDENTIFIER_SEED_SALT),
             next_sequence: 0,
             stopping: false,
-            unbounded_chain: settings.admission.unbounded_chain(),
+            has_unbounded_chain: settings.admission.has_unbounded_chain(),
         }
     }
 
@@ -94,7 +94,7 @@
 
     /// Returns whether a baseline is run that does not bound the attempts of a chain.
     pub const fn is_unbounded(&self) -> bool {
-        self.unbounded_chain
+        self.has_unbounded_chain
     }
 
     /// Takes no new root requests from now on.
--- a/crates/rillgap-core/tests/admission_back_end.rs
+++ b/crates/rillgap-core/tests/admission_back_end.rs
@@ -222,7 +222,7 @@
         }],
         ..LoadReport::default()
     };
-    admission.nested(attempt(0), &nested);
+    admission.record_nested_load(attempt(0), &nested);
     let load = admission.finish(at(1_020), attempt(0), SERVICE, Completion::Answered);
     let names: Vec<&str> = load
         .services
--- a/crates/rillgap-core/tests/admission_entry.rs
+++ b/crates/rillgap-core/tests/admission_entry.rs
@@ -53,8 +53,8 @@
     let booking = ServiceName::new("bestilling");
     for now in 0..500 {
         let load = load(&[("bestilling", Level(0)), ("takst", level)]);
-        entry.observe(at(now), &booking, &load);
-        entry.learn(&booking, route("bestilling"), &load);
+        entry.record_levels(at(now), &booking, &load);
+        entry.record_involvement(&booking, route("bestilling"), &load);
     }
     entry
 }
@@ -131,7 +131,7 @@
     let service = ServiceName::new("takst");
     while budget.try_spend(&service) {}
     for _ in 0..50 {
-        budget.success(&service);
+        budget.record_success(&service);
     }
     let granted = (0..50).filter(|_| budget.try_spend(&service)).count();
     expect_that!(granted, all![ge(4), le(5)]);
--- a/crates/rillgap-core/tests/admission_threshold.rs
+++ b/crates/rillgap-core/tests/admission_threshold.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use rillgap_core::admission::{Level, Pressure, Threshold, Tuning};
+use rillgap_core::admission::{Level, Threshold, Tuning, WindowLoad};
 use rillgap_core::time::Instant;
 
 const HIGH: u8 = 5;
@@ -25,12 +25,12 @@
 
 fn arrive(threshold: &mut Threshold, tier: u8, count: u64) {
     for level in spread(tier, count) {
-        threshold.arrived(level, WORK.as_micros() as f64);
+        threshold.record_arrival(level, WORK.as_micros() as f64);
     }
 }
 
 fn end_window(threshold: &mut Threshold, number: u64, queued: usize) {
-    let pressure = Pressure {
+    let pressure = WindowLoad {
         limit: LIMIT,
         mean_service_micros: WORK.as_micros() as f64,
         queued: BTreeMap::from([(LOW, queued)]),
--- a/crates/rillgap-forward/src/action.rs
+++ b/crates/rillgap-forward/src/action.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::id::{AnnouncementId, ConnectionId, ExchangeId, LinkId, ProbeId, Turn};
+use crate::id::{AnnouncementId, ConnectionId, ExchangeId, LinkId, PipelineIndex, ProbeId};
 use crate::incarnation::Incarnation;
+use crate::log_record::LogRecord;
 use crate::message::{ForwardedRequest, LinkMessage};
-use crate::note::Note;
 use crate::store_sync::{StoreRequest, StoreRequestId};
 
 /// Answer for a caller.
@@ -44,7 +44,7 @@
         /// Connection.
         connection: ConnectionId,
         /// Place on the connection.
-        turn: Turn,
+        pipeline_index: PipelineIndex,
         /// Answer.
         answer: CallerAnswer,
     },
@@ -90,7 +90,7 @@
         request: StoreRequest,
     },
     /// Write a line to the log.
-    Note(Note),
+    Log(LogRecord),
     /// End the process.
     Exit,
 }
--- a/crates/rillgap-forward/src/balancer.rs
+++ b/crates/rillgap-forward/src/balancer.rs
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 
-use crate::inbound::FAILING_PERMILLE;
+use crate::inbound::FAILURE_THRESHOLD_PERMILLE;
 
 /// Cost of leaving a zone that is idle, in shares of a back end's limit.
 const CROSS_ZONE_PENALTY: f64 = 0.3;
@@ -79,7 +79,7 @@
         let remaining_micros = remaining.as_micros().max(1) as f64;
         let (failing, sound): (Vec<_>, Vec<_>) = candidates
             .into_iter()
-            .partition(|candidate| candidate.failing_permille >= FAILING_PERMILLE);
+            .partition(|candidate| candidate.failing_permille >= FAILURE_THRESHOLD_PERMILLE);
         let (local, remote): (Vec<_>, Vec<_>) =
             sound.into_iter().partition(|candidate| candidate.is_local);
         let penalty = cross_zone_penalty(&local);
--- a/crates/rillgap-forward/src/configuration_offers.rs
+++ b/crates/rillgap-forward/src/configuration_offers.rs
@@ -61,7 +61,7 @@
 impl ConfigurationOffers {
     /// Takes in that the peer on a link has a version that is newer than the one in force. It is asked
     /// for at `ask_at` at the earliest. Returns whether no other peer has told of it before.
-    pub fn offered(&mut self, now: Instant, link: LinkId, version: u64, ask_at: Instant) -> bool {
+    pub fn on_offer(&mut self, now: Instant, link: LinkId, version: u64, ask_at: Instant) -> bool {
         let is_first = self.highest() < Some(version);
         let queries = self.by_link.get(&link).map_or(0, |offer| offer.queries);
         let offer = Offer {
@@ -79,7 +79,7 @@
     }
 
     /// Takes in that something has arrived on a link.
-    pub fn heard(&mut self, now: Instant, link: LinkId) {
+    pub fn on_message(&mut self, now: Instant, link: LinkId) {
         if let Some(offer) = self.by_link.get_mut(&link) {
             offer.heard_at = now;
         }
@@ -95,7 +95,7 @@
     }
 
     /// Takes in which version is in force.
-    pub fn in_force(&mut self, version: u64) {
+    pub fn on_configuration_in_force(&mut self, version: u64) {
         self.by_link.retain(|_, offer| offer.version > version);
         self.asked = self.asked.filter(|asked| asked.version > version);
     }
--- a/crates/rillgap-forward/src/crash/evidence.rs
+++ b/crates/rillgap-forward/src/crash/evidence.rs
@@ -7,8 +7,8 @@
 use rillgap_core::time::{Instant, micros};
 
 use super::{
-    ContentEvidence, CrashId, CrashRecord, Proof, QUARANTINE_CRASHES, QUARANTINE_CRASHES_ALONE,
-    QUARANTINE_CRASHES_DOUBTFUL,
+    ContentEvidence, CrashId, CrashRecord, EvidenceStrength, QUARANTINE_CRASHES,
+    QUARANTINE_CRASHES_ALONE, QUARANTINE_CRASHES_DOUBTFUL,
 };
 
 /// Crashes from which a request is recurrent.
@@ -26,7 +26,7 @@
 
 /// What follows from the evidence against a content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum Suspicion {
     /// Nothing is held against it.
     Clear,
     /// It was under way at one crash.
@@ -37,7 +37,7 @@
     Quarantined,
 }
 
-impl Standing {
+impl Suspicion {
     /// Returns whether such a request may run beside no other one that back ends have ended under: if the back end ends
     /// again, it is known which of them it was.
     pub const fn is_isolated(self) -> bool {
@@ -57,7 +57,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Seen {
-    proof: Proof,
+    strength: EvidenceStrength,
     /// When the node learned of it.
     learned_at: Instant,
     /// Age at that time: it may be older than the node.
@@ -82,19 +82,19 @@
     fn add(&mut self, now: Instant, record: &CrashRecord) -> bool {
         let CrashRecord {
             crash,
-            proof,
+            strength,
             age_micros,
         } = *record;
         if let Some(seen) = self.crashes.get_mut(&crash) {
-            let is_news = proof > seen.proof;
-            seen.proof = seen.proof.max(proof);
+            let is_news = strength > seen.strength;
+            seen.strength = seen.strength.max(strength);
             return is_news;
         }
         if self.is_exonerated || self.crashes.len() >= MOST_CRASHES {
             return false;
         }
         let seen = Seen {
-            proof,
+            strength,
             learned_at: now,
             age_then: Duration::from_micros(age_micros),
         };
@@ -119,13 +119,13 @@
     }
 
     /// Returns the number of crashes at which it was the only suspect.
-    pub fn crashes_alone(&self) -> usize {
-        self.crashes_of(Proof::Doubtful)
+    pub fn crashes_as_only_suspect(&self) -> usize {
+        self.crashes_of(EvidenceStrength::Weak)
     }
 
-    fn crashes_of(&self, least: Proof) -> usize {
+    fn crashes_of(&self, least: EvidenceStrength) -> usize {
         let crashes = self.crashes.values();
-        crashes.filter(|seen| seen.proof >= least).count()
+        crashes.filter(|seen| seen.strength >= least).count()
     }
 
     /// Returns whether it was under way at a crash.
@@ -139,7 +139,7 @@
             .crashes
             .iter()
             .filter(move |(_, seen)| seen.age(now) < age);
-        recent.map(|(crash, seen)| (*crash, seen.proof > Proof::None))
+        recent.map(|(crash, seen)| (*crash, seen.strength > EvidenceStrength::Inconclusive))
     }
 
     /// Returns whether it was under way at several crashes, whatever has become of it.
@@ -148,23 +148,23 @@
     }
 
     /// Returns what follows from the evidence.
-    pub fn standing(&self, now: Instant) -> Standing {
+    pub fn suspicion(&self, now: Instant) -> Suspicion {
         if self.is_exonerated || self.crashes.is_empty() {
-            return Standing::Clear;
+            return Suspicion::Clear;
         }
         if !self.is_of_several_crashes() {
-            return Standing::Suspected;
+            return Suspicion::Suspected;
         }
         if self.is_guilty() && !self.quarantine_left(now).is_zero() {
-            Standing::Quarantined
+            Suspicion::Quarantined
         } else {
-            Standing::Recurrent
+            Suspicion::Recurrent
         }
     }
 
     fn is_guilty(&self) -> bool {
-        let is_proved = self.crashes_of(Proof::Clear) >= QUARANTINE_CRASHES_ALONE
-            || self.crashes_alone() >= QUARANTINE_CRASHES_DOUBTFUL;
+        let is_proved = self.crashes_of(EvidenceStrength::Strong) >= QUARANTINE_CRASHES_ALONE
+            || self.crashes_as_only_suspect() >= QUARANTINE_CRASHES_DOUBTFUL;
         is_proved && self.crashes() >= QUARANTINE_CRASHES
     }
 
@@ -175,7 +175,7 @@
 
     /// Returns whether the evidence is too old to be kept.
     pub fn is_over(&self, now: Instant) -> bool {
-        let is_recurrent = self.standing(now) >= Standing::Recurrent;
+        let is_recurrent = self.suspicion(now) >= Suspicion::Recurrent;
         let life = if is_recurrent {
             RECURRENT_LIFE
         } else {
@@ -200,7 +200,7 @@
     pub fn tell(&self, now: Instant, content: Fingerprint) -> ContentEvidence {
         let record = |(crash, seen): (&CrashId, &Seen)| CrashRecord {
             crash: *crash,
-            proof: seen.proof,
+            strength: seen.strength,
             age_micros: micros(seen.age(now)),
         };
         ContentEvidence {
--- a/crates/rillgap-forward/src/crash/mod.rs
+++ b/crates/rillgap-forward/src/crash/mod.rs
@@ -27,8 +27,8 @@
 
 use crate::incarnation::Incarnation;
 
-pub use evidence::Standing;
-pub use register::{CrashRegister, EvidenceNews, StandingChange};
+pub use evidence::Suspicion;
+pub use register::{CrashRegister, EvidenceNews, SuspicionChange};
 
 /// Crashes from which a request may be quarantined. Requests that are repeated together meet the first two
 /// crashes together.
@@ -52,13 +52,13 @@
 
 /// What a crash says of a request that was under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub enum Proof {
+pub enum EvidenceStrength {
     /// It was not the only suspect there.
-    None,
+    Inconclusive,
     /// It was the only suspect there, but other back ends have ended without it and for no known reason.
-    Doubtful,
+    Weak,
     /// It was the only suspect there.
-    Clear,
+    Strong,
 }
 
 /// A request that was under way when a back end ended.
@@ -76,7 +76,7 @@
     /// The crash.
     pub crash: CrashId,
     /// What it says of the request.
-    pub proof: Proof,
+    pub strength: EvidenceStrength,
     /// Age of the crash when the message is sent, in microseconds.
     pub age_micros: u64,
 }
--- a/crates/rillgap-forward/src/crash/register.rs
+++ b/crates/rillgap-forward/src/crash/register.rs
@@ -8,8 +8,8 @@
 use rillgap_core::time::Instant;
 
 use super::answered::RecentAnswers;
-use super::evidence::{Evidence, Standing};
-use super::{ContentEvidence, CrashId, CrashRecord, Proof, Suspect};
+use super::evidence::{Evidence, Suspicion};
+use super::{ContentEvidence, CrashId, CrashRecord, EvidenceStrength, Suspect};
 use crate::incarnation::Incarnation;
 
 /// Contents that evidence is kept of: a megabyte at most.
@@ -26,15 +26,15 @@
 
 /// A content whose standing has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StandingChange {
+pub struct SuspicionChange {
     /// The content.
     pub content: Fingerprint,
     /// Its new standing.
-    pub standing: Standing,
+    pub suspicion: Suspicion,
     /// Crashes at which such a request was under way.
     pub crashes: usize,
     /// Crashes among them at which it was the only suspect.
-    pub crashes_alone: usize,
+    pub crashes_as_only_suspect: usize,
 }
 
 /// All evidence that a node knows.
@@ -47,7 +47,7 @@
     watched: BTreeSet<Fingerprint>,
     /// Contents of which peers are to be told.
     news: BTreeSet<Fingerprint>,
-    changes: Vec<StandingChange>,
+    changes: Vec<SuspicionChange>,
     next_cleaning: Instant,
 }
 
@@ -58,7 +58,7 @@
     }
 
     /// Returns whether an entry treats some contents in another way than others.
-    pub fn is_watching(&self) -> bool {
+    pub fn has_recurrent(&self) -> bool {
         !self.watched.is_empty()
     }
 
@@ -66,18 +66,18 @@
     pub fn quarantined(&self, now: Instant) -> usize {
         let watched = self.watched.iter();
         watched
-            .filter(|content| self.standing(now, **content) == Standing::Quarantined)
+            .filter(|content| self.suspicion(now, **content) == Suspicion::Quarantined)
             .count()
     }
 
     /// Returns the standing of a content.
-    pub fn standing(&self, now: Instant, content: Fingerprint) -> Standing {
+    pub fn suspicion(&self, now: Instant, content: Fingerprint) -> Suspicion {
         let evidence = self.contents.get(&content);
-        evidence.map_or(Standing::Clear, |evidence| evidence.standing(now))
+        evidence.map_or(Suspicion::Clear, |evidence| evidence.suspicion(now))
     }
 
     /// Returns the time until the quarantine of a content ends, in milliseconds.
-    pub fn quarantine_millis(&self, now: Instant, content: Fingerprint) -> u32 {
+    pub fn quarantine_remaining_millis(&self, now: Instant, content: Fingerprint) -> u32 {
         let evidence = self.contents.get(&content);
         let left = evidence.map_or(Duration::ZERO, |known| known.quarantine_left(now));
         u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
@@ -89,7 +89,7 @@
         for suspect in suspects {
             let record = CrashRecord {
                 crash,
-                proof: self.proof(now, crash, suspect),
+                strength: self.strength(now, crash, suspect),
                 age_micros: 0,
             };
             let evidence = ContentEvidence {
@@ -101,14 +101,14 @@
         }
     }
 
-    fn proof(&self, now: Instant, crash: CrashId, suspect: &Suspect) -> Proof {
+    fn strength(&self, now: Instant, crash: CrashId, suspect: &Suspect) -> EvidenceStrength {
         if !suspect.was_alone {
-            return Proof::None;
+            return EvidenceStrength::Inconclusive;
         }
         if self.unexplained_crashes(now, crash, suspect.content) >= SERIES_CRASHES {
-            Proof::Doubtful
+            EvidenceStrength::Weak
         } else {
-            Proof::Clear
+            EvidenceStrength::Strong
         }
     }
 
@@ -132,7 +132,7 @@
         let Some(evidence) = self.contents.get_mut(&content) else {
             return;
         };
-        let before = evidence.standing(now);
+        let before = evidence.suspicion(now);
         if evidence.exonerate() {
             self.note(now, content, before);
         }
@@ -157,7 +157,7 @@
             self.make_room(now);
         }
         let evidence = self.contents.entry(told.content).or_default();
-        let before = evidence.standing(now);
+        let before = evidence.suspicion(now);
         let is_news = evidence.merge(now, told);
         let was_answered = is_new && self.answered.contains(now, told.content);
         let exonerates = was_answered && evidence.exonerate();
@@ -168,24 +168,24 @@
     }
 
     /// Notes that the evidence against a content has changed.
-    fn note(&mut self, now: Instant, content: Fingerprint, before: Standing) {
+    fn note(&mut self, now: Instant, content: Fingerprint, before: Suspicion) {
         let Some(evidence) = self.contents.get(&content) else {
             return;
         };
         self.news.insert(content);
-        let standing = evidence.standing(now);
-        if standing >= Standing::Recurrent {
+        let suspicion = evidence.suspicion(now);
+        if suspicion >= Suspicion::Recurrent {
             self.watched.insert(content);
         } else {
             self.watched.remove(&content);
         }
-        let matters = standing.max(before) >= Standing::Recurrent;
-        if standing != before && matters {
-            self.changes.push(StandingChange {
+        let matters = suspicion.max(before) >= Suspicion::Recurrent;
+        if suspicion != before && matters {
+            self.changes.push(SuspicionChange {
                 content,
-                standing,
+                suspicion,
                 crashes: evidence.crashes(),
-                crashes_alone: evidence.crashes_alone(),
+                crashes_as_only_suspect: evidence.crashes_as_only_suspect(),
             });
         }
     }
@@ -196,7 +196,7 @@
         if self.contents.len() < MOST_CONTENTS {
             return;
         }
-        let weight = |known: &Evidence| (known.standing(now), Reverse(known.age(now)));
+        let weight = |known: &Evidence| (known.suspicion(now), Reverse(known.age(now)));
         let lightest = self.contents.iter().min_by_key(|(_, known)| weight(known));
         if let Some(content) = lightest.map(|(content, _)| *content) {
             self.forget(content);
@@ -224,7 +224,7 @@
 
     /// Takes the evidence that has changed since the last time: what concerns all nodes, and what only those
     /// beside back ends of the same service need, to see that a content comes up at a second crash.
-    pub fn take_news(&mut self, now: Instant) -> EvidenceNews {
+    pub fn take_updates(&mut self, now: Instant) -> EvidenceNews {
         let news = std::mem::take(&mut self.news);
         let changed = news.iter().filter_map(|content| {
             let evidence = self.contents.get(content)?;
@@ -234,12 +234,12 @@
     }
 
     /// Returns all evidence, for a peer that may know nothing.
-    pub fn tell_all(&self, now: Instant) -> EvidenceNews {
+    pub fn all_evidence(&self, now: Instant) -> EvidenceNews {
         sort_evidence(now, self.contents.iter())
     }
 
     /// Takes the changes of standings since the last time.
-    pub fn take_changes(&mut self) -> Vec<StandingChange> {
+    pub fn take_changes(&mut self) -> Vec<SuspicionChange> {
         std::mem::take(&mut self.changes)
     }
 }
--- a/crates/rillgap-forward/src/directory/followed.rs
+++ b/crates/rillgap-forward/src/directory/followed.rs
@@ -10,7 +10,7 @@
 use crate::id::LinkId;
 use crate::peer::{LinkState, Peer};
 use crate::store_sync::NodeList;
-use crate::watch_duty;
+use crate::watcher_election;
 
 /// Part of the own place below which peers are preferred.
 const FAR_BELOW: u64 = 16;
@@ -34,9 +34,9 @@
 impl Directory {
     /// Learns the peers of a list.
     pub fn learn_list(&mut self, now: Instant, list: &NodeList) {
-        let own = watch_duty::place(&self.own_name);
+        let own = watcher_election::name_hash(&self.own_name);
         self.estimated_nodes = list.estimated_nodes(own);
-        let Some(following) = &list.following else {
+        let Some(following) = &list.successors else {
             for record in &list.lowest {
                 self.learn(now, record);
             }
@@ -44,7 +44,7 @@
         };
         let far_below = list.lowest.iter().skip(LOWEST_LEARNED);
         let far_below =
-            far_below.filter(|record| watch_duty::place(&record.name) < own / FAR_BELOW);
+            far_below.filter(|record| watcher_election::name_hash(&record.name) < own / FAR_BELOW);
         let mut to_follow: Vec<_> = far_below.collect();
         to_follow
             .sort_unstable_by_key(|record| crate::subset::preference(&self.own_name, &record.name));
@@ -58,7 +58,7 @@
     /// Returns about how many peers precede this node in the order of watchers, without those that cannot be
     /// reached.
     pub fn preceding(&self) -> u64 {
-        let own = watch_duty::place(&self.own_name);
+        let own = watcher_election::name_hash(&self.own_name);
         let counts = |peer: &&Peer| peer.precedes(own) && !peer.has_failed();
         let known = self.peers.iter().filter(counts).count();
         let share = own as f64 / u64::MAX as f64;
@@ -78,7 +78,7 @@
     /// Chooses the peers that are followed and marks them as wanted. `has_news` tells whether the peer on a link has
     /// fresh news of the store.
     pub(super) fn choose_followed(&mut self, now: Instant, has_news: impl Fn(LinkId) -> bool) {
-        let own = watch_duty::place(&self.own_name);
+        let own = watcher_election::name_hash(&self.own_name);
         let mut preceding: Vec<&mut Peer> = Vec::new();
         for peer in &mut self.peers {
             peer.is_followed = false;
@@ -101,7 +101,7 @@
                 return;
             }
             peer.is_followed = true;
-            peer.is_wanted = true;
+            peer.is_selected = true;
             hopeful += usize::from(peer.may_have_news(now, &has_news));
         }
     }
@@ -126,7 +126,7 @@
 
     /// Returns whether the peer at the other end of a link precedes this node in the order of watchers.
     pub fn is_preceding(&mut self, link: LinkId) -> bool {
-        let own = watch_duty::place(&self.own_name);
+        let own = watcher_election::name_hash(&self.own_name);
         self.by_link(link).is_some_and(|peer| peer.precedes(own))
     }
 }
--- a/crates/rillgap-forward/src/directory/mod.rs
+++ b/crates/rillgap-forward/src/directory/mod.rs
@@ -179,7 +179,7 @@
     pub fn update_subset(&mut self, now: Instant, has_news: impl Fn(LinkId) -> bool) {
         if std::mem::take(&mut self.is_subset_due) || now >= self.next_choice {
             self.next_choice = now + CHOICE_INTERVAL;
-            subset::choose(now, &self.own_zone, self.peers.iter_mut());
+            subset::select_peers(now, &self.own_zone, self.peers.iter_mut());
             self.want_owners();
             self.choose_followed(now, has_news);
         }
@@ -192,7 +192,7 @@
 
     /// Returns the wanted peers whose link is due to be opened.
     pub fn due(&self, now: Instant) -> Vec<PeerIndex> {
-        let is_due = |peer: &Peer| matches!(peer.link, LinkState::Closed { retry_at } if peer.is_wanted && retry_at <= now);
+        let is_due = |peer: &Peer| matches!(peer.link, LinkState::Closed { retry_at } if peer.is_selected && retry_at <= now);
         (0..self.peers.len())
             .filter(|index| is_due(&self.peers[*index]))
             .map(PeerIndex)
--- a/crates/rillgap-forward/src/directory/owners.rs
+++ b/crates/rillgap-forward/src/directory/owners.rs
@@ -8,7 +8,7 @@
 use crate::id::LinkId;
 use crate::peer::Peer;
 use crate::rate_limit::ownership::{Owner, TenantHash};
-use crate::watch_duty;
+use crate::watcher_election;
 
 /// Silence after which a linked peer does not count as heard: longer than the time between two of its
 /// reports.
@@ -29,11 +29,11 @@
     /// Returns the owner of a tenant's bucket. `offers_since` is since when this node offers to own
     /// buckets.
     pub fn bucket_owner(&self, tenant: TenantHash, offers_since: Option<Instant>) -> Owner {
-        let own_rank = tenant.rank(watch_duty::place(&self.own_name));
+        let own_rank = tenant.owner_score(watcher_election::name_hash(&self.own_name));
         let mut best: Option<(u64, PeerIndex)> = None;
         let mut since = offers_since;
         for (index, peer) in self.peers.iter().enumerate() {
-            let rank = tenant.rank(peer.name_hash());
+            let rank = tenant.owner_score(peer.name_hash());
             if peer.may_own_buckets() {
                 if best.is_none_or(|(best, _)| best < rank) {
                     best = Some((rank, PeerIndex(index)));
@@ -49,15 +49,15 @@
                     None => Owner::Unlinked(index),
                 }
             }
-            (_, Some(since)) => Owner::Own { since },
-            _ => Owner::Nobody,
+            (_, Some(since)) => Owner::Local { since },
+            _ => Owner::Unavailable,
         }
     }
 
     /// Returns the link to the peer that would own a tenant's bucket after this one, of those with a
     /// link.
     pub fn next_owner_link(&self, tenant: TenantHash, owner: PeerIndex) -> Option<LinkId> {
-        let rank = |peer: &Peer| tenant.rank(peer.name_hash());
+        let rank = |peer: &Peer| tenant.owner_score(peer.name_hash());
         let owner = rank(self.peer(owner));
         let others = self.peers.iter().filter(|peer| rank(peer) < owner);
         let next = others
@@ -76,7 +76,7 @@
     pub fn hears_most(&self, now: Instant) -> bool {
         let mut wanted = 0;
         let mut heard = 0;
-        for peer in self.peers.iter().filter(|peer| peer.is_wanted) {
+        for peer in self.peers.iter().filter(|peer| peer.is_selected) {
             wanted += 1;
             let is_heard = now.saturating_since(peer.heard_at) < HEARD_LATELY;
             heard += usize::from(peer.open_link().is_some() && is_heard);
@@ -88,10 +88,10 @@
     /// and the ones that follow them, those that would own a bucket before this node does, and the owner
     /// that this node follows.
     pub(super) fn want_owners(&mut self) {
-        let own = watch_duty::place(&self.own_name);
+        let own = watcher_election::name_hash(&self.own_name);
         for tenant in self.limited.iter().copied() {
             let (owner, next) = self.two_highest(tenant);
-            let own_rank = tenant.rank(own);
+            let own_rank = tenant.owner_score(own);
             let wanted_from = if self.in_use.contains(&tenant) {
                 next
             } else if own_rank > next {
@@ -101,8 +101,8 @@
                 continue;
             };
             for peer in &mut self.peers {
-                let rank = tenant.rank(peer.name_hash());
-                peer.is_wanted |= rank >= wanted_from && rank > 0;
+                let rank = tenant.owner_score(peer.name_hash());
+                peer.is_selected |= rank >= wanted_from && rank > 0;
             }
         }
     }
@@ -111,7 +111,7 @@
     fn two_highest(&self, tenant: TenantHash) -> (u64, u64) {
         let mut highest = (0, 0);
         for peer in self.peers.iter().filter(|peer| peer.may_own_buckets()) {
-            let rank = tenant.rank(peer.name_hash());
+            let rank = tenant.owner_score(peer.name_hash());
             if rank > highest.0 {
                 highest = (rank, highest.0);
             } else if rank > highest.1 {
--- a/crates/rillgap-forward/src/event.rs
+++ b/crates/rillgap-forward/src/event.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::credential::Credential;
-use crate::id::{AnnouncementId, ConnectionId, ExchangeId, LinkId, ProbeId, Turn};
+use crate::id::{AnnouncementId, ConnectionId, ExchangeId, LinkId, PipelineIndex, ProbeId};
 use crate::incarnation::Incarnation;
 use crate::message::{ForwardedAnswer, Hello, LinkMessage};
 use crate::store_sync::{StoreReply, StoreRequestId};
@@ -97,12 +97,12 @@
         /// Connection.
         connection: ConnectionId,
         /// Place on the connection.
-        turn: Turn,
+        pipeline_index: PipelineIndex,
         /// The request.
         request: CallerRequest,
     },
     /// A connection has ended; nobody waits for its answers.
-    CallerGone(ConnectionId),
+    CallerDisconnected(ConnectionId),
     /// A link that the node opened is up.
     LinkOpened {
         /// Link.
@@ -141,7 +141,7 @@
         heartbeat: Heartbeat,
     },
     /// The back end leaves.
-    BackEndLeaves {
+    BackEndLeft {
         /// What waits for the acknowledgement.
         announcement: AnnouncementId,
         /// Incarnation; the latest one of its identifier is meant if it does not tell when it has started.
--- a/crates/rillgap-forward/src/freshness.rs
+++ b/crates/rillgap-forward/src/freshness.rs
@@ -85,22 +85,22 @@
     /// Returns whether requests with keys may be served.
     pub fn is_proven(&self, now: Instant) -> bool {
         self.bound
-            .is_none_or(|bound| self.age(now).is_some_and(|age| age < bound))
+            .is_none_or(|bound| self.proof_age(now).is_some_and(|age| age < bound))
     }
 
     /// Returns the age of the proof.
-    pub fn age(&self, now: Instant) -> Option<Duration> {
+    pub fn proof_age(&self, now: Instant) -> Option<Duration> {
         self.proven_at.map(|at| at.age(now))
     }
 
     /// Returns for how long a watch of the store may wait: its answer proves nothing later than its
     /// start.
-    pub fn longest_watch(&self) -> Option<Duration> {
+    pub fn max_watch_wait(&self) -> Option<Duration> {
         self.bound.map(|bound| bound.mul_f64(WATCH_SHARE))
     }
 
     /// Takes in that `version` was the newest one at a time. `own` is the version in force here.
-    pub fn prove(&mut self, at: Instant, version: u64, own: u64) {
+    pub fn record_proof(&mut self, at: Instant, version: u64, own: u64) {
         self.take(ProofTime::of(at, Duration::ZERO), version, own);
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Takes in that a version is in force here.
-    pub fn adopted(&mut self, own: u64) {
+    pub fn on_configuration_in_force(&mut self, own: u64) {
         if let Some((version, at)) = self.ahead.filter(|(version, _)| *version <= own) {
             self.ahead = None;
             self.take(at, version, own);
@@ -122,7 +122,7 @@
 
     /// Takes in that the store has come back from a copy: what it has said before, itself or through peers, may
     /// not hold any more, so a new proof is needed.
-    pub fn store_has_returned(&mut self) {
+    pub fn on_store_restored(&mut self) {
         self.proven_at = None;
         self.ahead = None;
         self.queries.clear();
@@ -138,7 +138,7 @@
         if is_asked {
             return None;
         }
-        match self.age(now) {
+        match self.proof_age(now) {
             Some(age) if age < bound.mul_f64(RENEW_SHARE) => None,
             Some(age) if age < bound.mul_f64(URGENT_SHARE) => Some(WIDTH.0),
             _ => Some(WIDTH.1),
--- a/crates/rillgap-forward/src/id.rs
+++ b/crates/rillgap-forward/src/id.rs
@@ -33,4 +33,4 @@
 
 /// Place of a request on its connection: the first is 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Turn(pub u64);
+pub struct PipelineIndex(pub u64);
--- a/crates/rillgap-forward/src/inbound/admission.rs
+++ b/crates/rillgap-forward/src/inbound/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use rillgap_core::admission::Pressure;
+use rillgap_core::admission::WindowLoad;
 use rillgap_core::code::ResultCode;
 use rillgap_core::time::Instant;
 
@@ -28,7 +28,7 @@
     pub(super) fn count_demand(&mut self, request: &ForwardedRequest) {
         let expected = self.times.expected(&request.route);
         let work_micros = expected.as_micros() as f64;
-        self.threshold.arrived(request.level, work_micros);
+        self.threshold.record_arrival(request.level, work_micros);
     }
 
     /// Moves the published level at the end of each control window.
@@ -40,7 +40,7 @@
             .zip(self.queued_by_tier())
             .map(|(tier, queued)| (tier, usize::from(queued)))
             .collect();
-        let pressure = Pressure {
+        let pressure = WindowLoad {
             limit: f64::from(self.limit()),
             mean_service_micros: f64::from(self.times.mean_micros()),
             queued,
@@ -86,7 +86,7 @@
     pub(super) fn enqueue(&mut self, now: Instant, arrival: Arrival, out: &mut Actions) {
         let bound = Duration::from_micros(arrival.request.queue_limit_micros);
         let rank = arrival.request.rank();
-        let place = arrival.request.place();
+        let place = arrival.request.position_in_rank();
         // The whole rank counts: by its own place, each request would find room and the queue would grow beyond its bound.
         let ahead = self.queue.ahead_of(rank, u8::MAX);
         let wait = self.drain_time(ahead + 1);
@@ -127,7 +127,9 @@
         request: &ForwardedRequest,
     ) -> u32 {
         if code == ResultCode::Quarantined {
-            return self.crashes.quarantine_millis(now, request.content());
+            return self
+                .crashes
+                .quarantine_remaining_millis(now, request.content());
         }
         self.retry_after_millis()
     }
--- a/crates/rillgap-forward/src/inbound/ending.rs
+++ b/crates/rillgap-forward/src/inbound/ending.rs
@@ -4,16 +4,16 @@
 use rillgap_core::time::Instant;
 
 use super::{
-    Arrival, CLOSE_TO_DEADLINE, FAILING_PERMILLE, Inbound, NOTICED_LATE, OVERTIME, Running, count,
-    elapsed_micros,
+    Arrival, CLOSE_TO_DEADLINE, FAILURE_THRESHOLD_PERMILLE, Inbound, NOTICED_LATE, OVERTIME,
+    Running, count, elapsed_micros,
 };
 use crate::action::{Action, Actions};
 use crate::event::ExchangeResult;
 use crate::id::{ExchangeId, LinkId};
+use crate::log_record::{LogRecord, LostRequest};
 use crate::message::{
-    ForwardResponse, ForwardResult, ForwardedRequest, LinkMessage, ServiceLevel, Timing,
+    ForwardResponse, ForwardResult, ForwardedRequest, LinkMessage, ServiceAdmissionLevel, Timing,
 };
-use crate::note::{LostWork, Note};
 
 /// Status of a back end's own failure.
 pub(super) const SERVER_ERROR: u16 = 500;
@@ -99,9 +99,9 @@
     /// Brings the reported share of failures up to date; peers are told soon when the back end
     /// begins or ceases to stand out.
     pub(super) fn update_failing(&mut self, now: Instant) {
-        let stood_out = self.failing_permille >= FAILING_PERMILLE;
+        let stood_out = self.failing_permille >= FAILURE_THRESHOLD_PERMILLE;
         self.failing_permille = self.failures.permille(now);
-        let stands_out = self.failing_permille >= FAILING_PERMILLE;
+        let stands_out = self.failing_permille >= FAILURE_THRESHOLD_PERMILLE;
         self.load_changed |= stood_out != stands_out;
     }
 
@@ -142,7 +142,7 @@
         let response = ForwardResponse {
             sequence: arrival.sequence,
             load: self.load(),
-            involved: Vec::new(),
+            downstream_levels: Vec::new(),
             has_failed_call: false,
             timing,
             result,
@@ -159,15 +159,15 @@
         out: &mut Actions,
     ) {
         let timing = running.timing(now);
-        let involved = running
+        let downstream_levels = running
             .involved
             .into_iter()
-            .map(|(service, level)| ServiceLevel { service, level })
+            .map(|(service, level)| ServiceAdmissionLevel { service, level })
             .collect();
         let response = ForwardResponse {
             sequence: running.sequence,
             load: self.load(),
-            involved,
+            downstream_levels,
             has_failed_call: running.has_failed_call,
             timing,
             result,
@@ -213,10 +213,10 @@
         request: &ForwardedRequest,
         arrived: Instant,
         code: ResultCode,
-        lost: Option<LostWork>,
+        lost: Option<LostRequest>,
         out: &mut Actions,
     ) {
-        out.push(Action::Note(Note::NotAnswered {
+        out.push(Action::Log(LogRecord::NotAnswered {
             request_id: request.request_id.clone(),
             code,
             elapsed_micros: elapsed_micros(now, arrived),
--- a/crates/rillgap-forward/src/inbound/isolation.rs
+++ b/crates/rillgap-forward/src/inbound/isolation.rs
@@ -9,11 +9,11 @@
 use super::losses::{Crash, Due, Held};
 use super::{Arrival, Inbound, Running};
 use crate::action::{Action, Actions};
-use crate::crash::{Standing, Suspect};
+use crate::crash::{Suspect, Suspicion};
 use crate::event::{ExchangeResult, ProbeResult};
 use crate::incarnation::Incarnation;
+use crate::log_record::{LogRecord, LostRequest};
 use crate::message::{ForwardResult, ForwardedRequest};
-use crate::note::{LostWork, Note};
 
 /// Longest body with which an answered request is remembered although no back end has ended: the fingerprint of a long one
 /// costs more than it is worth.
@@ -21,11 +21,11 @@
 
 impl Inbound {
     /// Returns the standing of what a request asks for.
-    pub fn standing(&self, now: Instant, request: &ForwardedRequest) -> Standing {
+    pub fn suspicion(&self, now: Instant, request: &ForwardedRequest) -> Suspicion {
         if self.crashes.is_empty() {
-            return Standing::Clear;
+            return Suspicion::Clear;
         }
-        self.crashes.standing(now, request.content())
+        self.crashes.suspicion(now, request.content())
     }
 
     /// Starts the next request that waits for isolation, if none runs.
@@ -54,13 +54,13 @@
         mut arrival: Arrival,
         out: &mut Actions,
     ) {
-        let standing = self.standing(now, &arrival.request);
-        if standing == Standing::Quarantined {
+        let suspicion = self.suspicion(now, &arrival.request);
+        if suspicion == Suspicion::Quarantined {
             self.refuse(now, &arrival, ResultCode::Quarantined, out);
         } else if self.is_doomed(now, &arrival) {
             self.refuse(now, &arrival, ResultCode::DeadlineUnmet, out);
         } else {
-            arrival.is_isolated = standing.is_isolated() && self.isolated.is_none();
+            arrival.is_isolated = suspicion.is_isolated() && self.isolated.is_none();
             self.start(now, arrival, out);
         }
     }
@@ -68,7 +68,7 @@
     /// Keeps a request whose answer was lost until it is known whether the back end has ended.
     pub(super) fn hold_lost(&mut self, now: Instant, running: Running) {
         let incarnation = running.incarnation.clone();
-        let lost = LostWork {
+        let lost = LostRequest {
             instance: incarnation.to_string(),
             content: running.request.content(),
         };
@@ -147,7 +147,7 @@
             .suspects
             .iter()
             .map(|suspect| suspect.content)
-            .filter(|content| self.crashes.standing(now, *content) >= Standing::Suspected)
+            .filter(|content| self.crashes.suspicion(now, *content) >= Suspicion::Suspected)
             .collect();
         let is_only_one = known.len() == 1;
         let suspects: Vec<Suspect> = crash
@@ -159,16 +159,16 @@
             })
             .collect();
         self.crashes.on_crash(now, &crash.incarnation, &suspects);
-        out.push(Action::Note(Note::BackEndCrashed {
+        out.push(Action::Log(LogRecord::BackEndCrashed {
             instance: crash.incarnation.to_string(),
-            under_way: suspects.len(),
-            known: known.len(),
+            in_flight: suspects.len(),
+            previously_suspected: known.len(),
         }));
     }
 
     /// Answers the lost requests of which it is known whether the back end has ended, or that have waited
     /// for it long enough.
-    pub(crate) fn release_lost(&mut self, now: Instant, out: &mut Actions) {
+    pub(crate) fn release_lost_requests(&mut self, now: Instant, out: &mut Actions) {
         let (code, released) = self.losses.take_released();
         for Held { running, lost } in released {
             let Running {
--- a/crates/rillgap-forward/src/inbound/losses.rs
+++ b/crates/rillgap-forward/src/inbound/losses.rs
@@ -12,7 +12,7 @@
 use super::Running;
 use crate::crash::Suspect;
 use crate::incarnation::Incarnation;
-use crate::note::LostWork;
+use crate::log_record::LostRequest;
 
 /// Time in which all connections of a process that has ended are seen to end.
 const SETTLE: Duration = Duration::from_millis(5);
@@ -45,7 +45,7 @@
     /// The request.
     pub running: Running,
     /// What was lost, and where.
-    pub lost: LostWork,
+    pub lost: LostRequest,
 }
 
 /// Losses at one incarnation that are not explained yet.
@@ -91,7 +91,7 @@
         now: Instant,
         incarnation: Incarnation,
         running: Running,
-        lost: LostWork,
+        lost: LostRequest,
     ) {
         let suspect = Suspect {
             content: lost.content,
--- a/crates/rillgap-forward/src/inbound/mod.rs
+++ b/crates/rillgap-forward/src/inbound/mod.rs
@@ -25,12 +25,12 @@
 
 use crate::action::{Action, Actions, Exchange};
 use crate::configuration::RouteTable;
-use crate::crash::{CrashRegister, Standing};
+use crate::crash::{CrashRegister, Suspicion};
 use crate::event::{AnnouncedState, ExchangeResult, Heartbeat, ProbeResult};
 use crate::id::{ExchangeId, LinkId, ProbeId, Sequence};
 use crate::incarnation::Incarnation;
-use crate::message::{ForwardedRequest, Load, Status, TIERS, tier_of};
-use crate::note::Note;
+use crate::log_record::LogRecord;
+use crate::message::{ForwardedRequest, Load, Status, TIER_COUNT, tier_of};
 use crate::settings::ForwardSettings;
 
 use back_end::{BackEnd, Effect};
@@ -40,7 +40,7 @@
 use running::Running;
 use service_time::ServiceTimes;
 
-pub use running::{CallNews, CallProgress};
+pub use running::{CallProgress, CallUpdate};
 
 /// Share of the slots that are used: back ends get slower when they are almost full.
 const SLOT_SHARE: f64 = 0.95;
@@ -69,7 +69,7 @@
 /// Time before the end of a request's time from which a cancellation means that no answer came.
 const CLOSE_TO_DEADLINE: Duration = Duration::from_millis(20);
 /// Share of failures of its own from which a back end stands out, in thousandths.
-pub const FAILING_PERMILLE: u32 = 100;
+pub const FAILURE_THRESHOLD_PERMILLE: u32 = 100;
 /// Longest queue.
 const QUEUE_LENGTH: usize = 2_048;
 
@@ -158,7 +158,7 @@
             is_stopping: self.is_stopping,
             load: self.load(),
             is_watching: false,
-            owns_buckets: false,
+            can_own_buckets: false,
         }
     }
 
@@ -184,8 +184,8 @@
         }
     }
 
-    fn queued_by_tier(&self) -> [u16; TIERS] {
-        let mut queued = [0_u16; TIERS];
+    fn queued_by_tier(&self) -> [u16; TIER_COUNT] {
+        let mut queued = [0_u16; TIER_COUNT];
         for (rank, length) in self.queue.lengths() {
             let length = u16::try_from(length).unwrap_or(u16::MAX);
             let of_tier = &mut queued[usize::from(tier_of(rank))];
@@ -228,7 +228,7 @@
     }
 
     /// Takes in what became of a call that the back end makes while it works on a request.
-    pub fn on_call(&mut self, call: CallNews) {
+    pub fn on_call(&mut self, call: CallUpdate) {
         let exchange = self.by_request_id.get(&call.parent_id);
         let Some(running) = exchange.and_then(|exchange| self.running.get_mut(exchange)) else {
             return;
@@ -297,20 +297,20 @@
         out: &mut Actions,
     ) {
         let deadline = now + Duration::from_micros(request.remaining_micros);
-        let standing = self.standing(now, &request);
+        let suspicion = self.suspicion(now, &request);
         let arrival = Arrival {
             link,
             sequence,
             request,
             arrived: now,
             deadline,
-            is_isolated: standing.is_isolated(),
+            is_isolated: suspicion.is_isolated(),
         };
         if let Some(code) = self.refusal_of_service(&arrival.request) {
             self.refuse(now, &arrival, code, out);
             return;
         }
-        if standing == Standing::Quarantined {
+        if suspicion == Suspicion::Quarantined {
             self.refuse(now, &arrival, ResultCode::Quarantined, out);
             return;
         }
@@ -324,7 +324,7 @@
             return;
         }
         let rank = arrival.request.rank();
-        let place = arrival.request.place();
+        let place = arrival.request.position_in_rank();
         let nobody_ahead = self.queue.ahead_of(rank, place) == 0;
         if self.has_room() && (nobody_ahead || self.is_within_reserve(rank)) {
             self.start(now, arrival, out);
@@ -484,9 +484,9 @@
     ) {
         if let Some(change) = effect.change {
             self.status_changed = true;
-            out.push(Action::Note(Note::BackEnd {
+            out.push(Action::Log(LogRecord::BackEnd {
                 instance: self.back_end.name(),
-                standing: self.back_end.standing_name(),
+                health: self.back_end.standing_name(),
                 cause: change,
                 sequence: self.back_end.sequence(),
             }));
--- a/crates/rillgap-forward/src/inbound/running.rs
+++ b/crates/rillgap-forward/src/inbound/running.rs
@@ -9,13 +9,13 @@
 use super::{Arrival, elapsed_micros};
 use crate::id::{LinkId, Sequence};
 use crate::incarnation::Incarnation;
-use crate::message::{ForwardedRequest, ServiceLevel, Timing};
+use crate::message::{ForwardedRequest, ServiceAdmissionLevel, Timing};
 
 /// What became of a call that the back end makes while it works on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallProgress {
     /// It is under way.
-    Begun,
+    Started,
     /// It was answered without a failure.
     Succeeded,
     /// It came to nothing.
@@ -24,13 +24,13 @@
 
 /// What became of a call, with the levels of the services that it went to.
 #[derive(Clone, Debug)]
-pub struct CallNews {
+pub struct CallUpdate {
     /// Identifier of the request that the call is made for.
     pub parent_id: String,
     /// What became of it.
     pub progress: CallProgress,
     /// Levels of the services that it involved.
-    pub involved: Vec<ServiceLevel>,
+    pub involved: Vec<ServiceAdmissionLevel>,
 }
 
 /// A request that runs.
@@ -82,12 +82,12 @@
     }
 
     /// Takes in what became of a call that the back end makes for the request.
-    pub fn on_call(&mut self, call: CallNews) {
+    pub fn on_call(&mut self, call: CallUpdate) {
         for involved in call.involved {
             self.involved.insert(involved.service, involved.level);
         }
         match call.progress {
-            CallProgress::Begun => self.open_calls += 1,
+            CallProgress::Started => self.open_calls += 1,
             CallProgress::Succeeded => self.open_calls = self.open_calls.saturating_sub(1),
             CallProgress::Failed => {
                 self.open_calls = self.open_calls.saturating_sub(1);
--- a/crates/rillgap-forward/src/note.rs
+++ b/crates/rillgap-forward/src/log_record.rs
@@ -3,14 +3,14 @@
 use rillgap_core::code::ResultCode;
 use rillgap_core::id::Fingerprint;
 
-use crate::crash::StandingChange;
+use crate::crash::SuspicionChange;
 use crate::message::Timing;
 use crate::store_epoch::StoreEpoch;
 use crate::store_sync::StoreFailure;
 
 /// Work that has ended without an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LostWork {
+pub struct LostRequest {
     /// Incarnation of the back end that had the request.
     pub instance: String,
     /// What the request asks for: tells whether requests that are lost together with back ends are the same.
@@ -19,7 +19,7 @@
 
 /// A record for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum LogRecord {
     /// A request was answered.
     Answered {
         /// The caller's identifier.
@@ -46,7 +46,7 @@
         proof_age_millis: Option<u64>,
     },
     /// A request was sent to another node after a first one.
-    Moved {
+    Retried {
         /// The caller's identifier.
         request_id: String,
         /// Node that was asked before.
@@ -71,7 +71,7 @@
         /// Requests that may run at once.
         limit: u32,
         /// What was lost, if the back end may have worked on the request.
-        lost: Option<LostWork>,
+        lost: Option<LostRequest>,
     },
     /// The caller of a request has gone.
     Cancelled {
@@ -83,7 +83,7 @@
         /// Incarnation.
         instance: String,
         /// New standing.
-        standing: &'static str,
+        health: &'static str,
         /// What changed it.
         cause: &'static str,
         /// Number of the last heartbeat.
@@ -94,14 +94,14 @@
         /// Incarnation that has ended.
         instance: String,
         /// Requests that were under way.
-        under_way: usize,
+        in_flight: usize,
         /// Contents among them that other back ends have ended under before.
-        known: usize,
+        previously_suspected: usize,
     },
     /// The standing of requests that back ends end under has changed.
-    Suspicion(StandingChange),
+    SuspicionChanged(SuspicionChange),
     /// A caller's request was refused because back ends have ended under requests like it.
-    HeldBack {
+    RequestQuarantined {
         /// The caller's identifier.
         request_id: String,
         /// What it asks for.
@@ -141,7 +141,7 @@
         /// Its version.
         version: u64,
         /// Version in force.
-        own: u64,
+        own_version: u64,
         /// The peer that was first to tell; empty if its link is not known any more.
         peer: String,
     },
@@ -150,7 +150,7 @@
         /// Version that is expected.
         version: u64,
         /// Version in force.
-        own: u64,
+        own_version: u64,
         /// The peer; empty if its link is not known any more.
         peer: String,
     },
@@ -165,7 +165,7 @@
         unreadable: usize,
     },
     /// The store has come back from a copy.
-    StoreReturned {
+    StoreRestored {
         /// Epoch that was known before.
         before: StoreEpoch,
         /// Epoch that it has reached.
--- a/crates/rillgap-forward/src/message.rs
+++ b/crates/rillgap-forward/src/message.rs
@@ -26,7 +26,7 @@
 /// Tier of the requests that are shed last.
 const HIGHEST_TIER: u8 = (LOWEST_PRIORITY + 1) * TIERS_PER_PRIORITY - 1;
 /// Number of tiers.
-pub const TIERS: usize = HIGHEST_TIER as usize + 1;
+pub const TIER_COUNT: usize = HIGHEST_TIER as usize + 1;
 
 /// Returns the admission level of a caller's request on a route of this priority.
 pub fn level_of(priority: u8, request_id: &str) -> Level {
@@ -77,7 +77,7 @@
     /// Requests that run.
     pub running: u32,
     /// Requests that wait, by tier; [`u16::MAX`] stands for that many or more.
-    pub queued: [u16; TIERS],
+    pub queued: [u16; TIER_COUNT],
     /// Mean time that a request takes, in microseconds.
     pub mean_micros: u32,
     /// Level below which the node would shed requests; zero while it would shed none.
@@ -88,7 +88,7 @@
 
 impl Load {
     /// Returns the number of requests that wait.
-    pub fn queued_in_all(&self) -> u32 {
+    pub fn total_queued(&self) -> u32 {
         self.queued.iter().map(|queued| u32::from(*queued)).sum()
     }
 
@@ -114,7 +114,7 @@
     /// Whether the node watches the store and has lately heard of it.
     pub is_watching: bool,
     /// Whether the node would own buckets of tenants' tokens.
-    pub owns_buckets: bool,
+    pub can_own_buckets: bool,
 }
 
 /// First message in both directions of a link.
@@ -162,7 +162,7 @@
     /// Whether a back end made the request while it works on another.
     pub is_call: bool,
     /// Whether the request, or one further up its chain, was sent to a back end before.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// Time that is left for the request, in microseconds.
     pub remaining_micros: u64,
     /// Longest time for which the request may wait in a queue, in microseconds.
@@ -173,14 +173,14 @@
     /// Returns the fingerprint of what the request asks for.
     pub fn content(&self) -> Fingerprint {
         let tenant = self.tenant.as_deref();
-        content(&self.route, &self.method, &self.target, tenant, &self.body)
+        content_fingerprint(&self.route, &self.method, &self.target, tenant, &self.body)
     }
 
     /// Returns the place within the rank; 0 is served first.
     ///
     /// It follows from the level, which all calls made for one root have. Where a service sheds calls of one priority, the
     /// same chains go through whole; in the order of arrival each chain would lose a call now and then.
-    pub fn place(&self) -> u8 {
+    pub fn position_in_rank(&self) -> u8 {
         let within = self.level.0 % Level::PER_TIER;
         let group = within * u32::from(PLACES) / Level::PER_TIER;
         PLACES - 1 - u8::try_from(group).unwrap_or(0)
@@ -201,7 +201,7 @@
 ///
 /// The identifier and the deadline differ from try to try, and the machine at which a request begins, and with it
 /// the caller's service, is any: they are left out.
-pub fn content(
+pub fn content_fingerprint(
     route: &str,
     method: &str,
     target: &str,
@@ -268,7 +268,7 @@
 
 /// Level below which the back ends of a service would shed requests.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ServiceLevel {
+pub struct ServiceAdmissionLevel {
     /// The service.
     pub service: String,
     /// The level.
@@ -283,7 +283,7 @@
     /// Load of the back end.
     pub load: Load,
     /// Levels of the services that calls made for the request went to.
-    pub involved: Vec<ServiceLevel>,
+    pub downstream_levels: Vec<ServiceAdmissionLevel>,
     /// Whether a call made for the request has failed.
     pub has_failed_call: bool,
     /// Where the time went.
@@ -372,7 +372,7 @@
     /// Tell news of the store from now on, or do not any more.
     Follow(bool),
     /// Age of the sender's news of the store in microseconds; `None` if it has no fresh ones.
-    StoreNews(Option<u64>),
+    StoreContact(Option<u64>),
     /// The store has come back from a copy and has reached this epoch.
     StoreEpoch(StoreEpoch),
     /// How fresh is your configuration?
@@ -402,7 +402,7 @@
             Self::ConfigurationQuery(_) => "configuration-query",
             Self::Configuration(_) => "configuration",
             Self::Follow(_) => "follow",
-            Self::StoreNews(_) => "store-news",
+            Self::StoreContact(_) => "store-news",
             Self::StoreEpoch(_) => "store-epoch",
             Self::FreshnessQuery(_) => "freshness-query",
             Self::FreshnessAnswer(_) => "freshness-answer",
--- a/crates/rillgap-forward/src/node/evidence.rs
+++ b/crates/rillgap-forward/src/node/evidence.rs
@@ -6,8 +6,8 @@
 use crate::action::{Action, Actions};
 use crate::crash::ContentEvidence;
 use crate::id::LinkId;
+use crate::log_record::LogRecord;
 use crate::message::{Hello, LinkMessage};
-use crate::note::Note;
 
 impl Node {
     pub(super) fn on_evidence(&mut self, now: Instant, link: LinkId, evidence: &[ContentEvidence]) {
@@ -20,10 +20,10 @@
     pub(super) fn tell_evidence(&mut self, now: Instant, out: &mut Actions) {
         let crashes = self.inbound.crashes_mut();
         for change in crashes.take_changes() {
-            out.push(Action::Note(Note::Suspicion(change)));
+            out.push(Action::Log(LogRecord::SuspicionChanged(change)));
         }
         let source = self.evidence_source.take();
-        let news = crashes.take_news(now);
+        let news = crashes.take_updates(now);
         let all = self.directory.open_links();
         send_evidence(&news.for_all, all, source, out);
         let service = self.inbound.service();
@@ -43,7 +43,7 @@
         if self.inbound.crashes().is_empty() {
             return;
         }
-        let known = self.inbound.crashes().tell_all(now);
+        let known = self.inbound.crashes().all_evidence(now);
         send_evidence(&known.for_all, [link].into_iter(), None, out);
         if hello.status.service == self.inbound.service() {
             send_evidence(&known.for_service, [link].into_iter(), None, out);
--- a/crates/rillgap-forward/src/node/follow.rs
+++ b/crates/rillgap-forward/src/node/follow.rs
@@ -7,9 +7,9 @@
 use super::Node;
 use crate::action::{Action, Actions};
 use crate::id::LinkId;
+use crate::log_record::LogRecord;
 use crate::message::LinkMessage;
-use crate::note::Note;
-use crate::watch_duty::Preceding;
+use crate::watcher_election::PrecedingNodes;
 
 /// Time after its start after which a node that could not list the others watches by what it knows.
 const LIST_PATIENCE: Duration = Duration::from_secs(3);
@@ -24,7 +24,9 @@
     ) {
         self.watch_relay.set_follower(link, follows);
         if follows {
-            let age = self.watch_relay.age(now, self.store.heard_at(now));
+            let age = self
+                .watch_relay
+                .contact_age(now, self.store.last_contact_at(now));
             out.push(tell(link, age));
         }
     }
@@ -32,13 +34,13 @@
     pub(super) fn on_store_news(&mut self, now: Instant, link: LinkId, age_micros: Option<u64>) {
         if self.directory.is_preceding(link) {
             let age = age_micros.map(Duration::from_micros);
-            self.watch_relay.on_report(now, link, age);
+            self.watch_relay.on_contact_report(now, link, age);
         }
     }
 
     /// Passes on news of the store to the followers.
     pub(super) fn tell_followers(&mut self, now: Instant, out: &mut Actions) {
-        let own = self.store.heard_at(now);
+        let own = self.store.last_contact_at(now);
         if let Some((followers, age)) = self.watch_relay.take_due(now, own) {
             out.extend(followers.into_iter().map(|link| tell(link, age)));
         }
@@ -61,24 +63,24 @@
     pub(super) fn update_watch(&mut self, now: Instant, out: &mut Actions) {
         let may_judge = self.store.has_listed() || now >= self.started_at + LIST_PATIENCE;
         let may_watch = may_judge && self.stopping_since.is_none();
-        let preceding = Preceding {
-            fresh: self.watch_relay.fresh(now),
-            is_heard: self.watch_relay.hears(now),
-            known: self.directory.preceding(),
+        let preceding = PrecedingNodes {
+            fresh_count: self.watch_relay.fresh_count(now),
+            has_recent_report: self.watch_relay.has_recent_report(now),
+            known_count: self.directory.preceding(),
         };
-        let longest = self.freshness.longest_watch();
+        let longest = self.freshness.max_watch_wait();
         let wait = if may_judge {
-            self.watch_duty.update(now, preceding)
+            self.watcher_election.update(now, preceding)
         } else {
             None
         };
         let wait = wait.filter(|_| may_watch);
         let wait = wait.map(|wait| longest.map_or(wait, |longest| wait.min(longest)));
         if self.store.set_watch(now, wait) {
-            out.push(Action::Note(Note::Watch {
+            out.push(Action::Log(LogRecord::Watch {
                 is_watching: wait.is_some(),
-                fresh: preceding.fresh,
-                preceding: preceding.known,
+                fresh: preceding.fresh_count,
+                preceding: preceding.known_count,
             }));
         }
     }
@@ -88,6 +90,6 @@
     let age_micros = age.map(|age| u64::try_from(age.as_micros()).unwrap_or(u64::MAX));
     Action::SendOnLink {
         link,
-        message: LinkMessage::StoreNews(age_micros),
+        message: LinkMessage::StoreContact(age_micros),
     }
 }
--- a/crates/rillgap-forward/src/node/freshness.rs
+++ b/crates/rillgap-forward/src/node/freshness.rs
@@ -8,12 +8,12 @@
 use crate::action::{Action, Actions};
 use crate::freshness::{Freshness, QueryNumber};
 use crate::id::LinkId;
+use crate::log_record::LogRecord;
 use crate::message::{FreshnessAnswer, LinkMessage};
-use crate::note::Note;
 
 /// Returns the age of the proof, if there is one.
 pub(super) fn age_millis(freshness: &Freshness, now: Instant) -> Option<u64> {
-    let age = freshness.age(now)?.as_millis();
+    let age = freshness.proof_age(now)?.as_millis();
     Some(u64::try_from(age).unwrap_or(u64::MAX))
 }
 
@@ -46,7 +46,7 @@
         number: QueryNumber,
         out: &mut Actions,
     ) {
-        let Some(age) = self.freshness.age(now) else {
+        let Some(age) = self.freshness.proof_age(now) else {
             return;
         };
         let answer = FreshnessAnswer {
@@ -77,7 +77,7 @@
         let is_proven = self.freshness.is_proven(now);
         if is_proven != self.told_proven {
             self.told_proven = is_proven;
-            out.push(Action::Note(Note::Freshness {
+            out.push(Action::Log(LogRecord::Freshness {
                 is_proven,
                 proof_age_millis: age_millis(&self.freshness, now),
             }));
--- a/crates/rillgap-forward/src/node/links.rs
+++ b/crates/rillgap-forward/src/node/links.rs
@@ -7,8 +7,8 @@
 use super::{Node, PROTOCOL_VERSION};
 use crate::action::{Action, Actions};
 use crate::id::LinkId;
+use crate::log_record::LogRecord;
 use crate::message::{Hello, LinkMessage, Status};
-use crate::note::Note;
 use crate::peer::Peer;
 
 /// Time between two reports of a node's back end on a link, which are also signs of life. Answers
@@ -79,7 +79,7 @@
     /// Takes in the epoch of the store that the peer knows, and tells it a later one.
     fn exchange_epochs(&mut self, now: Instant, link: LinkId, hello: &Hello, out: &mut Actions) {
         if let Some(epoch) = hello.store_epoch {
-            self.learn_epoch(now, epoch, Some(link), out);
+            self.observe_epoch(now, epoch, Some(link), out);
         }
         let own = self
             .store
@@ -187,7 +187,7 @@
     pub(super) fn status(&self, now: Instant) -> Status {
         Status {
             is_watching: self.store.is_watching(now),
-            owns_buckets: self.owns_buckets_since.is_some(),
+            can_own_buckets: self.owns_buckets_since.is_some(),
             ..self.inbound.status()
         }
     }
@@ -226,7 +226,7 @@
 }
 
 fn note_peer(peer: &str, is_up: bool, cause: &'static str, out: &mut Actions) {
-    out.push(Action::Note(Note::Peer {
+    out.push(Action::Log(LogRecord::Peer {
         peer: peer.to_owned(),
         is_up,
         cause,
--- a/crates/rillgap-forward/src/node/mod.rs
+++ b/crates/rillgap-forward/src/node/mod.rs
@@ -20,7 +20,7 @@
 use crate::directory::Directory;
 use crate::event::{CallerRequest, Event, Heartbeat};
 use crate::freshness::Freshness;
-use crate::id::{AnnouncementId, ConnectionId, LinkId, Turn};
+use crate::id::{AnnouncementId, ConnectionId, LinkId, PipelineIndex};
 use crate::inbound::Inbound;
 use crate::message::{Hello, LinkMessage, Status};
 use crate::outbound::{Origin, Outbound, OutboundContext};
@@ -28,8 +28,8 @@
 use crate::settings::ForwardSettings;
 use crate::store_epoch::StoreEpoch;
 use crate::store_sync::StoreSync;
-use crate::watch_duty::WatchDuty;
 use crate::watch_relay::WatchRelay;
+use crate::watcher_election::WatcherElection;
 
 /// Version of the protocol between nodes.
 pub const PROTOCOL_VERSION: u32 = 6;
@@ -53,7 +53,7 @@
     outbound: Outbound,
     store: StoreSync,
     store_is_up: bool,
-    watch_duty: WatchDuty,
+    watcher_election: WatcherElection,
     watch_relay: WatchRelay,
     freshness: Freshness,
     /// Whether the last record of the log said that requests with keys are served.
@@ -96,7 +96,7 @@
                 settings.is_first_start,
                 settings.store_writes_per_second,
             ),
-            watch_duty: WatchDuty::new(&settings.record.name),
+            watcher_election: WatcherElection::new(&settings.record.name),
             watch_relay: WatchRelay::default(),
             freshness: Freshness::new(settings.revocation),
             told_proven: true,
@@ -155,7 +155,7 @@
 
     /// Returns the age of the proof that the configuration is the newest one, if there is one.
     pub fn proof_age(&self, now: Instant) -> Option<Duration> {
-        self.freshness.age(now)
+        self.freshness.proof_age(now)
     }
 
     /// Returns the version of the configuration in force; 0 for none.
@@ -170,7 +170,7 @@
             node: self.settings.record.clone(),
             incarnation: self.settings.incarnation,
             status: Status {
-                owns_buckets: self.owns_buckets_since.is_some(),
+                can_own_buckets: self.owns_buckets_since.is_some(),
                 ..self.inbound.status()
             },
             configuration_version: self.configuration_version(),
@@ -204,10 +204,10 @@
         match event {
             Event::Request {
                 connection,
-                turn,
+                pipeline_index,
                 request,
-            } => self.on_request(now, connection, turn, request, out),
-            Event::CallerGone(connection) => {
+            } => self.on_request(now, connection, pipeline_index, request, out),
+            Event::CallerDisconnected(connection) => {
                 let (outbound, mut context) = self.split(out);
                 outbound.on_caller_gone(connection, &mut context);
             }
@@ -224,7 +224,7 @@
                 announcement,
                 heartbeat,
             } => self.on_heartbeat(now, announcement, &heartbeat, out),
-            Event::BackEndLeaves {
+            Event::BackEndLeft {
                 announcement,
                 incarnation,
             } => {
@@ -261,9 +261,9 @@
         let now = self.last_step;
         let context = OutboundContext {
             table: self.table.as_deref(),
-            own: &self.inbound,
+            inbound: &self.inbound,
             directory: &mut self.directory,
-            is_proven: self.freshness.is_proven(now),
+            is_configuration_fresh: self.freshness.is_proven(now),
             proof_age_millis: freshness::age_millis(&self.freshness, now),
             is_stopping: self.stopping_since.is_some(),
             refuses_callers,
@@ -286,13 +286,20 @@
         &mut self,
         now: Instant,
         connection: ConnectionId,
-        turn: Turn,
+        pipeline_index: PipelineIndex,
         request: CallerRequest,
         out: &mut Actions,
     ) {
         let origin = self.origin(&request);
         let (outbound, mut context) = self.split(out);
-        outbound.on_request(now, connection, turn, request, origin, &mut context);
+        outbound.on_request(
+            now,
+            connection,
+            pipeline_index,
+            request,
+            origin,
+            &mut context,
+        );
     }
 
     fn on_heartbeat(
@@ -316,7 +323,7 @@
         let parent = parent_id.and_then(|parent_id| self.inbound.running_request(parent_id));
         parent.map_or(Origin::Caller, |parent| Origin::BackEnd {
             level: parent.level,
-            is_repeat: parent.is_repeat,
+            is_retry: parent.is_retry,
         })
     }
 
@@ -328,7 +335,7 @@
         out: &mut Actions,
     ) {
         self.directory.heard(now, link);
-        self.offers.heard(now, link);
+        self.offers.on_message(now, link);
         match message {
             LinkMessage::Request { sequence, request } => {
                 self.inbound.on_request(now, link, sequence, request, out);
@@ -348,10 +355,10 @@
             LinkMessage::ConfigurationQuery(version) => self.on_query(link, version, out),
             LinkMessage::FreshnessQuery(number) => self.on_freshness_query(now, link, number, out),
             LinkMessage::Follow(follows) => self.on_follow(now, link, follows, out),
-            LinkMessage::StoreNews(age_micros) => self.on_store_news(now, link, age_micros),
-            LinkMessage::StoreEpoch(epoch) => self.learn_epoch(now, epoch, Some(link), out),
+            LinkMessage::StoreContact(age_micros) => self.on_store_news(now, link, age_micros),
+            LinkMessage::StoreEpoch(epoch) => self.observe_epoch(now, epoch, Some(link), out),
             LinkMessage::FreshnessAnswer(answer) => {
-                self.learn_epoch(now, answer.epoch, Some(link), out);
+                self.observe_epoch(now, answer.epoch, Some(link), out);
                 self.on_freshness_answer(answer);
                 self.learn_version(now, link, answer.version, out);
             }
@@ -377,13 +384,13 @@
         self.inbound.poll(now, table.as_deref(), out);
         // Peers learn of a crash before they hear what became of its requests, and decide by it.
         self.tell_evidence(now, out);
-        self.inbound.release_lost(now, out);
+        self.inbound.release_lost_requests(now, out);
         let (outbound, mut context) = self.split(out);
         outbound.poll(now, &mut context);
         self.deliver_local(now, out);
         self.ask_for_tokens(now, out);
         self.deliver_local(now, out);
-        for call in self.outbound.take_call_news() {
+        for call in self.outbound.take_call_updates() {
             self.inbound.on_call(call);
         }
         for (id, request) in self.store.poll(now) {
--- a/crates/rillgap-forward/src/node/spread.rs
+++ b/crates/rillgap-forward/src/node/spread.rs
@@ -9,8 +9,8 @@
 use crate::action::{Action, Actions};
 use crate::configuration::{Configuration, RouteTable};
 use crate::id::LinkId;
+use crate::log_record::LogRecord;
 use crate::message::LinkMessage;
-use crate::note::Note;
 
 /// Time after a newer version was heard of in which the node waits for the store to bring it.
 const OFFER_PATIENCE: Duration = Duration::from_millis(200);
@@ -27,7 +27,7 @@
         if self.table.is_some() && configuration.version <= self.configuration_version() {
             return;
         }
-        out.push(Action::Note(Note::Configuration {
+        out.push(Action::Log(LogRecord::Configuration {
             version: configuration.version,
             routes: configuration.routes.len(),
             tenants: configuration.tenants.len(),
@@ -35,12 +35,12 @@
         }));
         let version = configuration.version;
         let table = RouteTable::new(configuration);
-        self.freshness.adopted(version);
+        self.freshness.on_configuration_in_force(version);
         self.limit_tenants(now, &table);
         self.table = Some(Arc::new(table));
         self.configured_at = Some(now);
-        self.offers.in_force(version);
-        self.store.configuration_in_force();
+        self.offers.on_configuration_in_force(version);
+        self.store.on_configuration_in_force();
         self.broadcast(&LinkMessage::ConfigurationOffer(version), out);
         // The health endpoint's path may be known now.
         let table = self.table.clone();
@@ -48,11 +48,11 @@
     }
 
     pub(super) fn on_offer(&mut self, now: Instant, link: LinkId, version: u64, out: &mut Actions) {
-        let own = self.configuration_version();
-        if version < own {
+        let own_version = self.configuration_version();
+        if version < own_version {
             out.push(Action::SendOnLink {
                 link,
-                message: LinkMessage::ConfigurationOffer(own),
+                message: LinkMessage::ConfigurationOffer(own_version),
             });
         }
         self.learn_version(now, link, version, out);
@@ -66,20 +66,20 @@
         version: u64,
         out: &mut Actions,
     ) {
-        let own = self.configuration_version();
-        if version <= own {
+        let own_version = self.configuration_version();
+        if version <= own_version {
             return;
         }
-        let patience = if self.store.expects_configuration() {
+        let patience = if self.store.has_configuration_call_in_flight() {
             OFFER_PATIENCE
         } else {
             Duration::ZERO
         };
-        if self.offers.offered(now, link, version, now + patience) {
+        if self.offers.on_offer(now, link, version, now + patience) {
             let peer = self.peer_name(link);
-            out.push(Action::Note(Note::NewerConfiguration {
+            out.push(Action::Log(LogRecord::NewerConfiguration {
                 version,
-                own,
+                own_version,
                 peer,
             }));
         }
@@ -104,15 +104,15 @@
         let Some(query) = self.offers.take_due(now) else {
             return;
         };
-        let own = self.configuration_version();
-        out.push(Action::Note(Note::ConfigurationQuery {
+        let own_version = self.configuration_version();
+        out.push(Action::Log(LogRecord::ConfigurationQuery {
             version: query.version,
-            own,
+            own_version,
             peer: self.peer_name(query.link),
         }));
         out.push(Action::SendOnLink {
             link: query.link,
-            message: LinkMessage::ConfigurationQuery(own),
+            message: LinkMessage::ConfigurationQuery(own_version),
         });
     }
 
--- a/crates/rillgap-forward/src/node/stop.rs
+++ b/crates/rillgap-forward/src/node/stop.rs
@@ -6,7 +6,7 @@
 
 use super::Node;
 use crate::action::{Action, Actions};
-use crate::note::Note;
+use crate::log_record::LogRecord;
 
 /// Time after the begin of a planned stop before which the node does not exit and takes callers'
 /// requests: they learn by then that it is not ready. Where too few nodes are ready they keep coming, and
@@ -61,7 +61,7 @@
     }
 
     pub(super) fn note_lifecycle(&self, state: &'static str, out: &mut Actions) {
-        out.push(Action::Note(Note::Lifecycle {
+        out.push(Action::Log(LogRecord::Lifecycle {
             state,
             in_flight: self.inbound.in_flight() + self.outbound.in_flight(),
         }));
--- a/crates/rillgap-forward/src/node/store.rs
+++ b/crates/rillgap-forward/src/node/store.rs
@@ -5,10 +5,10 @@
 use super::Node;
 use crate::action::{Action, Actions};
 use crate::id::LinkId;
+use crate::log_record::LogRecord;
 use crate::message::LinkMessage;
-use crate::note::Note;
 use crate::store_epoch::StoreEpoch;
-use crate::store_sync::{StoreNews, StoreReply, StoreRequestId};
+use crate::store_sync::{StoreEvent, StoreReply, StoreRequestId};
 
 impl Node {
     pub(super) fn on_store(
@@ -19,19 +19,19 @@
         out: &mut Actions,
     ) {
         if let Some(epoch) = reply.epoch() {
-            self.learn_epoch(now, epoch, None, out);
+            self.observe_epoch(now, epoch, None, out);
         }
         let news = self.store.on_reply(now, request, reply);
         self.note_store(&news, out);
         match news {
-            Some(StoreNews::Configuration(configuration)) => {
+            Some(StoreEvent::Configuration(configuration)) => {
                 self.adopt(now, configuration, "store", out);
             }
-            Some(StoreNews::Nodes { list, is_complete }) => {
+            Some(StoreEvent::Nodes { list, is_complete }) => {
                 self.knows_members |= is_complete;
                 if list.unreadable > 0 {
                     let unreadable = list.unreadable;
-                    out.push(Action::Note(Note::UnreadableRecords { unreadable }));
+                    out.push(Action::Log(LogRecord::UnreadableRecords { unreadable }));
                 }
                 self.directory.learn_list(now, &list);
             }
@@ -49,13 +49,13 @@
         };
         let own = self.configuration_version();
         if proof.version >= own {
-            self.freshness.prove(proof.at, proof.version, own);
+            self.freshness.record_proof(proof.at, proof.version, own);
         }
     }
 
     /// Takes in that the store has reached an epoch, as itself or the peer on a link has told. If it has come
     /// back from a copy, the peers are told: the store may refuse some of them.
-    pub(super) fn learn_epoch(
+    pub(super) fn observe_epoch(
         &mut self,
         now: Instant,
         epoch: StoreEpoch,
@@ -63,12 +63,12 @@
         out: &mut Actions,
     ) {
         let before = self.store.epoch();
-        if !self.store.learn_epoch(now, epoch) {
+        if !self.store.observe_epoch(now, epoch) {
             return;
         }
-        self.freshness.store_has_returned();
+        self.freshness.on_store_restored();
         let peer = from.map(|link| self.peer_name(link));
-        out.push(Action::Note(Note::StoreReturned {
+        out.push(Action::Log(LogRecord::StoreRestored {
             before: before.unwrap_or_default(),
             epoch,
             configuration: self.configuration_version(),
@@ -78,14 +78,14 @@
     }
 
     /// Notes that the store is lost or back.
-    fn note_store(&mut self, news: &Option<StoreNews>, out: &mut Actions) {
+    fn note_store(&mut self, news: &Option<StoreEvent>, out: &mut Actions) {
         let failure = match news {
-            Some(StoreNews::Failed { call, failure }) => Some((*call, failure.clone())),
+            Some(StoreEvent::Failed { call, failure }) => Some((*call, failure.clone())),
             _ => None,
         };
         if failure.is_some() == self.store_is_up {
             self.store_is_up = failure.is_none();
-            out.push(Action::Note(Note::Store { failure }));
+            out.push(Action::Log(LogRecord::Store { failure }));
         }
     }
 }
--- a/crates/rillgap-forward/src/node/tokens.rs
+++ b/crates/rillgap-forward/src/node/tokens.rs
@@ -7,10 +7,10 @@
 use crate::configuration::RouteTable;
 use crate::directory::PeerIndex;
 use crate::id::LinkId;
+use crate::log_record::LogRecord;
 use crate::message::{LinkMessage, NodeRecord, TokenAnswer, TokenQuery, TokenResult};
-use crate::note::Note;
 use crate::rate_limit::bucket::Grant;
-use crate::rate_limit::entry::Wanted;
+use crate::rate_limit::entry::TokenDemand;
 use crate::rate_limit::ownership::{Owner, TenantHash};
 
 impl Node {
@@ -22,7 +22,7 @@
         // Nodes agree on the owners of buckets only if all know the same nodes.
         if !hashes.is_empty() && (!self.store.has_listed() || self.directory.is_partial()) {
             self.knows_members = false;
-            self.store.list_all(now);
+            self.store.request_full_list(now);
         }
         self.directory.set_limited(hashes);
         self.buckets.retain(|tenant| table.tenant(tenant).is_some());
@@ -38,7 +38,7 @@
             return;
         }
         self.owns_buckets_since = offers.then_some(now);
-        out.push(Action::Note(Note::BucketOffer {
+        out.push(Action::Log(LogRecord::BucketOffer {
             offers,
             peers: self.directory.len(),
         }));
@@ -51,7 +51,7 @@
             let hash = TenantHash::of(&wanted.tenant);
             self.directory.use_tenant(hash);
             match self.directory.bucket_owner(hash, self.owns_buckets_since) {
-                Owner::Own { since } => self.grant_here(now, wanted, since, out),
+                Owner::Local { since } => self.grant_here(now, wanted, since, out),
                 Owner::Peer(index, link) => {
                     self.directory.query_sent(now, index);
                     // An owner that is silent may be lost: its successor looks after it, too.
@@ -64,7 +64,7 @@
                     let next = self.directory.next_owner_link(hash, index);
                     send_query(wanted, next, out);
                 }
-                Owner::Nobody => {
+                Owner::Unavailable => {
                     let (outbound, mut context) = self.split(out);
                     outbound.on_no_owner(now, &wanted.tenant, &mut context);
                 }
@@ -81,7 +81,7 @@
     ) {
         let hash = TenantHash::of(&query.tenant);
         let result = match self.directory.bucket_owner(hash, self.owns_buckets_since) {
-            Owner::Own { since } => {
+            Owner::Local { since } => {
                 let grant = self.grant(now, &query.tenant, since, query.wanted);
                 grant.map(|grant| TokenResult::Granted {
                     tokens: grant.tokens,
@@ -97,7 +97,7 @@
                 self.directory.use_tenant(hash);
                 Some(TokenResult::OwnedBy(self.record_of(index)))
             }
-            Owner::Nobody => None,
+            Owner::Unavailable => None,
         };
         if let Some(result) = result {
             out.push(Action::SendOnLink {
@@ -141,7 +141,7 @@
         }
     }
 
-    fn grant_here(&mut self, now: Instant, wanted: Wanted, since: Instant, out: &mut Actions) {
+    fn grant_here(&mut self, now: Instant, wanted: TokenDemand, since: Instant, out: &mut Actions) {
         if let Some(grant) = self.grant(now, &wanted.tenant, since, wanted.tokens) {
             self.take_tokens(now, &wanted.tenant, wanted.number, grant, out);
         }
@@ -156,7 +156,7 @@
         out: &mut Actions,
     ) {
         if grant.wait_millis > 0 {
-            out.push(Action::Note(Note::TenantLimit {
+            out.push(Action::Log(LogRecord::TenantLimit {
                 tenant: tenant.to_owned(),
                 granted: grant.tokens,
                 wait_millis: grant.wait_millis,
@@ -187,7 +187,7 @@
     }
 }
 
-fn send_query(wanted: Wanted, links: impl IntoIterator<Item = LinkId>, out: &mut Actions) {
+fn send_query(wanted: TokenDemand, links: impl IntoIterator<Item = LinkId>, out: &mut Actions) {
     let query = TokenQuery {
         number: wanted.number,
         tenant: wanted.tenant,
--- a/crates/rillgap-forward/src/outbound/admission.rs
+++ b/crates/rillgap-forward/src/outbound/admission.rs
@@ -10,7 +10,7 @@
 use rillgap_core::admission::{Involvement, Level, ServiceLevels};
 use rillgap_core::time::Instant;
 
-use crate::message::{ServiceLevel, priority_of};
+use crate::message::{ServiceAdmissionLevel, priority_of};
 
 /// Move of a service's level at which the log tells it: a tenth of a tier.
 const REPORTED_MOVE: f64 = Level::PER_TIER as f64 / 10.0;
@@ -54,7 +54,12 @@
     }
 
     /// Takes in the level of a service that `reporter` has passed on.
-    pub fn observe_relayed(&mut self, now: Instant, involved: &ServiceLevel, reporter: &str) {
+    pub fn observe_relayed(
+        &mut self,
+        now: Instant,
+        involved: &ServiceAdmissionLevel,
+        reporter: &str,
+    ) {
         let known = self.known(&involved.service);
         known.all.report(now, reporter.to_owned(), involved.level);
     }
@@ -65,7 +70,7 @@
         &mut self,
         route: &str,
         service: &str,
-        involved: &[ServiceLevel],
+        involved: &[ServiceAdmissionLevel],
         is_success: bool,
     ) {
         if !self.involvement.contains_key(route) {
@@ -82,9 +87,9 @@
         };
         let services = involved.iter().map(|involved| &involved.service);
         if is_success {
-            known.learn(services);
+            known.record_answer(services);
         } else {
-            known.learn_part(services);
+            known.record_partial_answer(services);
         }
     }
 
--- a/crates/rillgap-forward/src/outbound/attempts.rs
+++ b/crates/rillgap-forward/src/outbound/attempts.rs
@@ -57,7 +57,7 @@
         let service = &request.forwarded.service;
         let level = request.forwarded.level;
         let mut candidates = Vec::new();
-        let own = context.own;
+        let own = context.inbound;
         let serves = own.is_serving() && own.service() == service && !context.is_stopping;
         if serves && !request.was_tried(&self.own_name) {
             let load = own.load();
--- a/crates/rillgap-forward/src/outbound/ending.rs
+++ b/crates/rillgap-forward/src/outbound/ending.rs
@@ -8,9 +8,9 @@
 use crate::action::{Action, CallerAnswer};
 use crate::configuration::RouteTable;
 use crate::event::CallerRequest;
-use crate::inbound::{CallNews, CallProgress};
+use crate::inbound::{CallProgress, CallUpdate};
+use crate::log_record::LogRecord;
 use crate::message::{ForwardedAnswer, Timing};
-use crate::note::Note;
 
 impl Outbound {
     /// Answers with what a back end has answered.
@@ -103,10 +103,10 @@
         };
         let has_not_run = request.arrivals == 0 && !request.may_have_run;
         if let Some(tenant) = request.limited_tenant.as_ref().filter(|_| has_not_run) {
-            self.tokens.give_back(now, tenant);
+            self.tokens.return_token(now, tenant);
         }
         let elapsed = now.saturating_since(request.arrived).as_micros();
-        context.out.push(Action::Note(Note::Answered {
+        context.out.push(Action::Log(LogRecord::Answered {
             request_id: request.forwarded.request_id.clone(),
             route: request.route.name.clone(),
             status: answer.status,
@@ -122,7 +122,7 @@
         self.count_outcome(request, answer.status);
         context.out.push(Action::Answer {
             connection: key.connection,
-            turn: key.turn,
+            pipeline_index: key.pipeline_index,
             answer,
         });
     }
@@ -136,7 +136,7 @@
             500.. => CallProgress::Failed,
             _ => CallProgress::Succeeded,
         };
-        self.call_news.push(CallNews {
+        self.call_updates.push(CallUpdate {
             parent_id,
             progress,
             involved: request.involved,
@@ -151,7 +151,7 @@
         answer: CallerAnswer,
         context: &mut OutboundContext<'_>,
     ) {
-        context.out.push(Action::Note(Note::Answered {
+        context.out.push(Action::Log(LogRecord::Answered {
             request_id: caller.request_id,
             route: String::new(),
             status: answer.status,
@@ -166,7 +166,7 @@
         }));
         context.out.push(Action::Answer {
             connection: key.connection,
-            turn: key.turn,
+            pipeline_index: key.pipeline_index,
             answer,
         });
     }
--- a/crates/rillgap-forward/src/outbound/intake.rs
+++ b/crates/rillgap-forward/src/outbound/intake.rs
@@ -12,10 +12,10 @@
 use super::{NO_BACK_END_MILLIS, Origin, Outbound, OutboundContext, THROTTLED_MILLIS};
 use crate::action::Action;
 use crate::configuration::{Route, RouteTable, Tenant};
-use crate::crash::Standing;
+use crate::crash::Suspicion;
 use crate::event::CallerRequest;
-use crate::message::{ForwardedRequest, content, level_for_tenant};
-use crate::note::Note;
+use crate::log_record::LogRecord;
+use crate::message::{ForwardedRequest, content_fingerprint, level_for_tenant};
 
 /// What the configuration says of a request.
 struct Known<'a> {
@@ -44,16 +44,19 @@
         } = known;
         let service = self.weights.choose(&route).to_owned();
         self.budget.count_request(now, &service);
-        let (level, is_repeat) = match origin {
+        let (level, is_retry) = match origin {
             Origin::Caller => (level_of_caller(&caller, &route, tenant.as_deref()), false),
-            Origin::BackEnd { level, is_repeat } => (level, is_repeat),
+            Origin::BackEnd { level, is_retry } => (level, is_retry),
         };
         let content = watched_content(&caller, &route, tenant.as_deref(), context);
         let guilty = content.filter(|content| is_quarantined(now, *content, context));
         if let Some(content) = guilty {
-            let retry_after = context.own.crashes().quarantine_millis(now, content);
+            let retry_after = context
+                .inbound
+                .crashes()
+                .quarantine_remaining_millis(now, content);
             let refusal = Refusal::after(ResultCode::Quarantined, retry_after);
-            context.out.push(Action::Note(Note::HeldBack {
+            context.out.push(Action::Log(LogRecord::RequestQuarantined {
                 request_id: caller.request_id.clone(),
                 content,
             }));
@@ -64,7 +67,7 @@
             let refusal = Refusal::after(ResultCode::Overloaded, THROTTLED_MILLIS);
             return Err((Box::new(caller), refusal));
         }
-        if is_repeat {
+        if is_retry {
             self.budget.spend(now, &service);
         }
         let timeout = caller
@@ -84,7 +87,7 @@
             tenant: tenant.as_ref().map(|tenant| tenant.name.clone()),
             level,
             is_call,
-            is_repeat,
+            is_retry,
             remaining_micros: 0,
             queue_limit_micros: 0,
         };
@@ -121,7 +124,8 @@
     if caller.request_id.is_empty() {
         return Err(Refusal::new(ResultCode::MalformedRequest));
     }
-    let tenant = tenancy::authenticate(table, route, caller, origin, context.is_proven)?;
+    let tenant =
+        tenancy::authenticate(table, route, caller, origin, context.is_configuration_fresh)?;
     Ok(Known {
         table,
         route: route.clone(),
@@ -136,7 +140,7 @@
     tenant: Option<&Tenant>,
     context: &OutboundContext<'_>,
 ) -> Option<Fingerprint> {
-    if !context.own.crashes().is_watching() {
+    if !context.inbound.crashes().has_recurrent() {
         return None;
     }
     let tenant = tenant.map(|tenant| tenant.name.as_str());
@@ -146,11 +150,17 @@
         body,
         ..
     } = caller;
-    Some(content(&route.name, method, target, tenant, body))
+    Some(content_fingerprint(
+        &route.name,
+        method,
+        target,
+        tenant,
+        body,
+    ))
 }
 
 fn is_quarantined(now: Instant, content: Fingerprint, context: &OutboundContext<'_>) -> bool {
-    context.own.crashes().standing(now, content) == Standing::Quarantined
+    context.inbound.crashes().suspicion(now, content) == Suspicion::Quarantined
 }
 
 /// Returns the admission level of a caller's request.
--- a/crates/rillgap-forward/src/outbound/mod.rs
+++ b/crates/rillgap-forward/src/outbound/mod.rs
@@ -27,11 +27,11 @@
 use crate::configuration::{Route, RouteTable};
 use crate::directory::{Directory, PeerIndex};
 use crate::event::CallerRequest;
-use crate::id::{ConnectionId, LinkId, Sequence, Turn};
-use crate::inbound::{CallNews, CallProgress, Inbound};
-use crate::message::{ForwardResponse, ForwardResult, ServiceLevel, Status};
-use crate::note::Note;
-use crate::rate_limit::entry::EntryTokens;
+use crate::id::{ConnectionId, LinkId, PipelineIndex, Sequence};
+use crate::inbound::{CallProgress, CallUpdate, Inbound};
+use crate::log_record::LogRecord;
+use crate::message::{ForwardResponse, ForwardResult, ServiceAdmissionLevel, Status};
+use crate::rate_limit::entry::EntryLimiter;
 use crate::retry_budget::RetryBudget;
 use crate::settings::ForwardSettings;
 
@@ -76,7 +76,7 @@
         /// Admission level of the root of the chain.
         level: Level,
         /// Whether a request further up the chain was sent to a back end before.
-        is_repeat: bool,
+        is_retry: bool,
     },
 }
 
@@ -88,9 +88,9 @@
     /// Peers.
     pub directory: &'a mut Directory,
     /// The back end beside the node.
-    pub own: &'a Inbound,
+    pub inbound: &'a Inbound,
     /// Whether the configuration is known to be fresh enough to trust keys.
-    pub is_proven: bool,
+    pub is_configuration_fresh: bool,
     /// Age of the proof of that, in milliseconds.
     pub proof_age_millis: Option<u64>,
     /// Whether the node is in a planned stop.
@@ -116,10 +116,10 @@
     balancer: Balancer,
     budget: RetryBudget,
     admission: EntryAdmission,
-    tokens: EntryTokens<RequestKey>,
+    tokens: EntryLimiter<RequestKey>,
     next_admission_report: Instant,
     weights: WeightedChoice,
-    call_news: Vec<CallNews>,
+    call_updates: Vec<CallUpdate>,
 }
 
 impl Outbound {
@@ -136,10 +136,10 @@
             balancer: Balancer::new(settings.random_seed),
             budget: RetryBudget::new(settings.retry_bound, settings.random_seed),
             admission: EntryAdmission::default(),
-            tokens: EntryTokens::default(),
+            tokens: EntryLimiter::default(),
             next_admission_report: Instant::default(),
             weights: WeightedChoice::new(settings.random_seed),
-            call_news: Vec::new(),
+            call_updates: Vec::new(),
         }
     }
 
@@ -153,12 +153,15 @@
         &mut self,
         now: Instant,
         connection: ConnectionId,
-        turn: Turn,
+        pipeline_index: PipelineIndex,
         caller: CallerRequest,
         origin: Origin,
         context: &mut OutboundContext<'_>,
     ) {
-        let key = RequestKey { connection, turn };
+        let key = RequestKey {
+            connection,
+            pipeline_index,
+        };
         let request = match self.prepare(now, caller, origin, context) {
             Ok(request) => request,
             Err((rejected, refusal)) => {
@@ -172,9 +175,9 @@
             }
         };
         if let Some(parent_id) = &request.parent_id {
-            self.call_news.push(CallNews {
+            self.call_updates.push(CallUpdate {
                 parent_id: parent_id.clone(),
-                progress: CallProgress::Begun,
+                progress: CallProgress::Started,
                 involved: Vec::new(),
             });
         }
@@ -197,7 +200,7 @@
                 continue;
             };
             self.cancel_attempt(&mut request, context);
-            context.out.push(Action::Note(Note::Cancelled {
+            context.out.push(Action::Log(LogRecord::Cancelled {
                 request_id: request.forwarded.request_id.clone(),
             }));
         }
@@ -288,33 +291,33 @@
         let service = &request.forwarded.service;
         self.admission
             .observe(now, service, reporter, response.load.level);
-        for involved in &response.involved {
+        for involved in &response.downstream_levels {
             self.admission.observe_relayed(now, involved, reporter);
         }
         let is_success =
             matches!(&response.result, ForwardResult::Answered(answer) if answer.is_success());
         if is_success {
             self.budget
-                .learn_calls(service, !response.involved.is_empty());
+                .learn_calls(service, !response.downstream_levels.is_empty());
         }
         if request.is_call {
-            let mut involved = vec![ServiceLevel {
+            let mut involved = vec![ServiceAdmissionLevel {
                 service: service.clone(),
                 level: self.admission.published_level(now, service),
             }];
-            involved.extend(response.involved.iter().cloned());
+            involved.extend(response.downstream_levels.iter().cloned());
             request.involved = involved;
         } else {
             let route = &request.route.name;
             self.admission
-                .learn(route, service, &response.involved, is_success);
+                .learn(route, service, &response.downstream_levels, is_success);
         }
     }
 
     /// Tells the log what has changed in what is let in.
     fn report_admission(&mut self, now: Instant, context: &mut OutboundContext<'_>) {
         for change in self.admission.take_changes(now) {
-            context.out.push(Action::Note(Note::Admission {
+            context.out.push(Action::Log(LogRecord::Admission {
                 service: change.service,
                 priority: change.priority,
                 admitted_percent: change.admitted_percent,
@@ -324,8 +327,8 @@
 
     /// Returns what became of the back end's calls since the last look, by the request that each is
     /// made for.
-    pub fn take_call_news(&mut self) -> Vec<CallNews> {
-        std::mem::take(&mut self.call_news)
+    pub fn take_call_updates(&mut self) -> Vec<CallUpdate> {
+        std::mem::take(&mut self.call_updates)
     }
 
     /// Returns when [`Self::poll`] must be called next.
--- a/crates/rillgap-forward/src/outbound/request.rs
+++ b/crates/rillgap-forward/src/outbound/request.rs
@@ -6,14 +6,14 @@
 
 use super::queue_limit;
 use crate::configuration::Route;
-use crate::id::{ConnectionId, LinkId, Sequence, Turn};
-use crate::message::{ForwardedAnswer, ForwardedRequest, ServiceLevel, Timing};
+use crate::id::{ConnectionId, LinkId, PipelineIndex, Sequence};
+use crate::message::{ForwardedAnswer, ForwardedRequest, ServiceAdmissionLevel, Timing};
 
 /// A request by its place on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RequestKey {
     pub connection: ConnectionId,
-    pub turn: Turn,
+    pub pipeline_index: PipelineIndex,
 }
 
 impl RequestKey {
@@ -21,7 +21,7 @@
     pub const fn first(connection: ConnectionId) -> Self {
         Self {
             connection,
-            turn: Turn(0),
+            pipeline_index: PipelineIndex(0),
         }
     }
 
@@ -29,7 +29,7 @@
     pub const fn last(connection: ConnectionId) -> Self {
         Self {
             connection,
-            turn: Turn(u64::MAX),
+            pipeline_index: PipelineIndex(u64::MAX),
         }
     }
 }
@@ -71,7 +71,7 @@
     /// Whether the last attempt came to nothing because a call made for it has failed.
     pub has_failed_call: bool,
     /// Levels of the services that the last answer to a call involved.
-    pub involved: Vec<ServiceLevel>,
+    pub involved: Vec<ServiceAdmissionLevel>,
     /// Failure that a back end has answered, while another one is tried.
     pub failed_answer: Option<ForwardedAnswer>,
     current: Option<Attempt>,
@@ -124,7 +124,7 @@
         self.arrivals += 1;
         self.current = Some(Attempt { link, sequence });
         let forwarded = Arc::make_mut(&mut self.forwarded);
-        forwarded.is_repeat |= self.arrivals > 1;
+        forwarded.is_retry |= self.arrivals > 1;
         forwarded.remaining_micros = u64::try_from(remaining.as_micros()).unwrap_or(u64::MAX);
         forwarded.queue_limit_micros = u64::try_from(limit.as_micros()).unwrap_or(u64::MAX);
         self.forwarded.clone()
--- a/crates/rillgap-forward/src/outbound/results.rs
+++ b/crates/rillgap-forward/src/outbound/results.rs
@@ -6,9 +6,9 @@
 use super::request::RequestKey;
 use super::{MOST_FREE_MOVES, MOST_MOVES, Outbound, OutboundContext};
 use crate::action::Action;
-use crate::crash::Standing;
+use crate::crash::Suspicion;
+use crate::log_record::LogRecord;
 use crate::message::{ForwardResult, ForwardedAnswer};
-use crate::note::Note;
 
 /// Back ends from which on a request is repeated at once after a crash under it: the repeat may end one more of them, and
 /// where there are few the others lose much of the service.
@@ -137,7 +137,8 @@
         // A back end that has refused to run the request does not count.
         let attempts_left = request.runs() < request.route.max_attempts;
         // Several back ends have ended under it: the next one is not exposed to it at once.
-        let is_recurrent = context.own.standing(now, &request.forwarded) >= Standing::Recurrent;
+        let is_recurrent =
+            context.inbound.suspicion(now, &request.forwarded) >= Suspicion::Recurrent;
         if !has_time || !may_run_again || !attempts_left || is_recurrent {
             return false;
         }
@@ -163,7 +164,7 @@
     ) {
         if let Some(request) = self.requests.get_mut(&key) {
             request.moves += 1;
-            context.out.push(Action::Note(Note::Moved {
+            context.out.push(Action::Log(LogRecord::Retried {
                 request_id: request.forwarded.request_id.clone(),
                 from: request.last_target().to_owned(),
                 code,
@@ -181,7 +182,7 @@
 
 /// Returns how many nodes, as far as this one knows, have a back end of a service that takes requests.
 fn serving_nodes(service: &str, context: &OutboundContext<'_>) -> usize {
-    let own = context.own.is_serving() && context.own.service() == service;
+    let own = context.inbound.is_serving() && context.inbound.service() == service;
     let peers = context.directory.linked(service);
     let serving = peers.filter(|(_, peer)| peer.serving_link().is_some());
     usize::from(own) + serving.count()
--- a/crates/rillgap-forward/src/outbound/tenancy.rs
+++ b/crates/rillgap-forward/src/outbound/tenancy.rs
@@ -10,7 +10,7 @@
 use crate::configuration::{Route, RouteTable, Tenant};
 use crate::credential::Credential;
 use crate::event::CallerRequest;
-use crate::rate_limit::entry::{Admission, Wanted};
+use crate::rate_limit::entry::{Admission, TokenDemand};
 
 /// Time after which to come back while the configuration is not known to be fresh, in milliseconds: a
 /// few tries to prove it fit in.
@@ -83,7 +83,7 @@
 
 impl Outbound {
     /// Returns the tokens to ask the owners of buckets for.
-    pub fn token_queries_due(&mut self, now: Instant) -> Vec<Wanted> {
+    pub fn token_queries_due(&mut self, now: Instant) -> Vec<TokenDemand> {
         self.tokens.queries_due(now)
     }
 
@@ -130,7 +130,7 @@
             if self.requests.contains_key(&key) {
                 self.dispatch(now, key, context);
             } else {
-                self.tokens.give_back(now, tenant);
+                self.tokens.return_token(now, tenant);
             }
         }
         for key in released.refused {
--- a/crates/rillgap-forward/src/peer.rs
+++ b/crates/rillgap-forward/src/peer.rs
@@ -7,7 +7,7 @@
 
 use crate::id::LinkId;
 use crate::message::{Load, NodeRecord, Status};
-use crate::watch_duty;
+use crate::watcher_election;
 
 /// First and longest pause before a link is opened again.
 const RECONNECT_PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
@@ -66,7 +66,7 @@
     /// When the first of them was sent.
     busy_since: Instant,
     /// Whether the peer belongs to the subset that the node keeps links to.
-    pub(crate) is_wanted: bool,
+    pub(crate) is_selected: bool,
     /// Whether the node follows the peer for news of the store.
     pub(crate) is_followed: bool,
     /// Link on which the peer was told that it is followed.
@@ -90,7 +90,7 @@
 
 impl Peer {
     pub(crate) fn new(record: NodeRecord, preference: u64, now: Instant) -> Self {
-        let watch_place = watch_duty::place(&record.name);
+        let watch_place = watcher_election::name_hash(&record.name);
         Self {
             record,
             incarnation: 0,
@@ -103,7 +103,7 @@
             unreported: 0,
             in_flight: 0,
             busy_since: now,
-            is_wanted: false,
+            is_selected: false,
             is_followed: false,
             followed_on: None,
             preference,
@@ -188,7 +188,7 @@
 
     /// Takes in what the peer says about its back end.
     pub(crate) fn observe_status(&mut self, now: Instant, status: Status) {
-        if self.status.owns_buckets && !status.owns_buckets {
+        if self.status.can_own_buckets && !status.can_own_buckets {
             self.away_since = now;
         }
         self.status = status;
@@ -252,7 +252,7 @@
     /// tried to counts.
     pub(crate) const fn may_own_buckets(&self) -> bool {
         match self.link {
-            LinkState::Open(_) => self.status.owns_buckets,
+            LinkState::Open(_) => self.status.can_own_buckets,
             LinkState::Opening(_) | LinkState::Closed { .. } => !self.has_failed,
         }
     }
--- a/crates/rillgap-forward/src/rate_limit/entry.rs
+++ b/crates/rillgap-forward/src/rate_limit/entry.rs
@@ -140,7 +140,7 @@
 
 /// Tokens to ask the owner for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct TokenDemand {
     /// Number of the query, used once.
     pub number: u64,
     /// Tenant.
@@ -164,7 +164,7 @@
 
 /// Tokens of a node, by tenant. `K` identifies a request.
 #[derive(Clone, Debug)]
-pub struct EntryTokens<K> {
+pub struct EntryLimiter<K> {
     accounts: BTreeMap<String, Account<K>>,
     /// Tenants whose account has changed since the last look.
     touched: BTreeSet<String>,
@@ -174,7 +174,7 @@
     next_sweep: Instant,
 }
 
-impl<K> Default for EntryTokens<K> {
+impl<K> Default for EntryLimiter<K> {
     fn default() -> Self {
         Self {
             accounts: BTreeMap::new(),
@@ -186,7 +186,7 @@
     }
 }
 
-impl<K: Copy> EntryTokens<K> {
+impl<K: Copy> EntryLimiter<K> {
     /// Takes a token for a request of a tenant.
     pub fn admit(&mut self, now: Instant, tenant: &str, key: K) -> Admission {
         if !self.accounts.contains_key(tenant) {
@@ -216,7 +216,7 @@
     }
 
     /// Gives back the token of a request that has not run and never will.
-    pub fn give_back(&mut self, now: Instant, tenant: &str) {
+    pub fn return_token(&mut self, now: Instant, tenant: &str) {
         if let Some(account) = self.accounts.get_mut(tenant) {
             // It was taken out of the youngest grant or an older one; its life is not made longer.
             if let Some(tokens) = account
@@ -230,7 +230,7 @@
     }
 
     /// Returns what to ask the owners for.
-    pub fn queries_due(&mut self, now: Instant) -> Vec<Wanted> {
+    pub fn queries_due(&mut self, now: Instant) -> Vec<TokenDemand> {
         let mut due: BTreeSet<String> = std::mem::take(&mut self.touched);
         due.extend(self.waiting.iter().cloned());
         let mut wanted = Vec::new();
@@ -242,7 +242,7 @@
                 self.next_query += 1;
                 let number = self.next_query;
                 let is_repeated = account.ask(now, number);
-                wanted.push(Wanted {
+                wanted.push(TokenDemand {
                     number,
                     tenant,
                     tokens,
--- a/crates/rillgap-forward/src/rate_limit/ownership.rs
+++ b/crates/rillgap-forward/src/rate_limit/ownership.rs
@@ -24,7 +24,7 @@
 
     /// Returns the place of a node, by the hash of its name, among the possible owners: the highest
     /// comes first.
-    pub const fn rank(self, node: u64) -> u64 {
+    pub const fn owner_score(self, node: u64) -> u64 {
         // The finalizer of MurmurHash3 (Appleby, public domain): every bit depends on every other.
         let mut bits = self.0 ^ node;
         bits ^= bits >> 33;
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
     /// The node itself.
-    Own {
+    Local {
         /// Since when it has been the first that is available.
         since: Instant,
     },
@@ -48,5 +48,5 @@
     /// A peer to which a link is being opened.
     Unlinked(PeerIndex),
     /// Nobody: the node hears of no peer that could be, and is cut off itself.
-    Nobody,
+    Unavailable,
 }
--- a/crates/rillgap-forward/src/retry_demand.rs
+++ b/crates/rillgap-forward/src/retry_demand.rs
@@ -11,12 +11,12 @@
 use rillgap_core::admission::Level;
 use rillgap_core::time::Instant;
 
-use crate::message::TIERS;
+use crate::message::TIER_COUNT;
 
 /// Bins of each tier.
 const BINS_PER_TIER: usize = 16;
 /// Bins.
-const BINS: usize = TIERS * BINS_PER_TIER;
+const BINS: usize = TIER_COUNT * BINS_PER_TIER;
 /// Levels in a bin.
 const LEVELS_PER_BIN: u32 = Level::PER_TIER / BINS_PER_TIER as u32;
 /// Time over which demand is averaged.
--- a/crates/rillgap-forward/src/store_sync/call.rs
+++ b/crates/rillgap-forward/src/store_sync/call.rs
@@ -7,7 +7,7 @@
 use crate::configuration::Configuration;
 use crate::message::NodeRecord;
 use crate::store_epoch::{StoreEpoch, StorePosition};
-use crate::watch_duty;
+use crate::watcher_election;
 
 /// Number of a call, used once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -32,7 +32,7 @@
         /// The place from which on records are wanted.
         from: u64,
         /// Whether the answer may be some seconds old, which is cheaper.
-        may_be_old: bool,
+        allow_stale: bool,
         /// How many are wanted.
         extent: ListExtent,
     },
@@ -67,7 +67,7 @@
         configuration: Option<Configuration>,
     },
     /// The position of a watch is not known (any more).
-    HistoryGone(StoreEpoch),
+    PositionExpired(StoreEpoch),
     /// The record is stored.
     Registered {
         /// Epoch in which it is.
@@ -103,7 +103,7 @@
     /// Those with the lowest places.
     pub lowest: Vec<NodeRecord>,
     /// Those that follow the place that was asked for, where `lowest` does not hold all.
-    pub following: Option<Vec<NodeRecord>>,
+    pub successors: Option<Vec<NodeRecord>>,
     /// Entries beside them that are no records: another writer has left them.
     pub unreadable: usize,
 }
@@ -111,7 +111,7 @@
 impl NodeList {
     /// Returns whether it holds this record.
     pub fn holds(&self, record: &NodeRecord) -> bool {
-        let following = self.following.iter().flatten();
+        let following = self.successors.iter().flatten();
         self.lowest
             .iter()
             .chain(following)
@@ -120,12 +120,12 @@
 
     /// Returns about how many nodes there are: by how closely the listed ones follow each other.
     pub fn estimated_nodes(&self, from: u64) -> usize {
-        let Some(following) = &self.following else {
+        let Some(following) = &self.successors else {
             return self.lowest.len();
         };
         let last = following
             .last()
-            .map(|record| watch_duty::place(&record.name));
+            .map(|record| watcher_election::name_hash(&record.name));
         let span = last.map_or(0, |last| last.wrapping_sub(from));
         let share = span as f64 / u64::MAX as f64;
         let estimate = following.len() as f64 / share.max(f64::EPSILON);
@@ -140,7 +140,7 @@
             Self::Configuration { position, .. } => Some(position.epoch()),
             Self::Registered { epoch, .. }
             | Self::Nodes { epoch, .. }
-            | Self::HistoryGone(epoch)
+            | Self::PositionExpired(epoch)
             | Self::Unregistered(epoch) => Some(*epoch),
             Self::Failed(_) => None,
         }
@@ -158,7 +158,7 @@
 
 /// What to do after an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum StoreNews {
+pub enum StoreEvent {
     /// A configuration.
     Configuration(Configuration),
     /// Peers.
--- a/crates/rillgap-forward/src/store_sync/chain.rs
+++ b/crates/rillgap-forward/src/store_sync/chain.rs
@@ -5,7 +5,7 @@
 use rillgap_core::code::ResultCode;
 use rillgap_core::time::Instant;
 
-use super::call::{StoreFailure, StoreNews, StoreRequest, StoreRequestId};
+use super::call::{StoreEvent, StoreFailure, StoreRequest, StoreRequestId};
 
 /// First and longest pause after a failed call.
 const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
@@ -85,14 +85,14 @@
         now: Instant,
         request: StoreRequest,
         failure: StoreFailure,
-    ) -> Option<StoreNews> {
+    ) -> Option<StoreEvent> {
         let call = request.name();
         self.retry(now, request, self.spread);
-        Some(StoreNews::Failed { call, failure })
+        Some(StoreEvent::Failed { call, failure })
     }
 
     /// Makes a call again after a pause: its answer belongs to another kind of call.
-    pub fn on_mismatch(&mut self, now: Instant, request: StoreRequest) -> Option<StoreNews> {
+    pub fn on_mismatch(&mut self, now: Instant, request: StoreRequest) -> Option<StoreEvent> {
         let failure = StoreFailure {
             code: ResultCode::StoreProtocol,
             detail: "answer to another kind of call".to_owned(),
--- a/crates/rillgap-forward/src/store_sync/mod.rs
+++ b/crates/rillgap-forward/src/store_sync/mod.rs
@@ -4,7 +4,7 @@
 //! with the lowest places, which watch the store for all, and those that follow its own place, so that a
 //! list does not grow with the deployment. The list may be some seconds old where the own record shows that it is young
 //! enough. The configuration comes from peers; a node that gets none reads it, later the more nodes there are,
-//! so that few of many that start at once do. Nodes that have to (see [`watch_duty`](crate::watch_duty)) watch
+//! so that few of many that start at once do. Nodes that have to (see [`watcher_election`](crate::watcher_election)) watch
 //! the configuration by calls that wait.
 //!
 //! When the store has come back from a copy (see [`store_epoch`](crate::store_epoch)), the node reads anew what
@@ -19,18 +19,18 @@
 use rillgap_core::time::Instant;
 
 pub use call::{
-    ListExtent, NodeList, StoreFailure, StoreNews, StoreReply, StoreRequest, StoreRequestId,
+    ListExtent, NodeList, StoreEvent, StoreFailure, StoreReply, StoreRequest, StoreRequestId,
 };
 use chain::Chain;
 
 use crate::configuration::Configuration;
 use crate::message::NodeRecord;
 use crate::store_epoch::{StoreEpoch, StorePosition};
-use crate::watch_duty;
+use crate::watcher_election;
 
 /// Longest time for an answer that need not wait. A slow store answers within a third of it; one that was silent and is
 /// back is called again soon.
-pub const CALL_PATIENCE: Duration = Duration::from_millis(800);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Pause between the first registration of a node and its list of the others. When a whole deployment
 /// starts, each node then sees nearly all others, and its links are spread evenly. A node that comes
@@ -194,7 +194,7 @@
     }
 
     /// Lists all nodes: the node must agree with all others on something that follows from their names.
-    pub fn list_all(&mut self, now: Instant) {
+    pub fn request_full_list(&mut self, now: Instant) {
         if self.extent == ListExtent::Whole {
             return;
         }
@@ -209,7 +209,7 @@
     }
 
     /// Takes in that a configuration is in force: it need not be read any more.
-    pub fn configuration_in_force(&mut self) {
+    pub fn on_configuration_in_force(&mut self) {
         self.has_configuration = true;
         if self.watch.wait.is_none() {
             self.configuration.next = None;
@@ -222,7 +222,7 @@
     }
 
     /// Returns when the store was last heard of, by a node that watches it.
-    pub fn heard_at(&self, now: Instant) -> Option<Instant> {
+    pub fn last_contact_at(&self, now: Instant) -> Option<Instant> {
         self.watch.fresh_since.filter(|_| self.is_watching(now))
     }
 
@@ -243,7 +243,7 @@
 
     /// Takes in that the store has reached an epoch. Returns whether it has come back from a copy since the
     /// node heard of it first: then what rested on earlier epochs is void.
-    pub fn learn_epoch(&mut self, now: Instant, epoch: StoreEpoch) -> bool {
+    pub fn observe_epoch(&mut self, now: Instant, epoch: StoreEpoch) -> bool {
         let before = self.epoch;
         self.epoch = before.max(Some(epoch));
         let has_returned = before.is_some_and(|before| before < epoch);
@@ -285,23 +285,23 @@
     fn list(&self) -> StoreRequest {
         let is_newcomer = self.is_new && !self.is_first_start;
         StoreRequest::ListNodes {
-            from: watch_duty::place(&self.record.name),
-            may_be_old: !is_newcomer && self.old_lists < MOST_OLD_LISTS,
+            from: watcher_election::name_hash(&self.record.name),
+            allow_stale: !is_newcomer && self.old_lists < MOST_OLD_LISTS,
             extent: self.extent,
         }
     }
 
-    fn on_list(&mut self, now: Instant, request: &StoreRequest, list: NodeList) -> StoreNews {
+    fn on_list(&mut self, now: Instant, request: &StoreRequest, list: NodeList) -> StoreEvent {
         let is_newest = matches!(
             request,
             StoreRequest::ListNodes {
-                may_be_old: false,
+                allow_stale: false,
                 ..
             }
         );
-        self.nodes = list.estimated_nodes(watch_duty::place(&self.record.name));
+        self.nodes = list.estimated_nodes(watcher_election::name_hash(&self.record.name));
         // One that was under way when all nodes came to be wanted may be a part.
-        let is_enough = self.extent == ListExtent::Part || list.following.is_none();
+        let is_enough = self.extent == ListExtent::Part || list.successors.is_none();
         let is_complete = is_enough && (is_newest || list.holds(&self.record));
         if is_complete {
             self.has_listed = true;
@@ -312,7 +312,7 @@
             let again = self.list();
             self.membership.proceed(now + LIST_AGAIN_PAUSE, Some(again));
         }
-        StoreNews::Nodes { list, is_complete }
+        StoreEvent::Nodes { list, is_complete }
     }
 
     /// Plans a read of the configuration for the case that no peer tells one.
@@ -335,7 +335,7 @@
     }
 
     /// Returns whether a call is under way that would bring a newer configuration.
-    pub const fn expects_configuration(&self) -> bool {
+    pub const fn has_configuration_call_in_flight(&self) -> bool {
         self.configuration.under_way.is_some()
     }
 
@@ -351,7 +351,7 @@
         now: Instant,
         id: StoreRequestId,
         reply: StoreReply,
-    ) -> Option<StoreNews> {
+    ) -> Option<StoreEvent> {
         if let Some(request) = self.configuration.take_answered(id) {
             let reply = self.refuse_outdated(reply);
             return self.on_configuration(now, request, reply);
@@ -379,7 +379,7 @@
         now: Instant,
         request: StoreRequest,
         reply: StoreReply,
-    ) -> Option<StoreNews> {
+    ) -> Option<StoreEvent> {
         match reply {
             StoreReply::Configuration {
                 position,
@@ -387,9 +387,9 @@
             } => {
                 self.advance(now, &request, position, configuration.as_ref());
                 self.configuration.proceed(now, self.next_call());
-                configuration.map(StoreNews::Configuration)
+                configuration.map(StoreEvent::Configuration)
             }
-            StoreReply::HistoryGone(_) => {
+            StoreReply::PositionExpired(_) => {
                 self.watch.position = None;
                 self.configuration.proceed(now, self.next_call());
                 None
@@ -441,7 +441,7 @@
         now: Instant,
         request: StoreRequest,
         reply: StoreReply,
-    ) -> Option<StoreNews> {
+    ) -> Option<StoreEvent> {
         match reply {
             StoreReply::Registered { is_new, .. } => {
                 self.is_registration_due = false;
@@ -469,5 +469,5 @@
 
 /// Returns the place of a node as a share of all places.
 fn place_share(name: &str) -> f64 {
-    watch_duty::place(name) as f64 / u64::MAX as f64
+    watcher_election::name_hash(name) as f64 / u64::MAX as f64
 }
--- a/crates/rillgap-forward/src/subset.rs
+++ b/crates/rillgap-forward/src/subset.rs
@@ -29,10 +29,10 @@
 }
 
 /// Marks the peers that the node wants links to.
-pub fn choose<'a>(now: Instant, own_zone: &str, peers: impl Iterator<Item = &'a mut Peer>) {
+pub fn select_peers<'a>(now: Instant, own_zone: &str, peers: impl Iterator<Item = &'a mut Peer>) {
     let mut groups: BTreeMap<(String, bool), Vec<&mut Peer>> = BTreeMap::new();
     for peer in peers {
-        peer.is_wanted = false;
+        peer.is_selected = false;
         let is_local = peer.record.zone == own_zone;
         let group = (peer.service().to_owned(), is_local);
         groups.entry(group).or_default().push(peer);
@@ -51,7 +51,7 @@
         if serving >= wanted {
             return;
         }
-        peer.is_wanted = true;
+        peer.is_selected = true;
         serving += usize::from(peer.may_serve(now));
     }
 }
--- a/crates/rillgap-forward/src/watch_relay.rs
+++ b/crates/rillgap-forward/src/watch_relay.rs
@@ -39,7 +39,7 @@
 
 impl WatchRelay {
     /// Takes in what a followed node tells: the age of its news, `None` if it has no fresh ones.
-    pub fn on_report(&mut self, now: Instant, link: LinkId, age: Option<Duration>) {
+    pub fn on_contact_report(&mut self, now: Instant, link: LinkId, age: Option<Duration>) {
         let heard_at = age.map(|age| now - age);
         let told_at = now;
         self.reports.insert(link, Report { told_at, heard_at });
@@ -72,7 +72,7 @@
     }
 
     /// Returns the number of followed nodes with fresh news.
-    pub fn fresh(&self, now: Instant) -> usize {
+    pub fn fresh_count(&self, now: Instant) -> usize {
         let reports = self.reports.values();
         reports
             .filter(|report| is_fresh(now, report.heard_at))
@@ -80,13 +80,13 @@
     }
 
     /// Returns whether a followed node has told anything of late.
-    pub fn hears(&self, now: Instant) -> bool {
+    pub fn has_recent_report(&self, now: Instant) -> bool {
         let mut reports = self.reports.values();
         reports.any(|report| now.saturating_since(report.told_at) < FRESH)
     }
 
     /// Returns the age of the news for a new follower.
-    pub fn age(&self, now: Instant, own: Option<Instant>) -> Option<Duration> {
+    pub fn contact_age(&self, now: Instant, own: Option<Instant>) -> Option<Duration> {
         self.news(now, own).map(|at| now.saturating_since(at))
     }
 
--- a/crates/rillgap-forward/src/watch_duty.rs
+++ b/crates/rillgap-forward/src/watcher_election.rs
@@ -34,57 +34,57 @@
 const ALONE_STAGGER: Duration = Duration::from_millis(300);
 
 /// Returns the place of a node in the order; the lowest watches first.
-pub fn place(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
 /// What a node sees of those that precede it in the order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Preceding {
+pub struct PrecedingNodes {
     /// Followed ones that have fresh news of the store.
-    pub fresh: usize,
+    pub fresh_count: usize,
     /// Whether any of the followed ones was heard of late.
-    pub is_heard: bool,
+    pub has_recent_report: bool,
     /// All that are known.
-    pub known: u64,
+    pub known_count: u64,
 }
 
 /// Whether a node watches the store.
 #[derive(Clone, Debug)]
-pub struct WatchDuty {
-    place: u64,
+pub struct WatcherElection {
+    name_hash: u64,
     patience: Duration,
     needed_since: Option<Instant>,
 }
 
-impl WatchDuty {
+impl WatcherElection {
     /// Creates the duty of a fresh node.
     pub fn new(name: &str) -> Self {
         Self {
-            place: place(name),
+            name_hash: name_hash(name),
             patience: START_PATIENCE,
             needed_since: None,
         }
     }
 
     /// Returns the node's place in the order.
-    pub const fn place(&self) -> u64 {
-        self.place
+    pub const fn name_hash(&self) -> u64 {
+        self.name_hash
     }
 
     /// Returns for how long the node's watch is to wait; `None` if it need not watch.
-    pub fn update(&mut self, now: Instant, preceding: Preceding) -> Option<Duration> {
-        if preceding.fresh >= ENOUGH_WATCHERS {
+    pub fn update(&mut self, now: Instant, preceding: PrecedingNodes) -> Option<Duration> {
+        if preceding.fresh_count >= ENOUGH_WATCHERS {
             self.needed_since = None;
             self.patience = Duration::ZERO;
             return None;
         }
         let since = *self.needed_since.get_or_insert(now);
         let needed_for = now.saturating_since(since).checked_sub(self.patience)?;
-        let is_due = if preceding.known < FIRST_TO_TAKE_OVER {
-            needed_for >= TAKE_OVER_STEP * u32::try_from(preceding.known).unwrap_or(u32::MAX)
-        } else if preceding.is_heard {
-            preceding.known < may_take_over(needed_for)
+        let is_due = if preceding.known_count < FIRST_TO_TAKE_OVER {
+            needed_for >= TAKE_OVER_STEP * u32::try_from(preceding.known_count).unwrap_or(u32::MAX)
+        } else if preceding.has_recent_report {
+            preceding.known_count < may_take_over(needed_for)
         } else {
             needed_for >= self.alone_stagger()
         };
@@ -92,7 +92,7 @@
     }
 
     fn alone_stagger(&self) -> Duration {
-        ALONE_STAGGER.mul_f64(self.place as f64 / u64::MAX as f64)
+        ALONE_STAGGER.mul_f64(self.name_hash as f64 / u64::MAX as f64)
     }
 }
 
--- a/crates/rillgap-forward/tests/admission.rs
+++ b/crates/rillgap-forward/tests/admission.rs
@@ -6,8 +6,10 @@
 use rillgap_core::admission::Level;
 use rillgap_forward::event::{Event, ExchangeResult};
 use rillgap_forward::id::LinkId;
-use rillgap_forward::message::{ForwardResult, LinkMessage, Load, ServiceLevel, Status, level_of};
-use rillgap_forward::note::Note;
+use rillgap_forward::log_record::LogRecord;
+use rillgap_forward::message::{
+    ForwardResult, LinkMessage, Load, ServiceAdmissionLevel, Status, level_of,
+};
 use support::{
     DEEP_SERVICE, OTHER_SERVICE, SERVICE, TestNode, answer, caller_request, forwarded, serving,
 };
@@ -20,8 +22,8 @@
     Level(floor.0 + Level::PER_TIER * (100 - percent) / 100)
 }
 
-fn involved(level: Level) -> Vec<ServiceLevel> {
-    vec![ServiceLevel {
+fn involved(level: Level) -> Vec<ServiceAdmissionLevel> {
+    vec![ServiceAdmissionLevel {
         service: DEEP_SERVICE.to_owned(),
         level,
     }]
@@ -48,7 +50,7 @@
     count: u64,
     target: &str,
     own: Level,
-    deep: &[ServiceLevel],
+    deep: &[ServiceAdmissionLevel],
 ) -> u64 {
     admitted_with_status(test, count, target, (own, deep), 200)
 }
@@ -58,7 +60,7 @@
     test: &mut TestNode,
     count: u64,
     target: &str,
-    (own, deep): (Level, &[ServiceLevel]),
+    (own, deep): (Level, &[ServiceAdmissionLevel]),
     status: u16,
 ) -> u64 {
     let mut admitted = 0;
@@ -193,7 +195,7 @@
         &involved(admitting(30)),
     );
     let told = test.notes().into_iter().rev().find_map(|note| match note {
-        Note::Admission {
+        LogRecord::Admission {
             service,
             priority,
             admitted_percent,
--- a/crates/rillgap-forward/tests/control.rs
+++ b/crates/rillgap-forward/tests/control.rs
@@ -55,7 +55,7 @@
         epoch: StoreEpoch::default(),
         list: NodeList {
             lowest: vec![own.clone()],
-            following: Some(vec![own]),
+            successors: Some(vec![own]),
             unreadable: 0,
         },
     };
@@ -69,11 +69,11 @@
         store.on_reply(at(2), register, reply);
         if is_under_way {
             let list = store.poll(at(2))[0].0;
-            store.list_all(at(3));
+            store.request_full_list(at(3));
             store.on_reply(at(4), list, part.clone());
             expect_that!(store.has_listed(), eq(false));
         } else {
-            store.list_all(at(2));
+            store.request_full_list(at(2));
         }
         let whole = store.poll(at(600)).pop().map(|(_, request)| request);
         let is_whole = matches!(
@@ -110,7 +110,7 @@
     store.on_reply(
         at(501),
         again[0].0,
-        StoreReply::HistoryGone(StoreEpoch::default()),
+        StoreReply::PositionExpired(StoreEpoch::default()),
     );
     let read = store.poll(at(501));
     let expected = StoreRequest::ReadConfiguration;
--- a/crates/rillgap-forward/tests/crash.rs
+++ b/crates/rillgap-forward/tests/crash.rs
@@ -6,12 +6,12 @@
 use rillgap_core::code::ResultCode;
 use rillgap_core::id::Fingerprint;
 use rillgap_forward::action::Action;
-use rillgap_forward::crash::{ContentEvidence, CrashId, CrashRecord, Proof, Standing};
+use rillgap_forward::crash::{ContentEvidence, CrashId, CrashRecord, EvidenceStrength, Suspicion};
 use rillgap_forward::event::{AnnouncedState, Event, ExchangeResult, ProbeResult};
 use rillgap_forward::id::LinkId;
 use rillgap_forward::incarnation::Incarnation;
+use rillgap_forward::log_record::LogRecord;
 use rillgap_forward::message::{ForwardResult, ForwardedRequest, LinkMessage};
-use rillgap_forward::note::Note;
 
 use support::*;
 
@@ -61,10 +61,10 @@
 fn evidence(target: &str, crashes: &[(&str, bool)]) -> ContentEvidence {
     let record = |(instance, was_alone): &(&str, bool)| CrashRecord {
         crash: CrashId::of(&Incarnation::without_start(instance)),
-        proof: if *was_alone {
-            Proof::Clear
+        strength: if *was_alone {
+            EvidenceStrength::Strong
         } else {
-            Proof::None
+            EvidenceStrength::Inconclusive
         },
         age_micros: 0,
     };
@@ -82,9 +82,9 @@
     });
 }
 
-fn standing(test: &TestNode, target: &str) -> Standing {
+fn suspicion(test: &TestNode, target: &str) -> Suspicion {
     let register = test.node.inbound().crashes();
-    register.standing(at(test.now), content(target))
+    register.suspicion(at(test.now), content(target))
 }
 
 /// Returns what was told on links, with the link.
@@ -105,8 +105,8 @@
     let link = test.accept(50);
     lose(&mut test, link, &["/a", "/b"]);
     probed(&mut test, ProbeResult::Refused);
-    expect_that!(standing(&test, "/a"), eq(Standing::Suspected));
-    expect_that!(standing(&test, "/b"), eq(Standing::Suspected));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Suspected));
+    expect_that!(suspicion(&test, "/b"), eq(Suspicion::Suspected));
 }
 
 #[gtest]
@@ -123,7 +123,7 @@
         probed(&mut test, result);
         test.pass(PATIENCE);
         start(&mut test, "i-2");
-        expect_that!(standing(&test, "/a"), eq(Standing::Clear));
+        expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
     }
 }
 
@@ -142,8 +142,8 @@
     run(&mut test, link, "/a");
     lose(&mut test, link, &["/a", "/b"]);
     probed(&mut test, ProbeResult::Refused);
-    expect_that!(standing(&test, "/a"), eq(Standing::Clear));
-    expect_that!(standing(&test, "/b"), eq(Standing::Suspected));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
+    expect_that!(suspicion(&test, "/b"), eq(Suspicion::Suspected));
 }
 
 #[gtest]
@@ -154,7 +154,7 @@
     run(&mut test, link, "/a");
     test.actions.clear();
     hear(&mut test, peer, vec![evidence("/a", &[("i-7", false)])]);
-    expect_that!(standing(&test, "/a"), eq(Standing::Clear));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
     let exonerations = told(&test);
     let is_told = exonerations
         .iter()
@@ -172,7 +172,7 @@
     test.forward(link, 1, request("r1", "/a"));
     let exchange = test.exchanges().pop().expect("a started request");
     test.end_exchange(exchange.id, ExchangeResult::Answered(answer(500)));
-    expect_that!(standing(&test, "/a"), eq(Standing::Suspected));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Suspected));
 }
 
 #[gtest]
@@ -185,7 +185,7 @@
         run(&mut test, link, "/other");
     }
     hear(&mut test, link, vec![evidence("/a", &[("i-7", false)])]);
-    expect_that!(standing(&test, "/a"), eq(Standing::Suspected));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Suspected));
 }
 
 #[gtest]
@@ -207,7 +207,7 @@
     lose(&mut test, link, &["/a"]);
     test.leave("i-1");
     probed(&mut test, ProbeResult::Refused);
-    expect_that!(standing(&test, "/a"), eq(Standing::Clear));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
 }
 
 #[gtest]
@@ -218,7 +218,7 @@
     probed(&mut test, ProbeResult::Unreachable);
     test.pass(3_000);
     start(&mut test, "i-2");
-    expect_that!(standing(&test, "/a"), eq(Standing::Suspected));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Suspected));
 }
 
 #[gtest]
@@ -228,7 +228,7 @@
     lose(&mut test, link, &["/a"]);
     start(&mut test, "i-2");
     let lost = test.notes().into_iter().find_map(|note| match note {
-        Note::NotAnswered { lost, .. } => lost,
+        LogRecord::NotAnswered { lost, .. } => lost,
         _ => None,
     });
     let lost = lost.expect("a record of the lost request");
@@ -312,12 +312,12 @@
     hear(&mut test, link, vec![evidence("/a", &twice)]);
     lose(&mut test, link, &["/a", "/other"]);
     probed(&mut test, ProbeResult::Refused);
-    expect_that!(standing(&test, "/a"), eq(Standing::Recurrent));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Recurrent));
     start(&mut test, "i-2");
     lose(&mut test, link, &["/a"]);
     probed(&mut test, ProbeResult::Refused);
-    expect_that!(standing(&test, "/a"), eq(Standing::Quarantined));
-    expect_that!(standing(&test, "/other"), eq(Standing::Suspected));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Quarantined));
+    expect_that!(suspicion(&test, "/other"), eq(Suspicion::Suspected));
 }
 
 /// Where back ends end also without a request, three crashes as the only suspect are asked for in place of two.
@@ -330,13 +330,13 @@
     hear(&mut test, link, unrelated.to_vec());
     hear(&mut test, link, vec![evidence("/a", &[("i-7", false)])]);
     for (incarnation, expected) in [
-        ("i-2", Standing::Recurrent),
-        ("i-3", Standing::Recurrent),
-        ("i-4", Standing::Quarantined),
+        ("i-2", Suspicion::Recurrent),
+        ("i-3", Suspicion::Recurrent),
+        ("i-4", Suspicion::Quarantined),
     ] {
         lose(&mut test, link, &["/a"]);
         probed(&mut test, ProbeResult::Refused);
-        expect_that!(standing(&test, "/a"), eq(expected), "before {incarnation}");
+        expect_that!(suspicion(&test, "/a"), eq(expected), "before {incarnation}");
         start(&mut test, incarnation);
     }
 }
@@ -358,8 +358,8 @@
     }
     test.pass(SETTLE);
     probed(&mut test, ProbeResult::Refused);
-    expect_that!(standing(&test, "/a"), eq(Standing::Recurrent));
-    expect_that!(standing(&test, "/b"), eq(Standing::Recurrent));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Recurrent));
+    expect_that!(suspicion(&test, "/b"), eq(Suspicion::Recurrent));
 }
 
 /// Target of callers on a route of the configuration.
@@ -421,7 +421,7 @@
         .retain(|action| matches!(action, Action::StartExchange(_)));
     let exchange = test.exchanges()[0].id;
     test.end_exchange(exchange, ExchangeResult::Answered(answer(404)));
-    expect_that!(standing(&test, "/a"), eq(Standing::Clear));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
     let links: Vec<LinkId> = told(&test).iter().map(|(link, _)| *link).collect();
     expect_that!(links, unordered_elements_are![eq(&link), eq(&other)]);
     hear(
@@ -429,7 +429,7 @@
         link,
         vec![evidence("/a", &[("i-6", true), ("i-7", true)])],
     );
-    expect_that!(standing(&test, "/a"), eq(Standing::Clear));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
 }
 
 #[gtest]
@@ -439,9 +439,9 @@
     let guilty = [("i-7", false), ("i-8", true), ("i-9", true)];
     hear(&mut test, link, vec![evidence("/a", &guilty)]);
     test.pass(600_000);
-    expect_that!(standing(&test, "/a"), eq(Standing::Recurrent));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Recurrent));
     hear(&mut test, link, vec![evidence("/a", &[("i-10", true)])]);
-    expect_that!(standing(&test, "/a"), eq(Standing::Quarantined));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Quarantined));
 }
 
 #[gtest]
@@ -470,9 +470,9 @@
         let target = format!("/varied/{number}");
         hear(&mut test, link, vec![evidence(&target, &[("i-6", false)])]);
     }
-    expect_that!(standing(&test, "/a"), eq(Standing::Quarantined));
-    expect_that!(standing(&test, "/varied/0"), eq(Standing::Clear));
-    expect_that!(standing(&test, "/varied/4999"), eq(Standing::Suspected));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Quarantined));
+    expect_that!(suspicion(&test, "/varied/0"), eq(Suspicion::Clear));
+    expect_that!(suspicion(&test, "/varied/4999"), eq(Suspicion::Suspected));
 }
 
 /// The same evidence, told again, was news without end where more crashes were heard of than are kept: nodes
@@ -505,7 +505,7 @@
     test.actions.clear();
     hear(&mut test, link, vec![old]);
     expect_that!(told(&test).len(), eq(0));
-    expect_that!(standing(&test, "/a"), eq(Standing::Clear));
+    expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
 }
 
 #[gtest]
--- a/crates/rillgap-forward/tests/freshness.rs
+++ b/crates/rillgap-forward/tests/freshness.rs
@@ -18,7 +18,7 @@
 
 fn proven_at(proof: u64) -> Freshness {
     let mut freshness = Freshness::new(Some(REVOCATION));
-    freshness.prove(at(proof), 7, 7);
+    freshness.record_proof(at(proof), 7, 7);
     freshness
 }
 
@@ -46,7 +46,7 @@
     let number = freshness.begin_query(at(1_000));
     // The answer has lain in a socket for three seconds.
     freshness.on_answer(number, 7, millis(500), 7);
-    expect_that!(freshness.age(at(4_000)), some(eq(millis(3_500))));
+    expect_that!(freshness.proof_age(at(4_000)), some(eq(millis(3_500))));
 }
 
 #[gtest]
@@ -54,7 +54,7 @@
     let mut freshness = Freshness::new(Some(REVOCATION));
     let number = freshness.begin_query(at(100));
     freshness.on_answer(number, 7, millis(4_000), 7);
-    expect_that!(freshness.age(at(100)), some(eq(millis(4_000))));
+    expect_that!(freshness.proof_age(at(100)), some(eq(millis(4_000))));
     expect_that!(freshness.is_proven(at(1_000)), eq(false));
 }
 
@@ -70,24 +70,24 @@
 #[gtest]
 fn proof_of_a_newer_version_counts_once_that_is_in_force() {
     let mut freshness = Freshness::new(Some(REVOCATION));
-    freshness.prove(at(1_000), 8, 7);
+    freshness.record_proof(at(1_000), 8, 7);
     expect_that!(freshness.is_proven(at(1_000)), eq(false));
-    freshness.adopted(8);
+    freshness.on_configuration_in_force(8);
     expect_that!(freshness.is_proven(at(1_000)), eq(true));
 }
 
 #[gtest]
 fn proof_of_an_older_version_counts() {
     let mut freshness = Freshness::new(Some(REVOCATION));
-    freshness.prove(at(1_000), 7, 8);
+    freshness.record_proof(at(1_000), 7, 8);
     expect_that!(freshness.is_proven(at(1_000)), eq(true));
 }
 
 #[gtest]
 fn older_proof_does_not_replace_a_younger_one() {
     let mut freshness = proven_at(2_000);
-    freshness.prove(at(1_000), 7, 7);
-    expect_that!(freshness.age(at(2_000)), some(eq(millis(0))));
+    freshness.record_proof(at(1_000), 7, 7);
+    expect_that!(freshness.proof_age(at(2_000)), some(eq(millis(0))));
 }
 
 #[gtest]
--- a/crates/rillgap-forward/tests/inbound.rs
+++ b/crates/rillgap-forward/tests/inbound.rs
@@ -320,7 +320,7 @@
         test.end_exchange(exchange.id, ExchangeResult::Answered(answer(200)));
     }
     test.pass(3_000);
-    expect_that!(test.node.inbound().load().queued_in_all(), eq(0));
+    expect_that!(test.node.inbound().load().total_queued(), eq(0));
     expect_that!(test.node.inbound().load().level, eq(Level(0)));
 }
 
--- a/crates/rillgap-forward/tests/links.rs
+++ b/crates/rillgap-forward/tests/links.rs
@@ -198,7 +198,7 @@
         // The peers hear of the store as well.
         test.event(Event::Link {
             link: *link,
-            message: LinkMessage::StoreNews(Some(0)),
+            message: LinkMessage::StoreContact(Some(0)),
         });
     }
 }
--- a/crates/rillgap-forward/tests/outbound.rs
+++ b/crates/rillgap-forward/tests/outbound.rs
@@ -9,7 +9,7 @@
 use rillgap_forward::event::{Event, ExchangeResult};
 use rillgap_forward::id::ConnectionId;
 use rillgap_forward::message::{
-    ForwardResponse, ForwardResult, LinkMessage, ServiceLevel, Status, Timing, level_of,
+    ForwardResponse, ForwardResult, LinkMessage, ServiceAdmissionLevel, Status, Timing, level_of,
     priority_of,
 };
 use support::{DEEP_SERVICE, SERVICE, TestNode, answer, caller_request, serving};
@@ -188,7 +188,7 @@
     let mut test = entry();
     test.request(0, caller_request("a", "/safe/1"));
     test.request(1, caller_request("b", "/safe/1"));
-    test.event(Event::CallerGone(ConnectionId(1)));
+    test.event(Event::CallerDisconnected(ConnectionId(1)));
     expect_that!(test.node.outbound().in_flight(), eq(0));
     expect_that!(test.answers(), is_empty());
 }
@@ -232,7 +232,7 @@
 
 /// Sends 200 requests whose first answers are lost, so that each would be repeated, and returns the
 /// repeats; the answers tell calls to `involved`.
-fn repeats_of_200(involved: &[ServiceLevel]) -> usize {
+fn repeats_of_200(involved: &[ServiceAdmissionLevel]) -> usize {
     let mut test = entry();
     for turn in 0..200 {
         test.request(turn, caller_request(&format!("r{turn}"), "/safe/1"));
@@ -247,7 +247,7 @@
 
 #[gtest]
 fn repeats_stay_within_the_share_of_the_requests() {
-    let called = ServiceLevel {
+    let called = ServiceAdmissionLevel {
         service: DEEP_SERVICE.to_owned(),
         level: Level(0),
     };
@@ -282,7 +282,7 @@
     let response = ForwardResponse {
         sequence,
         load: serving(SERVICE).load,
-        involved: Vec::new(),
+        downstream_levels: Vec::new(),
         has_failed_call,
         timing: Timing::default(),
         result: ForwardResult::Answered(answer(500)),
--- a/crates/rillgap-forward/tests/policies.rs
+++ b/crates/rillgap-forward/tests/policies.rs
@@ -11,7 +11,7 @@
 use rillgap_forward::configuration::{
     Configuration, Repeatability, Route, RouteTable, WeightedService,
 };
-use rillgap_forward::message::{TIERS, level_of};
+use rillgap_forward::message::{TIER_COUNT, level_of};
 use rillgap_forward::retry_budget::RetryBudget;
 use rillgap_forward::settings::RetryBound;
 use support::{HOST, TestNode, at, caller_request, configuration, route, settings};
@@ -171,7 +171,7 @@
 }
 
 /// Level of a root that is shed last.
-const HIGHEST: Level = Level(Level::PER_TIER * TIERS as u32 - 1);
+const HIGHEST: Level = Level(Level::PER_TIER * TIER_COUNT as u32 - 1);
 
 /// Nodes of a small deployment.
 const NODES: usize = 12;
--- a/crates/rillgap-forward/tests/rate_limit.rs
+++ b/crates/rillgap-forward/tests/rate_limit.rs
@@ -8,7 +8,7 @@
 use rillgap_forward::configuration::RateLimit;
 use rillgap_forward::rate_limit::TOKEN_LIFE;
 use rillgap_forward::rate_limit::bucket::{Buckets, Grant};
-use rillgap_forward::rate_limit::entry::{Admission, EntryTokens};
+use rillgap_forward::rate_limit::entry::{Admission, EntryLimiter};
 use rillgap_forward::rate_limit::ownership::TenantHash;
 
 const TENANT: &str = "north";
@@ -66,7 +66,7 @@
 }
 
 /// Asks for what an entry wants and hands in what the bucket gives; returns the requests let go.
-fn exchange(entry: &mut EntryTokens<u32>, buckets: &mut Buckets, now: u64) -> Vec<u32> {
+fn exchange(entry: &mut EntryLimiter<u32>, buckets: &mut Buckets, now: u64) -> Vec<u32> {
     let mut let_go = Vec::new();
     for wanted in entry.queries_due(at(now)) {
         let grant = buckets.grant(at(now), &wanted.tenant, LIMIT, at(0), wanted.tokens);
@@ -88,7 +88,7 @@
 
 #[gtest]
 fn request_waits_for_its_token_and_goes_on() {
-    let mut entry = EntryTokens::default();
+    let mut entry = EntryLimiter::default();
     let mut buckets = Buckets::default();
     expect_that!(entry.admit(at(5_000), TENANT, 1), eq(Admission::Waiting));
     expect_that!(
@@ -99,7 +99,7 @@
 
 #[gtest]
 fn busy_entry_asks_ahead_so_that_requests_need_not_wait() {
-    let mut entry = EntryTokens::default();
+    let mut entry = EntryLimiter::default();
     let mut buckets = Buckets::default();
     let mut waited = 0;
     for number in 0..60 {
@@ -113,7 +113,7 @@
 
 #[gtest]
 fn requests_beyond_the_limit_are_refused_with_a_time_to_come_back() {
-    let mut entry = EntryTokens::default();
+    let mut entry = EntryLimiter::default();
     let mut buckets = Buckets::default();
     let mut refused = 0;
     for number in 0..100 {
@@ -132,7 +132,7 @@
 
 #[gtest]
 fn token_is_void_after_its_life_counted_from_the_question() {
-    let mut entry = EntryTokens::default();
+    let mut entry = EntryLimiter::default();
     entry.admit(at(1_000), TENANT, 1);
     let wanted = entry.queries_due(at(1_000)).remove(0);
     let late = at(1_000) + TOKEN_LIFE;
@@ -142,7 +142,7 @@
 
 #[gtest]
 fn void_token_is_not_taken_when_a_younger_grant_is_used_up_first() {
-    let mut entry = EntryTokens::default();
+    let mut entry = EntryLimiter::default();
     entry.admit(at(1_000), TENANT, 1);
     let first = entry.queries_due(at(1_000)).remove(0);
     let second = entry.queries_due(at(1_100)).remove(0);
@@ -156,7 +156,7 @@
 
 #[gtest]
 fn second_answer_to_a_question_gives_nothing() {
-    let mut entry = EntryTokens::default();
+    let mut entry = EntryLimiter::default();
     entry.admit(at(1_000), TENANT, 1);
     let wanted = entry.queries_due(at(1_000)).remove(0);
     entry.on_grant(at(1_002), TENANT, wanted.number, 1, 0);
@@ -166,7 +166,7 @@
 
 #[gtest]
 fn request_without_an_answer_is_let_go_soon() {
-    let mut entry = EntryTokens::default();
+    let mut entry = EntryLimiter::default();
     entry.admit(at(1_000), TENANT, 1);
     expect_that!(entry.take_overdue(at(1_050)), is_empty());
     expect_that!(entry.take_overdue(at(1_300)), elements_are![eq(&1)]);
@@ -174,7 +174,7 @@
 
 #[gtest]
 fn unanswered_question_is_asked_again() {
-    let mut entry = EntryTokens::default();
+    let mut entry = EntryLimiter::default();
     entry.admit(at(1_000), TENANT, 1);
     expect_that!(entry.queries_due(at(1_000)).len(), eq(1));
     expect_that!(entry.queries_due(at(1_010)).len(), eq(0));
@@ -183,7 +183,7 @@
 
 #[gtest]
 fn requests_do_not_wait_long_for_an_owner_that_has_been_silent() {
-    let mut entry = EntryTokens::default();
+    let mut entry = EntryLimiter::default();
     for number in 0..20_u32 {
         let now = 1_000 + u64::from(number) * 40;
         entry.admit(at(now), TENANT, number);
@@ -197,12 +197,12 @@
 #[gtest]
 fn tenants_are_spread_over_the_nodes() {
     let nodes: Vec<u64> = (0..10)
-        .map(|node| rillgap_forward::watch_duty::place(&format!("node-{node}")))
+        .map(|node| rillgap_forward::watcher_election::name_hash(&format!("node-{node}")))
         .collect();
     let mut owned: BTreeMap<u64, u32> = BTreeMap::new();
     for tenant in 0..1_000 {
         let hash = TenantHash::of(&format!("tenant-{tenant}"));
-        let owner = nodes.iter().max_by_key(|node| hash.rank(**node));
+        let owner = nodes.iter().max_by_key(|node| hash.owner_score(**node));
         *owned.entry(*owner.expect("a node")).or_default() += 1;
     }
     expect_that!(owned.values().min(), some(ge(&60)));
@@ -229,7 +229,7 @@
     const WINDOW: u64 = 5_000;
     for seed in 0..200 {
         let mut draw = Draw(seed);
-        let mut entries: Vec<EntryTokens<u32>> = (0..8).map(|_| EntryTokens::default()).collect();
+        let mut entries: Vec<EntryLimiter<u32>> = (0..8).map(|_| EntryLimiter::default()).collect();
         let mut buckets = Buckets::default();
         let mut owned_since = 0;
         let mut passed: Vec<u64> = Vec::new();
--- a/crates/rillgap-forward/tests/reborn.rs
+++ b/crates/rillgap-forward/tests/reborn.rs
@@ -83,7 +83,7 @@
     let mut test = serving();
     test.announce(beat(SECOND, 1, AnnouncedState::Ready));
     test.confirm(INSTANCE);
-    test.event(Event::BackEndLeaves {
+    test.event(Event::BackEndLeft {
         announcement: AnnouncementId(0),
         incarnation: beat(FIRST, 1, AnnouncedState::Ready).incarnation,
     });
--- a/crates/rillgap-forward/tests/simulation/world/callers.rs
+++ b/crates/rillgap-forward/tests/simulation/world/callers.rs
@@ -5,7 +5,7 @@
 use rillgap_forward::action::CallerAnswer;
 use rillgap_forward::credential::Credential;
 use rillgap_forward::event::{CallerRequest, Event};
-use rillgap_forward::id::{ConnectionId, Turn};
+use rillgap_forward::id::{ConnectionId, PipelineIndex};
 
 use super::*;
 
@@ -116,7 +116,7 @@
         };
         let event = Event::Request {
             connection,
-            turn: Turn(0),
+            pipeline_index: PipelineIndex(0),
             request,
         };
         let run = self.hosts[host].run;
--- a/crates/rillgap-forward/tests/simulation/world/faults.rs
+++ b/crates/rillgap-forward/tests/simulation/world/faults.rs
@@ -46,7 +46,7 @@
             Fault::StoreLossy(lossy) => self.store_lossy = lossy,
             Fault::Compact => {
                 for (_, (host, run, id, _)) in std::mem::take(&mut self.watches) {
-                    let gone = StoreReply::HistoryGone(self.object_store.epoch());
+                    let gone = StoreReply::PositionExpired(self.object_store.epoch());
                     self.reply(host, run, id, gone, 4);
                 }
             }
--- a/crates/rillgap-forward/tests/simulation/world/mod.rs
+++ b/crates/rillgap-forward/tests/simulation/world/mod.rs
@@ -20,9 +20,9 @@
 use rillgap_forward::event::{Event, Heartbeat};
 use rillgap_forward::id::{ConnectionId, ExchangeId, LinkId};
 use rillgap_forward::incarnation::Incarnation;
+use rillgap_forward::log_record::LogRecord;
 use rillgap_forward::message::{Hello, LinkMessage};
 use rillgap_forward::node::Node;
-use rillgap_forward::note::Note;
 use rillgap_forward::settings::RetryBound;
 use rillgap_forward::store_epoch::StorePosition;
 use rillgap_forward::store_sync::{StoreRequest, StoreRequestId};
@@ -428,7 +428,7 @@
             Happening::Again { target, tries } => self.come_again(target, tries),
             Happening::Leave(host, run, connection) => {
                 if self.hosts[host].callers.remove(&connection).is_some() {
-                    self.node_event(host, run, Event::CallerGone(connection));
+                    self.node_event(host, run, Event::CallerDisconnected(connection));
                 }
             }
             Happening::Fault(fault) => self.fault(fault),
@@ -504,9 +504,9 @@
             Action::CallStore { id, request } => {
                 self.at(self.now + 4, Happening::Store(host, run, id, request));
             }
-            Action::Note(note) => {
+            Action::Log(note) => {
                 self.held_back += u64::from(is_held_back(&note));
-                self.watch_changes += u64::from(matches!(note, Note::Watch { .. }));
+                self.watch_changes += u64::from(matches!(note, LogRecord::Watch { .. }));
             }
             Action::Acknowledge { .. } => {}
             Action::Exit => {
@@ -518,10 +518,10 @@
 }
 
 /// Returns whether a record tells that a request was refused because back ends have ended under requests like it.
-fn is_held_back(note: &Note) -> bool {
+fn is_held_back(note: &LogRecord) -> bool {
     match note {
-        Note::HeldBack { .. } => true,
-        Note::NotAnswered { code, .. } => *code == ResultCode::Quarantined,
+        LogRecord::RequestQuarantined { .. } => true,
+        LogRecord::NotAnswered { code, .. } => *code == ResultCode::Quarantined,
         _ => false,
     }
 }
--- a/crates/rillgap-forward/tests/simulation/world/object_store.rs
+++ b/crates/rillgap-forward/tests/simulation/world/object_store.rs
@@ -5,7 +5,7 @@
 use rillgap_forward::message::NodeRecord;
 use rillgap_forward::store_epoch::{StoreEpoch, StorePosition};
 use rillgap_forward::store_sync::{ListExtent, NodeList};
-use rillgap_forward::watch_duty::place;
+use rillgap_forward::watcher_election::name_hash;
 
 /// Records that one answer holds.
 const PAGE: usize = 100;
@@ -72,17 +72,17 @@
     /// Returns records in the order of places: all, or two pages.
     pub fn list(&self, from: u64, extent: ListExtent) -> NodeList {
         let mut records: Vec<NodeRecord> = self.state.records.values().cloned().collect();
-        records.sort_by_key(|record| place(&record.name));
+        records.sort_by_key(|record| name_hash(&record.name));
         if extent == ListExtent::Whole || records.len() <= PAGE {
             return NodeList {
                 lowest: records,
                 ..NodeList::default()
             };
         }
-        let first = records.partition_point(|record| place(&record.name) < from);
+        let first = records.partition_point(|record| name_hash(&record.name) < from);
         let following = records[first..].iter().chain(&records[..first]);
         NodeList {
-            following: Some(following.take(PAGE).cloned().collect()),
+            successors: Some(following.take(PAGE).cloned().collect()),
             lowest: records[..PAGE].to_vec(),
             unreadable: 0,
         }
--- a/crates/rillgap-forward/tests/simulation/world/store.rs
+++ b/crates/rillgap-forward/tests/simulation/world/store.rs
@@ -3,7 +3,7 @@
 use rillgap_core::code::ResultCode;
 use rillgap_forward::event::Event;
 use rillgap_forward::store_sync::{
-    CALL_PATIENCE, StoreFailure, StoreReply, StoreRequest, StoreRequestId,
+    CALL_TIMEOUT, StoreFailure, StoreReply, StoreRequest, StoreRequestId,
 };
 
 use crate::day::Planted;
@@ -11,7 +11,7 @@
 use super::*;
 
 /// Milliseconds after which a call that the store ignores is given up.
-const UNANSWERED: u64 = CALL_PATIENCE.as_millis() as u64;
+const UNANSWERED: u64 = CALL_TIMEOUT.as_millis() as u64;
 
 impl World {
     pub(super) fn store(
@@ -23,7 +23,7 @@
     ) {
         let name = match &request {
             StoreRequest::ListNodes {
-                may_be_old: true, ..
+                allow_stale: true, ..
             } => "old-list",
             request => request.name(),
         };
@@ -36,7 +36,7 @@
             StoreRequest::ReadConfiguration => self.configuration_reply(0),
             StoreRequest::WatchConfiguration { after, wait } => {
                 if !self.object_store.knows(after.revision()) {
-                    StoreReply::HistoryGone(self.object_store.epoch())
+                    StoreReply::PositionExpired(self.object_store.epoch())
                 } else if self.has_news_after(after.revision()) {
                     self.configuration_reply(after.revision())
                 } else {
--- a/crates/rillgap-forward/tests/store_return.rs
+++ b/crates/rillgap-forward/tests/store_return.rs
@@ -10,8 +10,8 @@
 use rillgap_forward::event::Event;
 use rillgap_forward::freshness::{Freshness, QueryNumber};
 use rillgap_forward::id::LinkId;
+use rillgap_forward::log_record::LogRecord;
 use rillgap_forward::message::{FreshnessAnswer, Hello, LinkMessage, Status};
-use rillgap_forward::note::Note;
 use rillgap_forward::store_epoch::{StoreEpoch, StorePosition};
 use rillgap_forward::store_sync::{NodeList, StoreReply, StoreRequest, StoreRequestId, StoreSync};
 use support::{TestNode, WRITES, at, configuration, hello, settings};
@@ -73,7 +73,7 @@
 
     fn reply(&mut self, now: Instant, id: StoreRequestId, reply: StoreReply) {
         if let Some(epoch) = reply.epoch() {
-            self.store.learn_epoch(now, epoch);
+            self.store.observe_epoch(now, epoch);
         }
         self.store.on_reply(now, id, reply);
     }
@@ -104,7 +104,7 @@
 /// Lets a store return while a node watches; returns the calls of the next two seconds, each answered in [`AFTER`].
 fn calls_after_return(epoch: StoreEpoch) -> Vec<StoreRequest> {
     let mut calls = Calls::watching();
-    calls.store.learn_epoch(at(100), epoch);
+    calls.store.observe_epoch(at(100), epoch);
     let mut made = Vec::new();
     for millis in 0..COMPLETE_WITHIN {
         made.extend(calls.step(at(100 + millis), |request| match request {
@@ -137,7 +137,7 @@
         record.name = format!("node-{number}");
         let own = record.clone();
         let mut store = StoreSync::new(at(0), record, false, FLEET_WRITES);
-        store.learn_epoch(at(0), BEFORE);
+        store.observe_epoch(at(0), BEFORE);
         let calls = store.poll(at(0));
         for (id, request) in calls {
             let reply = match request {
@@ -156,8 +156,8 @@
             },
         };
         store.on_reply(at(0), id, nodes);
-        store.configuration_in_force();
-        store.learn_epoch(at(0), AFTER);
+        store.on_configuration_in_force();
+        store.observe_epoch(at(0), AFTER);
         let due = store.next_wake().expect("a call");
         by_tenth[(due.as_micros() / 100_000) as usize] += 1;
     }
@@ -178,7 +178,7 @@
 fn answer_of_an_earlier_epoch_proves_nothing_and_is_asked_for_again() {
     let mut calls = Calls::watching();
     calls.store.take_proof();
-    calls.store.learn_epoch(at(100), AFTER);
+    calls.store.observe_epoch(at(100), AFTER);
     calls.answer_watch(at(100), configured(BEFORE, 44, Some(9)));
     expect_that!(calls.store.is_watching(at(150)), eq(false));
     expect_that!(calls.store.take_proof(), none());
@@ -248,7 +248,7 @@
         )
     };
     expect_that!(test.actions.iter().filter(tells).count(), eq(1));
-    let returned = Note::StoreReturned {
+    let returned = LogRecord::StoreRestored {
         before: BEFORE,
         epoch: AFTER,
         configuration: 7,
@@ -286,10 +286,10 @@
 #[gtest]
 fn proof_from_before_the_return_ends_with_it_and_with_answers_of_the_earlier_epoch() {
     let mut freshness = Freshness::new(Some(Duration::from_secs(5)));
-    freshness.prove(at(0), 7, 7);
+    freshness.record_proof(at(0), 7, 7);
     let number = freshness.begin_query(at(10));
     expect_that!(freshness.is_proven(at(20)), eq(true));
-    freshness.store_has_returned();
+    freshness.on_store_restored();
     expect_that!(freshness.is_proven(at(20)), eq(false));
     freshness.on_answer(number, 7, Duration::ZERO, 7);
     expect_that!(freshness.is_proven(at(20)), eq(false));
--- a/crates/rillgap-forward/tests/support/mod.rs
+++ b/crates/rillgap-forward/tests/support/mod.rs
@@ -16,15 +16,15 @@
     AnnouncedState, CallerRequest, Event, ExchangeResult, Heartbeat, ProbeResult,
 };
 use rillgap_forward::id::{
-    AnnouncementId, ConnectionId, ExchangeId, LinkId, ProbeId, Sequence, Turn,
+    AnnouncementId, ConnectionId, ExchangeId, LinkId, PipelineIndex, ProbeId, Sequence,
 };
 use rillgap_forward::incarnation::Incarnation;
+use rillgap_forward::log_record::LogRecord;
 use rillgap_forward::message::{
     ForwardResponse, ForwardResult, ForwardedAnswer, ForwardedRequest, Hello, LinkMessage, Load,
-    NodeRecord, ServiceLevel, Status, Timing, level_of,
+    NodeRecord, ServiceAdmissionLevel, Status, Timing, level_of,
 };
 use rillgap_forward::node::{Node, PROTOCOL_VERSION};
-use rillgap_forward::note::Note;
 use rillgap_forward::settings::{ForwardSettings, RetryBound};
 use rillgap_forward::store_epoch::{StoreEpoch, StorePosition};
 use rillgap_forward::store_sync::{
@@ -160,7 +160,7 @@
         tenant: None,
         level: level_of(1, id),
         is_call: false,
-        is_repeat: false,
+        is_retry: false,
         remaining_micros: 800_000,
         queue_limit_micros: 100_000,
     }
@@ -208,7 +208,7 @@
         is_serving: true,
         is_stopping: false,
         is_watching: false,
-        owns_buckets: false,
+        can_own_buckets: false,
         load: Load {
             limit: 10,
             ..Load::default()
@@ -380,7 +380,7 @@
     }
 
     pub fn leave(&mut self, instance: &str) {
-        self.event(Event::BackEndLeaves {
+        self.event(Event::BackEndLeft {
             announcement: AnnouncementId(0),
             incarnation: Incarnation::without_start(instance),
         });
@@ -433,10 +433,10 @@
         });
     }
 
-    pub fn request(&mut self, turn: u64, request: CallerRequest) {
+    pub fn request(&mut self, pipeline_index: u64, request: CallerRequest) {
         self.event(Event::Request {
             connection: ConnectionId(1),
-            turn: Turn(turn),
+            pipeline_index: PipelineIndex(pipeline_index),
             request,
         });
     }
@@ -467,21 +467,21 @@
     }
 
     /// Returns the levels of other services that the last answer of the inbound side told.
-    pub fn involved(&self) -> Vec<ServiceLevel> {
+    pub fn involved(&self) -> Vec<ServiceAdmissionLevel> {
         let told = self.actions.iter().rev().find_map(|action| match action {
             Action::SendOnLink {
                 message: LinkMessage::Response(response),
                 ..
-            } => Some(response.involved.clone()),
+            } => Some(response.downstream_levels.clone()),
             _ => None,
         });
         told.unwrap_or_default()
     }
 
     /// Returns the records for the log.
-    pub fn notes(&self) -> Vec<Note> {
+    pub fn notes(&self) -> Vec<LogRecord> {
         let note = |action: &Action| match action {
-            Action::Note(note) => Some(note.clone()),
+            Action::Log(note) => Some(note.clone()),
             _ => None,
         };
         self.actions.iter().filter_map(note).collect()
@@ -506,14 +506,19 @@
 
     /// Lets a peer answer the request that was sent last, with its load and the levels of the services
     /// that its calls went to.
-    pub fn respond_with(&mut self, load: Load, involved: Vec<ServiceLevel>, result: ForwardResult) {
+    pub fn respond_with(
+        &mut self,
+        load: Load,
+        downstream_levels: Vec<ServiceAdmissionLevel>,
+        result: ForwardResult,
+    ) {
         let (link, sequence, _) = self.sent().pop().expect("a request that was sent");
         self.event(Event::Link {
             link,
             message: LinkMessage::Response(ForwardResponse {
                 sequence,
                 load,
-                involved,
+                downstream_levels,
                 has_failed_call: false,
                 timing: Timing::default(),
                 result,
--- a/crates/rillgap-forward/tests/tenants.rs
+++ b/crates/rillgap-forward/tests/tenants.rs
@@ -12,17 +12,17 @@
 use rillgap_forward::event::{AnnouncedState, CallerRequest, Event};
 use rillgap_forward::freshness::QueryNumber;
 use rillgap_forward::id::LinkId;
+use rillgap_forward::log_record::LogRecord;
 use rillgap_forward::message::{
     FreshnessAnswer, LinkMessage, NodeRecord, TokenAnswer, TokenQuery, TokenResult,
     level_for_tenant, priority_of,
 };
 use rillgap_forward::node::Node;
-use rillgap_forward::note::Note;
 use rillgap_forward::rate_limit::ownership::TenantHash;
 use rillgap_forward::settings::ForwardSettings;
 use rillgap_forward::store_epoch::StoreEpoch;
 use rillgap_forward::store_sync::{StoreReply, StoreRequest};
-use rillgap_forward::watch_duty::place;
+use rillgap_forward::watcher_election::name_hash;
 use support::{INSTANCE, SERVICE, TestNode, at, caller_request, configuration, nodes, settings};
 
 const TENANT: &str = "north";
@@ -75,8 +75,8 @@
 }
 
 fn codes(test: &TestNode) -> Vec<Option<ResultCode>> {
-    let code = |note: Note| match note {
-        Note::Answered { code, .. } => Some(code),
+    let code = |note: LogRecord| match note {
+        LogRecord::Answered { code, .. } => Some(code),
         _ => None,
     };
     test.notes().into_iter().filter_map(code).collect()
@@ -338,7 +338,7 @@
 fn connect_owner(test: &mut TestNode, name: &str, last: u8) -> LinkId {
     let link = test.connect(name, last, SERVICE);
     let status = rillgap_forward::message::Status {
-        owns_buckets: true,
+        can_own_buckets: true,
         ..support::serving(SERVICE)
     };
     test.event(Event::Link {
@@ -351,20 +351,24 @@
 /// Names of peers that own the tenant's bucket before the node itself does, in their order.
 fn names_before_own() -> Vec<String> {
     let hash = TenantHash::of(TENANT);
-    let own = hash.rank(place("own"));
+    let own = hash.owner_score(name_hash("own"));
     let mut names: Vec<String> = (0..50).map(|number| format!("peer-{number}")).collect();
-    names.retain(|name| hash.rank(place(name)) > own);
-    names.sort_by_key(|name| std::cmp::Reverse(hash.rank(place(name))));
+    names.retain(|name| hash.owner_score(name_hash(name)) > own);
+    names.sort_by_key(|name| std::cmp::Reverse(hash.owner_score(name_hash(name))));
     names
 }
 
 /// Names of peers that are asked for the tenant's tokens before, and after, the node itself.
 fn names_around_own() -> (String, String) {
     let hash = TenantHash::of(TENANT);
-    let own = hash.rank(place("own"));
+    let own = hash.owner_score(name_hash("own"));
     let names: Vec<String> = (0..50).map(|number| format!("peer-{number}")).collect();
-    let before = names.iter().find(|name| hash.rank(place(name)) > own);
-    let after = names.iter().find(|name| hash.rank(place(name)) < own);
+    let before = names
+        .iter()
+        .find(|name| hash.owner_score(name_hash(name)) > own);
+    let after = names
+        .iter()
+        .find(|name| hash.owner_score(name_hash(name)) < own);
     (
         before.expect("a name").clone(),
         after.expect("a name").clone(),
@@ -516,7 +520,7 @@
         let hash = TenantHash::of(&tenant.name);
         let owner = records
             .iter()
-            .max_by_key(|record| hash.rank(place(&record.name)));
+            .max_by_key(|record| hash.owner_score(name_hash(&record.name)));
         owner.expect("a record").address
     };
     let untried = tenants
--- a/crates/rillgap-forward/tests/watch.rs
+++ b/crates/rillgap-forward/tests/watch.rs
@@ -11,7 +11,7 @@
 use rillgap_forward::message::{Hello, LinkMessage};
 use rillgap_forward::store_epoch::{StoreEpoch, StorePosition};
 use rillgap_forward::store_sync::{StoreReply, StoreRequest, StoreRequestId, StoreSync};
-use rillgap_forward::watch_duty::{Preceding, WatchDuty, place};
+use rillgap_forward::watcher_election::{PrecedingNodes, WatcherElection, name_hash};
 use support::{SERVICE, TestNode, WRITES, at, configuration, failed, hello, serving, settings};
 
 const WAIT: Duration = Duration::from_secs(1);
@@ -21,27 +21,27 @@
 /// Time after its start at which a node that hears of nobody watches at the latest, in milliseconds.
 const STARTED: u64 = 3_000;
 
-fn preceding(fresh: usize, known: u64) -> Preceding {
-    Preceding {
-        fresh,
-        is_heard: known > 0,
-        known,
+fn preceding(fresh_count: usize, known_count: u64) -> PrecedingNodes {
+    PrecedingNodes {
+        fresh_count,
+        has_recent_report: known_count > 0,
+        known_count,
     }
 }
 
 /// The duty of a node that has had news for a while, which stop now.
-fn duty_without_news() -> WatchDuty {
-    let mut duty = WatchDuty::new(OWN);
+fn duty_without_news() -> WatcherElection {
+    let mut duty = WatcherElection::new(OWN);
     duty.update(at(0), preceding(2, 500));
     duty
 }
 
 #[gtest]
 fn node_that_hears_of_no_watcher_watches_within_its_stagger() {
-    let mut duty = WatchDuty::new(OWN);
-    let nobody = Preceding {
-        known: 500,
-        ..Preceding::default()
+    let mut duty = WatcherElection::new(OWN);
+    let nobody = PrecedingNodes {
+        known_count: 500,
+        ..PrecedingNodes::default()
     };
     duty.update(at(0), nobody);
     expect_that!(duty.update(at(STARTED), nobody), some(anything()));
@@ -49,7 +49,7 @@
 
 #[gtest]
 fn node_that_follows_two_with_news_does_not_watch() {
-    let mut duty = WatchDuty::new(OWN);
+    let mut duty = WatcherElection::new(OWN);
     duty.update(at(0), preceding(0, 500));
     expect_that!(duty.update(at(STARTED), preceding(2, 500)), none());
 }
@@ -57,7 +57,7 @@
 #[gtest]
 fn first_two_nodes_of_the_order_always_watch() {
     for known in [0, 1] {
-        let mut duty = WatchDuty::new(OWN);
+        let mut duty = WatcherElection::new(OWN);
         let first = preceding(known as usize, known);
         duty.update(at(0), first);
         expect_that!(duty.update(at(STARTED), first), some(anything()));
@@ -85,9 +85,9 @@
 #[gtest]
 fn node_that_is_cut_off_from_those_before_it_watches_at_once() {
     let mut duty = duty_without_news();
-    let nobody = Preceding {
-        known: 1_900,
-        ..Preceding::default()
+    let nobody = PrecedingNodes {
+        known_count: 1_900,
+        ..PrecedingNodes::default()
     };
     duty.update(at(10), nobody);
     expect_that!(duty.update(at(310), nobody), some(anything()));
@@ -96,7 +96,9 @@
 /// Two names of which the first precedes [`OWN`] in the order of watchers.
 fn names_before_own() -> Vec<String> {
     let mut names = (0..100).map(|number| format!("peer-{number}"));
-    let before = names.by_ref().filter(|name| place(name) < place(OWN));
+    let before = names
+        .by_ref()
+        .filter(|name| name_hash(name) < name_hash(OWN));
     before.take(2).collect()
 }
 
@@ -106,7 +108,7 @@
 
 /// Lets a followed peer tell that it has heard of the store just now, or that it does not any more.
 fn report(test: &mut TestNode, link: LinkId, is_watching: bool) {
-    let message = LinkMessage::StoreNews(is_watching.then_some(0));
+    let message = LinkMessage::StoreContact(is_watching.then_some(0));
     test.event(Event::Link { link, message });
 }
 
--- a/crates/rillgap-sidecar/src/caller/connection.rs
+++ b/crates/rillgap-sidecar/src/caller/connection.rs
@@ -10,13 +10,13 @@
 use rillgap_core::time::Instant;
 use rillgap_forward::action::CallerAnswer;
 use rillgap_forward::event::Event;
-use rillgap_forward::id::{ConnectionId, Turn};
+use rillgap_forward::id::{ConnectionId, PipelineIndex};
 use rillgap_http::h1::{Connection, encode_status_line};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedReceiver;
 
 use super::reader::{Progress, ReadRequest, RequestReader};
-use crate::hub::{Hub, TurnAnswer};
+use crate::hub::{Hub, PipelinedAnswer};
 use crate::read::{read_some, release_if_empty};
 
 /// Most requests of one connection under way.
@@ -33,7 +33,7 @@
 /// A request that waits for its answer.
 #[derive(Debug)]
 struct PendingTurn {
-    turn: Turn,
+    pipeline_index: PipelineIndex,
     is_head: bool,
     connection: Connection,
 }
@@ -62,8 +62,8 @@
     input: BytesMut,
     output: BytesMut,
     pending: VecDeque<PendingTurn>,
-    answers: BTreeMap<Turn, CallerAnswer>,
-    next_turn: u64,
+    answers: BTreeMap<PipelineIndex, CallerAnswer>,
+    next_pipeline_index: u64,
     takes_requests: bool,
     active_at: Instant,
 }
@@ -82,20 +82,20 @@
             output: BytesMut::new(),
             pending: VecDeque::new(),
             answers: BTreeMap::new(),
-            next_turn: 0,
+            next_pipeline_index: 0,
             takes_requests: true,
             active_at,
         }
     }
 
     /// Serves the connection until it ends.
-    pub async fn run(mut self, mut answers: UnboundedReceiver<TurnAnswer>) {
+    pub async fn run(mut self, mut answers: UnboundedReceiver<PipelinedAnswer>) {
         if let Err(End::Finished) = self.serve(&mut answers).await {
             self.linger().await;
         }
     }
 
-    async fn serve(&mut self, answers: &mut UnboundedReceiver<TurnAnswer>) -> Result<(), End> {
+    async fn serve(&mut self, answers: &mut UnboundedReceiver<PipelinedAnswer>) -> Result<(), End> {
         let timer = tokio::time::sleep_until(self.hub.deadline(self.times_out_at()));
         tokio::pin!(timer);
         loop {
@@ -107,10 +107,10 @@
             tokio::select! {
                 biased;
                 answer = answers.recv() => {
-                    let Some((turn, answer)) = answer else {
+                    let Some((pipeline_index, answer)) = answer else {
                         return Err(End::Gone);
                     };
-                    self.take_answers(turn, answer, answers)?;
+                    self.take_answers(pipeline_index, answer, answers)?;
                 }
                 received = read_some(&mut receiving, &mut self.input), if may_read => {
                     self.take_in(received?)?;
@@ -196,17 +196,17 @@
     }
 
     fn begin(&mut self, read: ReadRequest) {
-        let turn = Turn(self.next_turn);
-        self.next_turn += 1;
+        let pipeline_index = PipelineIndex(self.next_pipeline_index);
+        self.next_pipeline_index += 1;
         self.takes_requests = read.connection == Connection::KeepAlive;
         self.pending.push_back(PendingTurn {
-            turn,
+            pipeline_index,
             is_head: read.is_head,
             connection: read.connection,
         });
         self.hub.dispatch(Event::Request {
             connection: self.id,
-            turn,
+            pipeline_index,
             request: read.request,
         });
     }
@@ -217,10 +217,10 @@
         self.input.clear();
         self.reader = RequestReader::default();
         log::warn!(code = code.number(), connection = self.id.0; "caller: bytes refused");
-        let turn = Turn(self.next_turn);
-        self.next_turn += 1;
+        let pipeline_index = PipelineIndex(self.next_pipeline_index);
+        self.next_pipeline_index += 1;
         self.pending.push_back(PendingTurn {
-            turn,
+            pipeline_index,
             is_head: false,
             connection: Connection::Close,
         });
@@ -230,20 +230,20 @@
             body: code.title().as_bytes().to_vec(),
             close: true,
         };
-        self.answers.insert(turn, answer);
+        self.answers.insert(pipeline_index, answer);
         self.write_answers()
     }
 
     /// Takes in an answer and all others that wait.
     fn take_answers(
         &mut self,
-        turn: Turn,
+        pipeline_index: PipelineIndex,
         answer: CallerAnswer,
-        answers: &mut UnboundedReceiver<TurnAnswer>,
+        answers: &mut UnboundedReceiver<PipelinedAnswer>,
     ) -> Result<(), End> {
-        self.answers.insert(turn, answer);
-        while let Ok((turn, answer)) = answers.try_recv() {
-            self.answers.insert(turn, answer);
+        self.answers.insert(pipeline_index, answer);
+        while let Ok((pipeline_index, answer)) = answers.try_recv() {
+            self.answers.insert(pipeline_index, answer);
         }
         self.write_answers()?;
         // Requests that had to wait for a place.
@@ -255,7 +255,7 @@
         while let Some(answer) = self
             .pending
             .front()
-            .and_then(|pending| self.answers.remove(&pending.turn))
+            .and_then(|pending| self.answers.remove(&pending.pipeline_index))
         {
             let Some(pending) = self.pending.pop_front() else {
                 break;
--- a/crates/rillgap-sidecar/src/control.rs
+++ b/crates/rillgap-sidecar/src/control.rs
@@ -100,7 +100,7 @@
             announcement,
             heartbeat,
         }),
-        ControlCall::Leave { incarnation } => hub.announce(|announcement| Event::BackEndLeaves {
+        ControlCall::Leave { incarnation } => hub.announce(|announcement| Event::BackEndLeft {
             announcement,
             incarnation,
         }),
--- a/crates/rillgap-sidecar/src/hub.rs
+++ b/crates/rillgap-sidecar/src/hub.rs
@@ -12,7 +12,7 @@
 use rillgap_core::time::Instant;
 use rillgap_forward::action::{Action, Actions, CallerAnswer};
 use rillgap_forward::event::Event;
-use rillgap_forward::id::{AnnouncementId, ConnectionId, LinkId, Turn};
+use rillgap_forward::id::{AnnouncementId, ConnectionId, LinkId, PipelineIndex};
 use rillgap_forward::message::LinkMessage;
 use rillgap_forward::node::Node;
 use rillgap_forward::settings::ForwardSettings;
@@ -28,7 +28,7 @@
 use crate::store::Store;
 
 /// An answer for a place on a connection.
-pub type TurnAnswer = (Turn, CallerAnswer);
+pub type PipelinedAnswer = (PipelineIndex, CallerAnswer);
 
 /// Joins the node's state machine with the tasks that do its I/O.
 pub struct Hub {
@@ -44,7 +44,7 @@
     next_connection: Cell<u64>,
     next_announcement: Cell<u64>,
     announcements: RefCell<BTreeMap<AnnouncementId, oneshot::Sender<bool>>>,
-    callers: RefCell<BTreeMap<ConnectionId, UnboundedSender<TurnAnswer>>>,
+    callers: RefCell<BTreeMap<ConnectionId, UnboundedSender<PipelinedAnswer>>>,
     links: RefCell<BTreeMap<LinkId, UnboundedSender<LinkMessage>>>,
     /// Working memory of the links' codec, which all links share: a node has many of them.
     encoder: RefCell<FrameEncoder>,
@@ -122,7 +122,7 @@
     }
 
     /// Registers a connection of a caller.
-    pub fn add_caller(&self, answers: UnboundedSender<TurnAnswer>) -> ConnectionId {
+    pub fn add_caller(&self, answers: UnboundedSender<PipelinedAnswer>) -> ConnectionId {
         let id = ConnectionId(self.next_connection.get() + 1);
         self.next_connection.set(id.0);
         self.callers.borrow_mut().insert(id, answers);
@@ -132,7 +132,7 @@
     /// Forgets a connection of a caller.
     pub fn remove_caller(self: &Rc<Self>, id: ConnectionId) {
         self.callers.borrow_mut().remove(&id);
-        self.dispatch(Event::CallerGone(id));
+        self.dispatch(Event::CallerDisconnected(id));
     }
 
     /// Returns the number of connections of callers.
@@ -243,12 +243,12 @@
         match action {
             Action::Answer {
                 connection,
-                turn,
+                pipeline_index,
                 answer,
             } => {
                 if let Some(answers) = self.callers.borrow().get(&connection) {
                     // The connection may just have ended; its caller is then gone as well.
-                    let _ = answers.send((turn, answer));
+                    let _ = answers.send((pipeline_index, answer));
                 }
             }
             Action::OpenLink { link, address } => link::open(self.clone(), link, address),
@@ -283,7 +283,7 @@
                     hub.dispatch(Event::Store { request: id, reply });
                 });
             }
-            Action::Note(note) => {
+            Action::Log(note) => {
                 self.metrics.observe(&note);
                 self.log.borrow_mut().write(&note);
             }
@@ -300,7 +300,7 @@
         let peers = node.directory().peers();
         let reachable = peers.filter(|peer| peer.open_link().is_some()).count();
         self.metrics.running.set(u64::from(load.running));
-        self.metrics.queued.set(u64::from(load.queued_in_all()));
+        self.metrics.queued.set(u64::from(load.total_queued()));
         self.metrics.limit.set(u64::from(load.limit));
         self.metrics.peers.set(reachable as u64);
         self.metrics.ready.set(u64::from(node.is_ready()));
--- a/crates/rillgap-sidecar/src/link/codec.rs
+++ b/crates/rillgap-sidecar/src/link/codec.rs
@@ -108,8 +108,8 @@
             }
             LinkMessage::Follow(true) => put(out, FOLLOW, &[], &[]),
             LinkMessage::Follow(false) => put(out, UNFOLLOW, &[], &[]),
-            LinkMessage::StoreNews(Some(age)) => put(out, STORE_NEWS, &age.to_be_bytes(), &[]),
-            LinkMessage::StoreNews(None) => put(out, NO_STORE_NEWS, &[], &[]),
+            LinkMessage::StoreContact(Some(age)) => put(out, STORE_NEWS, &age.to_be_bytes(), &[]),
+            LinkMessage::StoreContact(None) => put(out, NO_STORE_NEWS, &[], &[]),
             LinkMessage::StoreEpoch(epoch) => put(out, STORE_EPOCH, &epoch.0.to_be_bytes(), &[]),
             LinkMessage::FreshnessQuery(number) => {
                 put(out, FRESHNESS_QUERY, &number.0.to_be_bytes(), &[])
@@ -212,8 +212,10 @@
                 .map(|configuration| LinkMessage::Configuration(Arc::new(configuration))),
             FOLLOW => Ok(LinkMessage::Follow(true)),
             UNFOLLOW => Ok(LinkMessage::Follow(false)),
-            STORE_NEWS => split_number(payload).map(|(age, _)| LinkMessage::StoreNews(Some(age))),
-            NO_STORE_NEWS => Ok(LinkMessage::StoreNews(None)),
+            STORE_NEWS => {
+                split_number(payload).map(|(age, _)| LinkMessage::StoreContact(Some(age)))
+            }
+            NO_STORE_NEWS => Ok(LinkMessage::StoreContact(None)),
             STORE_EPOCH => {
                 split_number(payload).map(|(epoch, _)| LinkMessage::StoreEpoch(StoreEpoch(epoch)))
             }
