--- a/crates/rillgap-sidecar/src/logging/notes.rs
+++ b/crates/rillgap-sidecar/src/logging/notes.rs
@@ -3,7 +3,7 @@
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
 use rillgap_clock::SteadyClock;
-use rillgap_forward::note::Note;
+use rillgap_forward::log_record::LogRecord;
 
 use crate::settings::LogSection;
 
@@ -33,22 +33,22 @@
     }
 
     /// Writes a record unless a bound leaves it out.
-    pub fn write(&mut self, note: &Note) {
+    pub fn write(&mut self, note: &LogRecord) {
         if self.is_sampled_out(note) || !self.has_room(note) {
             return;
         }
         write(note, self.clock.elapsed().as_secs_f64());
     }
 
-    fn is_sampled_out(&self, note: &Note) -> bool {
+    fn is_sampled_out(&self, note: &LogRecord) -> bool {
         let id = match note {
-            Note::Answered {
+            LogRecord::Answered {
                 request_id,
                 status,
                 attempts,
                 ..
             } if *status < 300 && *attempts <= 1 => request_id,
-            Note::Cancelled { request_id } => request_id,
+            LogRecord::Cancelled { request_id } => request_id,
             _ => return false,
         };
         match self.settings.success_sample {
@@ -57,7 +57,7 @@
         }
     }
 
-    fn has_room(&mut self, note: &Note) -> bool {
+    fn has_room(&mut self, note: &LogRecord) -> bool {
         let second = self.clock.elapsed().as_secs();
         if second != self.second {
             if self.left_out > 0 {
@@ -69,12 +69,12 @@
         }
         let is_about_request = matches!(
             note,
-            Note::Answered { .. }
-                | Note::Moved { .. }
-                | Note::NotAnswered { .. }
-                | Note::Cancelled { .. }
-                | Note::HeldBack { .. }
-                | Note::TenantLimit { .. }
+            LogRecord::Answered { .. }
+                | LogRecord::Retried { .. }
+                | LogRecord::NotAnswered { .. }
+                | LogRecord::Cancelled { .. }
+                | LogRecord::RequestQuarantined { .. }
+                | LogRecord::TenantLimit { .. }
         );
         if is_about_request && self.written >= self.settings.lines_per_second {
             self.left_out += 1;
@@ -94,9 +94,9 @@
     BuildHasherDefault::<DefaultHasher>::default().hash_one(id)
 }
 
-fn write(note: &Note, uptime: f64) {
+fn write(note: &LogRecord, uptime: f64) {
     match note {
-        Note::Answered {
+        LogRecord::Answered {
             request_id,
             route,
             status,
@@ -114,7 +114,7 @@
             elapsed_micros, queued_micros = timing.queued_micros,
             back_end_micros = timing.back_end_micros, configuration; "outbound: answered"
         ),
-        Note::Moved {
+        LogRecord::Retried {
             request_id,
             from,
             code,
@@ -123,7 +123,7 @@
             uptime, request = request_id.as_str(), from = from.as_str(), code = code.number(),
             paid; "outbound: sent to another node"
         ),
-        Note::NotAnswered {
+        LogRecord::NotAnswered {
             request_id,
             code,
             elapsed_micros,
@@ -135,7 +135,7 @@
             uptime, request = request_id.as_str(), code = code.number(),
             reason = code.title(), elapsed_micros, running, queued, limit; "inbound: no answer"
         ),
-        Note::NotAnswered {
+        LogRecord::NotAnswered {
             request_id,
             code,
             elapsed_micros,
@@ -148,49 +148,49 @@
             reason = code.title(), elapsed_micros, running, queued, limit,
             instance = lost.instance.as_str(), content = lost.content.to_string().as_str(); "inbound: no answer"
         ),
-        Note::Cancelled { request_id } => log::info!(
+        LogRecord::Cancelled { request_id } => log::info!(
             uptime, request = request_id.as_str(); "outbound: caller gone"
         ),
-        Note::BackEnd {
+        LogRecord::BackEnd {
             instance,
-            standing,
+            health,
             cause,
             sequence,
         } => log::info!(
-            uptime, instance = instance.as_str(), standing = *standing, cause = *cause, sequence;
+            uptime, instance = instance.as_str(), standing = *health, cause = *cause, sequence;
             "inbound: back end"
         ),
-        Note::BackEndCrashed {
+        LogRecord::BackEndCrashed {
             instance,
-            under_way,
-            known,
+            in_flight,
+            previously_suspected,
         } => log::warn!(
-            uptime, instance = instance.as_str(), under_way = *under_way as u64,
-            known = *known as u64; "inbound: back end has crashed"
+            uptime, instance = instance.as_str(), under_way = *in_flight as u64,
+            known = *previously_suspected as u64; "inbound: back end has crashed"
         ),
-        Note::Suspicion(change) => log::warn!(
-            uptime, content = change.content.to_string().as_str(), standing = change.standing.name(),
-            crashes = change.crashes as u64, alone = change.crashes_alone as u64;
+        LogRecord::SuspicionChanged(change) => log::warn!(
+            uptime, content = change.content.to_string().as_str(), standing = change.suspicion.name(),
+            crashes = change.crashes as u64, alone = change.crashes_as_only_suspect as u64;
             "crash: standing of requests"
         ),
-        Note::HeldBack {
+        LogRecord::RequestQuarantined {
             request_id,
             content,
         } => log::info!(
             uptime, request = request_id.as_str(), content = content.to_string().as_str();
             "crash: request held back"
         ),
-        Note::Admission {
+        LogRecord::Admission {
             service,
             priority,
             admitted_percent,
         } => log::info!(
             uptime, service = service.as_str(), priority, admitted_percent; "outbound: admission"
         ),
-        Note::Peer { peer, is_up, cause } => log::info!(
+        LogRecord::Peer { peer, is_up, cause } => log::info!(
             uptime, peer = peer.as_str(), is_up, cause = *cause; "mesh: peer"
         ),
-        Note::Configuration {
+        LogRecord::Configuration {
             version,
             routes,
             tenants,
@@ -198,23 +198,31 @@
         } => log::info!(
             uptime, version, routes = *routes as u64, tenants = *tenants as u64, source = *source; "configuration: in force"
         ),
-        Note::NewerConfiguration { version, own, peer } => log::info!(
-            uptime, version, own, peer = peer.as_str(); "configuration: newer version known"
+        LogRecord::NewerConfiguration {
+            version,
+            own_version,
+            peer,
+        } => log::info!(
+            uptime, version, own = own_version, peer = peer.as_str(); "configuration: newer version known"
         ),
-        Note::ConfigurationQuery { version, own, peer } => log::info!(
-            uptime, version, own, peer = peer.as_str(); "configuration: asked of a peer"
+        LogRecord::ConfigurationQuery {
+            version,
+            own_version,
+            peer,
+        } => log::info!(
+            uptime, version, own = own_version, peer = peer.as_str(); "configuration: asked of a peer"
         ),
-        Note::Store { failure: None } => log::info!(uptime, is_up = true; "store: dependency"),
-        Note::Store {
+        LogRecord::Store { failure: None } => log::info!(uptime, is_up = true; "store: dependency"),
+        LogRecord::Store {
             failure: Some((call, failure)),
         } => log::warn!(
             uptime, is_up = false, call = *call, code = failure.code.number(),
             detail = failure.detail.as_str(); "store: dependency"
         ),
-        Note::UnreadableRecords { unreadable } => log::warn!(
+        LogRecord::UnreadableRecords { unreadable } => log::warn!(
             uptime, entries = *unreadable as u64; "store: entries that are no records of nodes"
         ),
-        Note::StoreReturned {
+        LogRecord::StoreRestored {
             before,
             epoch,
             configuration,
@@ -223,7 +231,7 @@
             uptime, before = before.0, epoch = epoch.0, configuration,
             peer = peer.as_deref().unwrap_or_default(); "store: back from a copy"
         ),
-        Note::Watch {
+        LogRecord::Watch {
             is_watching,
             fresh,
             preceding,
@@ -231,23 +239,23 @@
             uptime, is_watching, fresh = *fresh as u64, preceding;
             "store: watch"
         ),
-        Note::Freshness {
+        LogRecord::Freshness {
             is_proven,
             proof_age_millis,
         } => log::info!(
             uptime, is_proven, proof_age_millis = age_or_none(*proof_age_millis); "configuration: freshness"
         ),
-        Note::BucketOffer { offers, peers } => log::info!(
+        LogRecord::BucketOffer { offers, peers } => log::info!(
             uptime, offers, peers = *peers as u64; "limits: offer to own buckets"
         ),
-        Note::TenantLimit {
+        LogRecord::TenantLimit {
             tenant,
             granted,
             wait_millis,
         } => log::info!(
             uptime, tenant = tenant.as_str(), granted, wait_millis; "limits: tenant at its limit"
         ),
-        Note::Lifecycle { state, in_flight } => log::info!(
+        LogRecord::Lifecycle { state, in_flight } => log::info!(
             uptime, state = *state, in_flight = *in_flight as u64; "node: lifecycle"
         ),
     }
--- a/crates/rillgap-sidecar/src/metrics.rs
+++ b/crates/rillgap-sidecar/src/metrics.rs
@@ -10,7 +10,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Registry, Unit};
-use rillgap_forward::note::Note;
+use rillgap_forward::log_record::LogRecord;
 use rillgap_forward::store_sync::StoreReply;
 
 /// Lower end of the latency buckets in seconds.
@@ -155,9 +155,9 @@
     }
 
     /// Counts what a record for the log tells.
-    pub fn observe(&self, note: &Note) {
+    pub fn observe(&self, note: &LogRecord) {
         match note {
-            Note::Answered {
+            LogRecord::Answered {
                 status,
                 code,
                 elapsed_micros,
@@ -179,18 +179,18 @@
                     self.forwarding.observe(added as f64 / 1e6);
                 }
             }
-            Note::Moved { paid, .. } => {
+            LogRecord::Retried { paid, .. } => {
                 let paid = if *paid { "yes" } else { "no" };
                 self.moves.get_or_create(&MoveLabels { paid }).inc();
             }
-            Note::NotAnswered { code, .. } => {
+            LogRecord::NotAnswered { code, .. } => {
                 let code = code.number();
                 self.failures.get_or_create(&CodeLabels { code }).inc();
             }
-            Note::BackEndCrashed { .. } => {
+            LogRecord::BackEndCrashed { .. } => {
                 self.back_end_crashes.inc();
             }
-            Note::UnreadableRecords { unreadable } => {
+            LogRecord::UnreadableRecords { unreadable } => {
                 self.unreadable_records.inc_by(*unreadable as u64);
             }
             _ => {}
--- a/crates/rillgap-sidecar/tests/frames.rs
+++ b/crates/rillgap-sidecar/tests/frames.rs
@@ -9,7 +9,7 @@
 use rillgap_forward::id::Sequence;
 use rillgap_forward::message::{
     ForwardResponse, ForwardResult, ForwardedAnswer, ForwardedRequest, Hello, LinkMessage, Load,
-    NodeRecord, ServiceLevel, Status, Timing, level_of,
+    NodeRecord, ServiceAdmissionLevel, Status, Timing, level_of,
 };
 use rillgap_forward::store_epoch::StoreEpoch;
 use rillgap_sidecar::link::{FrameDecoder, FrameEncoder, FrameError};
@@ -45,7 +45,7 @@
                 tenant: Some("t".to_owned()),
                 level: level_of(2, "id"),
                 is_call: false,
-                is_repeat: false,
+                is_retry: false,
                 remaining_micros: 1,
                 queue_limit_micros: 2,
             }),
@@ -54,7 +54,7 @@
         LinkMessage::Response(ForwardResponse {
             sequence: Sequence(5),
             load: Load::default(),
-            involved: vec![ServiceLevel {
+            downstream_levels: vec![ServiceAdmissionLevel {
                 service: "s".to_owned(),
                 level: level_of(1, "id"),
             }],
@@ -69,7 +69,7 @@
         LinkMessage::Response(ForwardResponse {
             sequence: Sequence(7),
             load: Load::default(),
-            involved: vec![ServiceLevel {
+            downstream_levels: vec![ServiceAdmissionLevel {
                 service: "s".to_owned(),
                 level: level_of(1, "id"),
             }],
@@ -84,8 +84,8 @@
         LinkMessage::StoreEpoch(StoreEpoch(4)),
         LinkMessage::Follow(true),
         LinkMessage::Follow(false),
-        LinkMessage::StoreNews(Some(1_200)),
-        LinkMessage::StoreNews(None),
+        LinkMessage::StoreContact(Some(1_200)),
+        LinkMessage::StoreContact(None),
         LinkMessage::Pong,
         LinkMessage::ConfigurationOffer(8),
         LinkMessage::ConfigurationQuery(9),
