--- a/crates/rillgap-forward/src/balancer.rs
+++ b/crates/rillgap-forward/src/balancer.rs
@@ -1,12 +1,13 @@
 //! Choice of the node that runs a request.
 //!
-//! Of two nodes of the own zone and two of other zones, drawn at random, the one of the lowest
-//! cost is taken. Back ends that fail many requests stand apart: they are drawn as a third kind, and
-//! what they fail is added to their cost, so they get requests when the others are full. The cost is
-//! the load as a share of the limit, plus the time that the back end takes as a share of the time that
-//! the request has, plus a penalty for leaving the zone. Slowness is added, not multiplied: a slow back
-//! end is spared while there is room elsewhere, but when the fast ones fill up its slots are needed.
-//! For the same reason the penalty vanishes as the own zone fills up.
+//! Two nodes of the own zone and two of other zones are drawn at random, and the one with the
+//! lowest cost is chosen. Back ends with a high failure rate form a third group, from which two are
+//! drawn as well; their failure rate is added to their cost, so they get requests when the others
+//! are full. The cost is the sum of the load as a fraction of the limit, the mean service time as a
+//! fraction of the request's remaining time, and a penalty for leaving the zone. Slowness is added,
+//! not multiplied: a slow back end is avoided while others have capacity, but its slots are used
+//! when the fast ones fill up. For the same reason the penalty decreases to 0 as the own zone fills
+//! up.
 
 use std::time::Duration;
 
@@ -15,37 +16,38 @@
 
 use crate::inbound::FAILURE_THRESHOLD_PERMILLE;
 
-/// Cost of leaving a zone that is idle, in shares of a back end's limit.
+/// Cost of leaving an idle zone, as a fraction of a back end's limit.
 const CROSS_ZONE_PENALTY: f64 = 0.3;
-/// Load of the own zone up to which the whole penalty counts, and from which none does: back ends queue only when they
-/// are nearly full, and leaving the zone earlier costs bytes between zones for nothing.
+/// Utilization of the own zone up to which the full penalty applies, and from which none applies.
+/// Back ends queue requests only when they are nearly full; leaving the zone earlier would cause
+/// traffic between zones without benefit.
 const PENALTY_FADES: (f64, f64) = (0.7, 0.95);
-/// Cost of a mean time as long as the time that the request has. Some requests take several times the mean, so those at
-/// a back end whose mean is a fifth of that time may come too late; its cost outweighs the penalty for leaving the
-/// zone.
+/// Cost of a mean service time equal to the request's remaining time. Some requests take several
+/// times the mean, so a back end whose mean is a fifth of the remaining time may miss the deadline;
+/// its cost exceeds the penalty for leaving the zone.
 const SLOWNESS_COST: f64 = 2.0;
-/// Largest share of the time that a request has which counts.
+/// Maximum slowness that is counted: mean service time as a fraction of the remaining time.
 const MOST_SLOWNESS: f64 = 1.0;
-/// Cost of failing every request. A back end that fails half of them gets requests when the others
-/// are full.
+/// Cost of a back end that fails every request. One that fails half of them gets requests when the
+/// others are full.
 const FAILURE_COST: f64 = 2.0;
-/// Candidates drawn of each kind.
+/// Number of candidates drawn from each group.
 const DRAWN: usize = 2;
 
-/// A node whose back end takes requests.
+/// A node whose back end is serving.
 #[derive(Clone, Debug)]
 pub struct Candidate<T> {
-    /// What the caller wants back.
+    /// Value that [`Balancer::choose`] returns for this candidate.
     pub target: T,
-    /// Whether it is in the own zone.
+    /// Whether the node is in the own zone.
     pub is_local: bool,
-    /// Requests there as a share of its limit.
+    /// Requests at the node as a fraction of its limit.
     pub utilization: f64,
-    /// Requests that may run at once there.
+    /// Number of requests that may run at the node concurrently.
     pub limit: u32,
-    /// Mean time that a request takes there, in microseconds; 0 if unknown.
+    /// Mean service time of the node's back end, in microseconds; 0 if unknown.
     pub mean_micros: u32,
-    /// Share of requests that the back end itself fails, in thousandths.
+    /// Fraction of requests that the back end itself fails, in thousandths.
     pub failing_permille: u32,
 }
 
@@ -60,7 +62,7 @@
     }
 }
 
-/// Chooses among candidates.
+/// Chooses the node for an attempt among candidates, with random draws.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     random: ChaCha8Rng,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Chooses a candidate for a request that has so much time left; `None` if there is none.
+    /// Chooses a candidate for a request with this remaining time; `None` without candidates.
     pub fn choose<T>(&mut self, candidates: Vec<Candidate<T>>, remaining: Duration) -> Option<T> {
         let remaining_micros = remaining.as_micros().max(1) as f64;
         let (failing, sound): (Vec<_>, Vec<_>) = candidates
@@ -104,13 +106,13 @@
         drawn
     }
 
-    /// Draws a number below `bound`, which is small.
+    /// Returns a random number below `bound`, which must be small: bias is not corrected.
     fn draw(&mut self, bound: usize) -> usize {
         ((u64::from(self.random.next_u32()) * bound as u64) >> 32) as usize
     }
 }
 
-/// Returns the cost of leaving a zone with these back ends.
+/// Returns the cost of leaving a zone that has these candidates.
 fn cross_zone_penalty<T>(local: &[Candidate<T>]) -> f64 {
     let least = local
         .iter()
--- a/crates/rillgap-forward/src/outbound/admission.rs
+++ b/crates/rillgap-forward/src/outbound/admission.rs
@@ -1,9 +1,10 @@
-//! Refusal at the entry of requests that a service further down would shed.
+//! Admission control at the entry node.
 //!
-//! A chain that is overloaded at its deepest service is refused where it begins, before any work is
-//! done for it. Each node beside a back end publishes the level below which it would shed; answers
-//! carry the levels of all services that they involved, so an entry learns both which services a route
-//! depends on and how they stand. A request is let in if its level is at least the highest of those.
+//! A request whose chain of calls would be shed at a service further down is refused at the entry
+//! node, before any work is done for it. Each node with a back end publishes the admission level
+//! below which it sheds requests. Answers carry the levels of all services that were called for
+//! them, so an entry node records both which services a route involves and their current levels. It
+//! admits a request whose level is at least the highest of these.
 
 use std::collections::BTreeMap;
 
@@ -12,48 +13,51 @@
 
 use crate::message::{ServiceAdmissionLevel, priority_of};
 
-/// Move of a service's level at which the log tells it: a tenth of a tier.
+/// Smallest change of a service's level that is logged: a tenth of a tier.
 const REPORTED_MOVE: f64 = Level::PER_TIER as f64 / 10.0;
 
-/// Change of what an entry lets in for the sake of a service.
+/// Change of the admission threshold that a service's level sets for an entry node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct AdmissionChange {
-    /// The service.
+    /// Service whose level has changed.
     pub service: String,
-    /// Lowest priority of which anything is let in.
+    /// Lowest priority of which requests are admitted.
     pub priority: u8,
-    /// Share of that priority that is let in, in percent; more important requests are let in whole.
+    /// Part of that priority's requests that is admitted, in percent. Requests of more important
+    /// priorities are all admitted.
     pub admitted_percent: u32,
 }
 
-/// Levels of one service, and what was last told of them.
+/// Admission levels of one service.
 #[derive(Clone, Debug, Default)]
 struct KnownService {
-    /// By the nodes beside its back ends. Only these are passed on: nodes that passed on what they
-    /// heard from each other would keep an old level alive.
+    /// Levels published by the nodes of the service's own back ends. Only these are sent on to
+    /// other nodes: if nodes relayed levels received from each other, outdated levels would
+    /// circulate.
     own: ServiceLevels<String>,
-    /// The same, and those that other nodes have passed on.
+    /// Levels of `own`, and levels that other nodes have relayed.
     all: ServiceLevels<String>,
+    /// Level that was last logged.
     reported: f64,
 }
 
-/// Admission at the entry.
+/// Admission state of an entry node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EntryAdmission {
     services: BTreeMap<String, KnownService>,
-    /// By route and the service that it leads to.
+    /// Services that requests involve, by route and by the service that the request is sent to.
     involvement: BTreeMap<String, BTreeMap<String, Involvement<String>>>,
 }
 
 impl EntryAdmission {
-    /// Takes in the level that a node beside a back end of the service publishes.
+    /// Records the level published by `reporter`, a node with a back end of the service.
     pub fn observe(&mut self, now: Instant, service: &str, reporter: &str, level: Level) {
         let known = self.known(service);
         known.own.report(now, reporter.to_owned(), level);
         known.all.report(now, reporter.to_owned(), level);
     }
 
-    /// Takes in the level of a service that `reporter` has passed on.
+    /// Records the level of a service that `reporter` has relayed.
     pub fn observe_relayed(
         &mut self,
         now: Instant,
@@ -64,8 +68,8 @@
         known.all.report(now, reporter.to_owned(), involved.level);
     }
 
-    /// Learns from an answer to a caller's request which services the route involves. A failure tells some
-    /// of them: while nothing succeeds, that is all there is to learn from.
+    /// Records which services the answer to a caller's request involved. A failed request may have
+    /// reached only some of them, but its answer is the only source while no request succeeds.
     pub fn learn(
         &mut self,
         route: &str,
@@ -93,18 +97,19 @@
         }
     }
 
-    /// Decides whether a caller's request is let in.
+    /// Returns whether a caller's request is admitted.
     pub fn admits(&self, now: Instant, route: &str, service: &str, level: Level) -> bool {
         f64::from(level.0) >= self.threshold(now, route, service).floor()
     }
 
-    /// Returns the level of a service as the nodes beside its back ends publish it.
+    /// Returns the level of a service as published by the nodes of its own back ends.
     pub fn published_level(&self, now: Instant, service: &str) -> Level {
         let known = self.services.get(service);
         Level(known.map_or(0.0, |known| known.own.at(now)) as u32)
     }
 
-    /// Returns what has changed by a tenth of a tier or more since the last look.
+    /// Returns the services whose level differs by a tenth of a tier or more from the level that
+    /// was last logged, or has fallen to 0, and records their levels as logged.
     pub fn take_changes(&mut self, now: Instant) -> Vec<AdmissionChange> {
         let mut changes = Vec::new();
         for (service, known) in &mut self.services {
@@ -119,7 +124,7 @@
         changes
     }
 
-    /// Returns the highest level over the services that a request of the route involves.
+    /// Returns the highest level of the services that a request of the route involves.
     fn threshold(&self, now: Instant, route: &str, service: &str) -> f64 {
         let own = self.level_at(now, service);
         let by_service = self.involvement.get(route);
--- a/crates/rillgap-forward/src/outbound/answer.rs
+++ b/crates/rillgap-forward/src/outbound/answer.rs
@@ -1,24 +1,24 @@
-//! Answers of the node's own.
+//! Answers that the node itself sends instead of a back end's.
 
 use rillgap_core::code::{Outcome, ResultCode};
 
 use crate::action::CallerAnswer;
 
-/// Status of an answer that promises nothing because the request may have run.
+/// Status for a request that may have run, with unknown outcome.
 const UNKNOWN_STATUS: u16 = 502;
-/// Status of an answer to a request whose time is over and that may have run.
+/// Status for a request that passed its deadline and may have run.
 const TIMEOUT_STATUS: u16 = 504;
-/// Status of an answer to a request that did not run and may be sent again.
+/// Status for a request that did not run and may be sent again.
 const NOT_RUN_STATUS: u16 = 503;
-/// Status of an answer to a request of a tenant that is at its limit.
+/// Status for a request of a tenant that has reached its rate limit.
 const LIMIT_STATUS: u16 = 429;
-/// Time after which to come back if nothing better is known, in milliseconds.
+/// Minimum and default of the `Retry-After` field, in milliseconds.
 const RETRY_AFTER_MILLIS: u32 = 100;
 
-/// Returns the answer for a result of the node's own.
+/// Returns the answer for a result code.
 ///
-/// `may_have_run` overrides what the code says: after an attempt whose fate is unknown, a later
-/// refusal proves nothing.
+/// `may_have_run` overrides the outcome of the code: after an attempt with unknown outcome, a later
+/// refusal does not prove that the request did not run.
 pub(super) fn own(
     code: ResultCode,
     retry_after_millis: u32,
--- a/crates/rillgap-forward/src/outbound/attempts.rs
+++ b/crates/rillgap-forward/src/outbound/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: which node gets a request, and how an attempt ends.
+//! Attempts of a request: choice of the node, dispatch, cancellation and end.
 
 use rillgap_core::time::Instant;
 
@@ -10,7 +10,7 @@
 use crate::message::{LinkMessage, Load};
 
 impl Outbound {
-    /// Sends a request to a node that it has not been sent to, or answers it.
+    /// Sends a request to a node that it has not been sent to yet, or answers it if there is none.
     pub(super) fn dispatch(
         &mut self,
         now: Instant,
@@ -88,7 +88,7 @@
             .collect()
     }
 
-    /// Ends the attempt of a request that goes on.
+    /// Cancels the attempt in flight, if any, of a request that stays registered.
     pub(super) fn withdraw_attempt(&mut self, key: RequestKey, context: &mut OutboundContext<'_>) {
         if let Some(mut request) = self.requests.remove(&key) {
             self.cancel_attempt(&mut request, context);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Tells the node that works on a request that nobody waits for it.
+    /// Ends the attempt in flight, if any, and sends its node a cancellation.
     pub(super) fn cancel_attempt(
         &mut self,
         request: &mut Request,
--- a/crates/rillgap-forward/src/outbound/ending.rs
+++ b/crates/rillgap-forward/src/outbound/ending.rs
@@ -1,4 +1,4 @@
-//! How requests end: with an answer of a back end, or of the node's own.
+//! Completion of requests, with the answer of a back end or with one that the node itself makes.
 
 use rillgap_core::code::ResultCode;
 use rillgap_core::time::Instant;
@@ -13,7 +13,7 @@
 use crate::message::{ForwardedAnswer, Timing};
 
 impl Outbound {
-    /// Answers with what a back end has answered.
+    /// Completes a request with the answer of a back end.
     pub(super) fn finish_forwarded(
         &mut self,
         now: Instant,
@@ -43,7 +43,7 @@
         self.answer_own(now, key, ResultCode::NoBackEnd, retry_after, context);
     }
 
-    /// Answers a request whose time is over.
+    /// Completes a request whose deadline has passed.
     pub(super) fn give_up(
         &mut self,
         now: Instant,
@@ -64,7 +64,7 @@
         self.answer_own(now, key, code, 0, context);
     }
 
-    /// Answers with a result of the node's own.
+    /// Completes a request with a result code, or with the failure of a back end if one was kept.
     pub(super) fn answer_own(
         &mut self,
         now: Instant,
@@ -76,7 +76,7 @@
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
-        // A back end's own failure says more than that a second try came to nothing.
+        // The failure that a back end answered says more than the result of an unsuccessful retry.
         if let Some(forwarded) = request.failed_answer.take() {
             self.finish_forwarded(now, key, forwarded, context);
             return;
@@ -127,7 +127,7 @@
         });
     }
 
-    /// Tells the inbound side how a call of the back end has ended.
+    /// Queues the outcome of a call of the local back end for the inbound side.
     fn count_outcome(&mut self, request: Request, status: u16) {
         let Some(parent_id) = request.parent_id else {
             return;
@@ -171,7 +171,7 @@
         });
     }
 
-    /// Forgets a request.
+    /// Removes a request together with its deadline.
     pub(super) fn take(&mut self, key: RequestKey) -> Option<Request> {
         let request = self.requests.remove(&key)?;
         self.deadlines.remove(&(request.deadline, key));
--- a/crates/rillgap-forward/src/outbound/intake.rs
+++ b/crates/rillgap-forward/src/outbound/intake.rs
@@ -1,4 +1,4 @@
-//! What is checked before a request is sent anywhere.
+//! Checks of a request before its first attempt.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use crate::log_record::LogRecord;
 use crate::message::{ForwardedRequest, content_fingerprint, level_for_tenant};
 
-/// What the configuration says of a request.
+/// Configuration entries that apply to a request.
 struct Known<'a> {
     table: &'a RouteTable,
     route: Arc<Route>,
@@ -25,7 +25,7 @@
 }
 
 impl Outbound {
-    /// Checks a request and finds its tenant, route and service.
+    /// Checks a request, resolves its tenant, route and service, and builds its state.
     pub(super) fn prepare(
         &mut self,
         now: Instant,
@@ -105,7 +105,7 @@
     }
 }
 
-/// Finds what the configuration says of a request.
+/// Resolves the configuration entries for a request and authenticates its tenant.
 fn look_up<'a>(
     caller: &CallerRequest,
     origin: Origin,
@@ -133,7 +133,8 @@
     })
 }
 
-/// Returns the fingerprint of what a request asks for, if any requests are treated in another way than others.
+/// Returns the fingerprint of a request's content (route, method, target, tenant and body), or
+/// `None` while no content is recurrent or quarantined, so that none needs to be computed.
 fn watched_content(
     caller: &CallerRequest,
     route: &Route,
@@ -163,7 +164,8 @@
     context.inbound.crashes().suspicion(now, content) == Suspicion::Quarantined
 }
 
-/// Returns the admission level of a caller's request.
+/// Returns the admission level of a caller's request: by the priority of its tenant, if that has
+/// one, else by the priority of the route.
 fn level_of_caller(caller: &CallerRequest, route: &Route, tenant: Option<&Tenant>) -> Level {
     let priority = tenant
         .and_then(|tenant| tenant.priority)
--- a/crates/rillgap-forward/src/outbound/mod.rs
+++ b/crates/rillgap-forward/src/outbound/mod.rs
@@ -1,9 +1,9 @@
-//! Requests that begin at this node: of its callers and of the back end beside it.
+//! Outbound side of a node: requests of its callers and of its local back end.
 //!
-//! A request has one owner from its first byte to its answer: the node that took it in. The owner
-//! chooses the node that runs it, keeps its deadline, pays for repeats and answers. It hands a
-//! request that may run only once to a second node only with the first one's word that it did not
-//! run and never will.
+//! One node is responsible for a request from its first byte to its answer: the node that received
+//! it. This node chooses where the request runs, enforces its deadline, spends retry budget on it
+//! and answers it. It sends a request that may run only once to a second node only after the first
+//! one has reported that the request did not run there and never will.
 
 mod admission;
 mod answer;
@@ -40,21 +40,23 @@
 use tenancy::Refusal;
 use weights::WeightedChoice;
 
-/// Share of the target latency for which a caller's request may wait in a queue. Those that wait longer are mostly not
-/// served in time, and fail after work was done for them.
+/// Fraction of the route's target latency for which a caller's request may wait in queues. Requests
+/// that wait longer are mostly not served in time, and fail after work was done for them.
 const QUEUE_SHARE: f64 = 0.2;
-/// Share of the target latency for which a back end's own request may wait in a queue: it is one
-/// of several that follow each other within the time of one caller's request.
+/// Fraction of the route's target latency for which a back end's call may wait in queues. Several
+/// calls follow each other within the time of one caller's request.
 const CALL_QUEUE_SHARE: f64 = 0.33;
-/// Most moves of a request to another node while no back end was reached: they cost no budget.
+/// Maximum number of retries of a request after an attempt that reached no back end. Such a retry
+/// spends no budget.
 const MOST_FREE_MOVES: u32 = 3;
-/// Most moves in all: enough for nearly every call where back ends refuse half of what they get.
+/// Maximum number of retries of a request in total: enough for nearly every call to succeed where
+/// back ends refuse half of the requests.
 const MOST_MOVES: u32 = 6;
-/// Time after which to come back when no back end takes requests, in milliseconds.
+/// `Retry-After` of a request for which no back end is available, in milliseconds.
 const NO_BACK_END_MILLIS: u32 = 250;
-/// Time between two looks at what the log tells of admission.
+/// Interval at which changes of admission are logged.
 const ADMISSION_REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Time after which to come back when requests are throttled, in milliseconds.
+/// `Retry-After` of a request that admission control refuses, in milliseconds.
 const THROTTLED_MILLIS: u32 = 300;
 
 /// Node that may run an attempt.
@@ -62,48 +64,51 @@
 enum Target {
     /// This node.
     Own,
-    /// A peer, over the link in use.
+    /// A peer, over its open link.
     Peer(PeerIndex, LinkId),
 }
 
-/// Where a request comes from.
+/// Source of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A caller.
+    /// A caller, or the local back end outside of the requests that it is running.
     Caller,
-    /// The back end beside the node, for a request that it works on.
+    /// The local back end, as a call for a request that it is running.
     BackEnd {
-        /// Admission level of the root of the chain.
+        /// Admission level of the root request of the chain.
         level: Level,
-        /// Whether a request further up the chain was sent to a back end before.
+        /// Whether a request further up the chain is a retry.
         is_retry: bool,
     },
 }
 
-/// What the outbound side consults.
+/// State of the node that the outbound side uses to handle an event.
 #[derive(Debug)]
 pub struct OutboundContext<'a> {
-    /// Configuration in force.
+    /// Configuration in force; `None` before the first one.
     pub table: Option<&'a RouteTable>,
-    /// Peers.
+    /// Peers that are known to this node, with their links and loads.
     pub directory: &'a mut Directory,
-    /// The back end beside the node.
+    /// Inbound side of this node, with the local back end.
     pub inbound: &'a Inbound,
-    /// Whether the configuration is known to be fresh enough to trust keys.
+    /// Whether the configuration is known to be recent enough to check callers' keys by it.
     pub is_configuration_fresh: bool,
-    /// Age of the proof of that, in milliseconds.
+    /// Age of the last proof that the configuration is the newest, in milliseconds; `None` without
+    /// a proof.
     pub proof_age_millis: Option<u64>,
     /// Whether the node is in a planned stop.
     pub is_stopping: bool,
-    /// Whether callers' requests are refused: they may still be under way when a planned stop ends.
+    /// Whether callers' requests are refused, because they could still be in flight when a planned
+    /// stop ends.
     pub refuses_callers: bool,
-    /// Whether the process is about to end: nothing new can be finished.
+    /// Whether the process is about to exit. All new requests are refused, as none could be
+    /// completed.
     pub is_exiting: bool,
-    /// Actions for the driver.
+    /// Receives the actions that the driver has to carry out.
     pub out: &'a mut Actions,
 }
 
-/// The outbound side of a node.
+/// Outbound side of a node: its unanswered requests and the state for routing and admission.
 #[derive(Debug)]
 pub struct Outbound {
     own_name: String,
@@ -123,7 +128,7 @@
 }
 
 impl Outbound {
-    /// Creates the outbound side of a fresh node.
+    /// Creates the outbound side of a node that has just started.
     pub fn new(settings: &ForwardSettings) -> Self {
         Self {
             own_name: settings.record.name.clone(),
@@ -143,12 +148,12 @@
         }
     }
 
-    /// Returns the number of requests without an answer.
+    /// Returns the number of requests that have not been answered yet.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes in a request.
+    /// Handles a new request: checks it, then sends it to a node or refuses it.
     pub fn on_request(
         &mut self,
         now: Instant,
@@ -186,7 +191,7 @@
         self.dispatch_within_limit(now, key, context);
     }
 
-    /// Takes in that a caller has gone.
+    /// Cancels all requests of a caller's connection that was closed.
     pub fn on_caller_gone(&mut self, connection: ConnectionId, context: &mut OutboundContext<'_>) {
         let first = RequestKey::first(connection);
         let last = RequestKey::last(connection);
@@ -206,7 +211,7 @@
         }
     }
 
-    /// Takes in the answer of the node that was asked.
+    /// Handles the response of a node to an attempt.
     pub fn on_response(
         &mut self,
         now: Instant,
@@ -218,7 +223,7 @@
         if let Some(key) = key {
             self.end_attempt(key, context);
         }
-        // The load that is told does not hold the answered request any more.
+        // Recorded after the end of the attempt: the load does not include the answered request.
         if let Some(peer) = context.directory.by_link(link) {
             peer.observe_load(response.load);
         }
@@ -233,7 +238,7 @@
         self.on_result(now, key, response.result, context);
     }
 
-    /// Takes in that a link has ended: what was sent on it may have run.
+    /// Handles the end of a link: attempts that were sent on it may have run.
     pub fn on_link_closed(
         &mut self,
         now: Instant,
@@ -249,7 +254,8 @@
         }
     }
 
-    /// Answers requests whose time is over, and moves the admitted shares.
+    /// Logs changes of admission, and answers requests that have waited too long for a token or
+    /// whose deadline has passed.
     pub fn poll(&mut self, now: Instant, context: &mut OutboundContext<'_>) {
         if now >= self.next_admission_report {
             self.next_admission_report = now + ADMISSION_REPORT_INTERVAL;
@@ -264,7 +270,7 @@
         }
     }
 
-    /// Takes in the level of a peer's back end.
+    /// Records the admission level that a peer publishes for its back end.
     pub fn on_status(&mut self, now: Instant, peer: &str, status: &Status) {
         if status.is_serving {
             let level = status.load.level;
@@ -272,7 +278,7 @@
         }
     }
 
-    /// Takes in the levels of the services that an answer involved.
+    /// Records the levels of the services that an answer involved.
     fn observe_levels(
         &mut self,
         now: Instant,
@@ -314,7 +320,7 @@
         }
     }
 
-    /// Tells the log what has changed in what is let in.
+    /// Logs changes of admission.
     fn report_admission(&mut self, now: Instant, context: &mut OutboundContext<'_>) {
         for change in self.admission.take_changes(now) {
             context.out.push(Action::Log(LogRecord::Admission {
@@ -325,8 +331,8 @@
         }
     }
 
-    /// Returns what became of the back end's calls since the last look, by the request that each is
-    /// made for.
+    /// Returns the updates on calls of the local back end that were queued since the last call of
+    /// this function.
     pub fn take_call_updates(&mut self) -> Vec<CallUpdate> {
         std::mem::take(&mut self.call_updates)
     }
@@ -338,8 +344,7 @@
     }
 }
 
-/// Returns the longest time for which a request may still wait in queues, `elapsed` after its
-/// arrival.
+/// Returns how long a request that arrived `elapsed` ago may still wait in queues.
 fn queue_limit(route: &Route, is_call: bool, elapsed: Duration) -> Duration {
     let share = if is_call {
         CALL_QUEUE_SHARE
--- a/crates/rillgap-forward/src/outbound/request.rs
+++ b/crates/rillgap-forward/src/outbound/request.rs
@@ -1,4 +1,4 @@
-//! State of one request at the node that took it in.
+//! State of one request at the node that received it.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::id::{ConnectionId, LinkId, PipelineIndex, Sequence};
 use crate::message::{ForwardedAnswer, ForwardedRequest, ServiceAdmissionLevel, Timing};
 
-/// A request by its place on a connection.
+/// Identifies a request by its connection and its position there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RequestKey {
     pub connection: ConnectionId,
@@ -17,7 +17,7 @@
 }
 
 impl RequestKey {
-    /// Returns the key before all others of a connection.
+    /// Returns the lowest key of a connection.
     pub const fn first(connection: ConnectionId) -> Self {
         Self {
             connection,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Returns the key after all others of a connection.
+    /// Returns the highest key of a connection.
     pub const fn last(connection: ConnectionId) -> Self {
         Self {
             connection,
@@ -34,14 +34,14 @@
     }
 }
 
-/// An attempt that is under way.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     link: LinkId,
     sequence: Sequence,
 }
 
-/// State of one request.
+/// State of a request that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     pub arrived: Instant,
@@ -52,27 +52,27 @@
     pub parent_id: Option<String>,
     pub configuration: u64,
     pub forwarded: Arc<ForwardedRequest>,
-    /// Tenant whose limit the request counts for.
+    /// Tenant whose rate limit the request counts towards; `None` if it needs no token.
     pub limited_tenant: Option<String>,
-    /// Nodes that the request was sent to.
+    /// Names of the nodes that the request was sent to, in order.
     tried: Vec<String>,
-    /// Back ends that the request may have reached.
+    /// Number of back ends that the request may have reached.
     pub arrivals: u32,
-    /// Back ends among them that have refused to run the request.
+    /// Number of these back ends that have refused to run the request.
     pub refusals: u32,
-    /// Sends after the first.
+    /// Number of attempts after the first.
     pub moves: u32,
     /// Whether a back end may have worked on the request.
     pub may_have_run: bool,
-    /// Longest time after which a node that refused asked to come back.
+    /// Longest `Retry-After` among the refusals so far, in milliseconds; `None` without a refusal.
     pub retry_after_millis: Option<u32>,
-    /// Where the time of the last attempt went.
+    /// Time in the queue and at the back end of the last attempt.
     pub timing: Timing,
-    /// Whether the last attempt came to nothing because a call made for it has failed.
+    /// Whether the last attempt failed because a call made for it has failed.
     pub has_failed_call: bool,
-    /// Levels of the services that the last answer to a call involved.
+    /// Levels of the services that the last answer involved; empty unless the request is a call.
     pub involved: Vec<ServiceAdmissionLevel>,
-    /// Failure that a back end has answered, while another one is tried.
+    /// Failure that a back end answered, kept while another back end is tried.
     pub failed_answer: Option<ForwardedAnswer>,
     current: Option<Attempt>,
 }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Begins an attempt; returns the request as it is sent.
+    /// Begins an attempt at a node and returns the request as it is to be sent.
     pub fn begin_attempt(
         &mut self,
         now: Instant,
@@ -130,12 +130,12 @@
         self.forwarded.clone()
     }
 
-    /// Ends the attempt that is under way.
+    /// Ends the attempt in flight.
     pub fn end_attempt(&mut self) {
         self.current = None;
     }
 
-    /// Takes in that the last attempt did not run.
+    /// Records that the last attempt did not run; `arrived` tells whether it reached the back end.
     pub fn not_run(&mut self, arrived: bool, retry_after_millis: u32) {
         if arrived {
             self.refusals += 1;
@@ -146,7 +146,7 @@
         self.retry_after_millis = Some(longest);
     }
 
-    /// Returns the back ends that may have run the request.
+    /// Returns the number of back ends that may have run the request.
     pub const fn runs(&self) -> u32 {
         self.arrivals - self.refusals
     }
--- a/crates/rillgap-forward/src/outbound/results.rs
+++ b/crates/rillgap-forward/src/outbound/results.rs
@@ -1,4 +1,4 @@
-//! What follows from the word of the node that was asked.
+//! Handling of the result of an attempt: answer, retry on another node, or refusal.
 
 use rillgap_core::code::ResultCode;
 use rillgap_core::time::Instant;
@@ -10,8 +10,9 @@
 use crate::log_record::LogRecord;
 use crate::message::{ForwardResult, ForwardedAnswer};
 
-/// Back ends from which on a request is repeated at once after a crash under it: the repeat may end one more of them, and
-/// where there are few the others lose much of the service.
+/// Minimum number of serving back ends for an immediate retry of a request during which a back end
+/// crashed. The retry may crash another one; with few back ends, that takes away much of the
+/// service's capacity.
 const LEAST_EXPOSED: usize = 4;
 
 impl Outbound {
@@ -44,8 +45,8 @@
             return;
         };
         request.may_have_run = true;
-        // A call that failed was repeated where it was made, as far as the budget reached. Repeating the
-        // whole chain above it would cost a repeat at every service of the chain.
+        // A failed call was already retried by the node that made it, within the budget. Retrying
+        // the whole chain above it would cost a retry at every service of the chain.
         let is_failure = forwarded.status >= 500 && !request.has_failed_call;
         if is_failure && self.has_other_target(key, context) && self.may_repeat(now, key, context) {
             if let Some(request) = self.requests.get_mut(&key) {
@@ -57,7 +58,8 @@
         let Some(request) = self.requests.get(&key) else {
             return;
         };
-        // A promise that the request did not run is only the system's to give.
+        // These statuses tell the caller that the request did not run. Only a node can know this,
+        // so a back end's status is not passed on for a request that may run only once.
         let breaks_promise = matches!(forwarded.status, 408 | 421 | 429 | 503);
         if breaks_promise && !request.route.is_idempotent() {
             self.answer_own(now, key, ResultCode::AnswerLost, 0, context);
@@ -81,8 +83,8 @@
         request.not_run(arrived, retry_after_millis);
         let most_moves = if arrived { MOST_MOVES } else { MOST_FREE_MOVES };
         let moves_left = request.moves < most_moves;
-        // A queue that is full here is likely to be short elsewhere; a deadline that cannot be
-        // met is not.
+        // If one node's queue is full, another's is likely to be shorter. If one node cannot meet
+        // the deadline, another is unlikely to meet it.
         let worth_moving = match code {
             ResultCode::DeadlineUnmet => request.is_call,
             ResultCode::Quarantined => false,
@@ -119,8 +121,8 @@
         self.answer_own(now, key, code, 0, context);
     }
 
-    /// Returns whether a request that has reached a back end may be sent to another one, and pays
-    /// for it.
+    /// Spends one retry on a request that has reached a back end, if it may be sent to another
+    /// one. Returns whether it may.
     pub(super) fn may_repeat(
         &mut self,
         now: Instant,
@@ -131,12 +133,12 @@
             return false;
         };
         let has_time = request.deadline > now;
-        // An attempt that is under way may be running: only the other node's word ends that.
+        // An attempt in flight may be running until its node has reported a result.
         let has_not_run = !request.may_have_run && request.current().is_none();
         let may_run_again = request.route.is_idempotent() || has_not_run;
         // A back end that has refused to run the request does not count.
         let attempts_left = request.runs() < request.route.max_attempts;
-        // Several back ends have ended under it: the next one is not exposed to it at once.
+        // Several back ends have crashed while running this content: no immediate retry.
         let is_recurrent =
             context.inbound.suspicion(now, &request.forwarded) >= Suspicion::Recurrent;
         if !has_time || !may_run_again || !attempts_left || is_recurrent {
@@ -175,12 +177,13 @@
     }
 }
 
-/// Returns whether a service has enough back ends to repeat a request under which one has just ended.
+/// Returns whether a service has enough back ends for an immediate retry of a request during which
+/// one of them crashed.
 fn may_lose_one_more(service: &str, context: &OutboundContext<'_>) -> bool {
     serving_nodes(service, context) >= LEAST_EXPOSED
 }
 
-/// Returns how many nodes, as far as this one knows, have a back end of a service that takes requests.
+/// Returns the number of nodes known to this one that have a serving back end of a service.
 fn serving_nodes(service: &str, context: &OutboundContext<'_>) -> usize {
     let own = context.inbound.is_serving() && context.inbound.service() == service;
     let peers = context.directory.linked(service);
--- a/crates/rillgap-forward/src/outbound/tenancy.rs
+++ b/crates/rillgap-forward/src/outbound/tenancy.rs
@@ -1,4 +1,4 @@
-//! Who a request belongs to, and the tokens that a tenant's limit demands.
+//! Tenants of requests, and the tokens that a tenant's rate limit requires.
 
 use std::sync::Arc;
 
@@ -12,23 +12,23 @@
 use crate::event::CallerRequest;
 use crate::rate_limit::entry::{Admission, TokenDemand};
 
-/// Time after which to come back while the configuration is not known to be fresh, in milliseconds: a
-/// few tries to prove it fit in.
+/// `Retry-After` while the configuration is not known to be recent, in milliseconds; long enough
+/// for several attempts to prove it.
 const UNPROVEN_MILLIS: u32 = 500;
-/// Time after which to come back while the owner of a tenant's bucket does not answer, in milliseconds:
-/// its successor takes over within that.
+/// `Retry-After` while the owner of a tenant's bucket does not answer, in milliseconds; its
+/// successor takes over within that time.
 const NO_OWNER_MILLIS: u32 = 500;
 
-/// Why a request is refused before it is sent anywhere.
+/// Refusal of a request before its first attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Refusal {
     pub code: ResultCode,
-    /// Time after which to come back, in milliseconds.
+    /// `Retry-After`, in milliseconds; 0 for the default.
     pub retry_after_millis: u32,
 }
 
 impl Refusal {
-    /// A refusal that names no time to come back.
+    /// Creates a refusal with the default `Retry-After`.
     pub const fn new(code: ResultCode) -> Self {
         Self {
             code,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Finds the tenant of a request; `None` if it needs none.
+/// Returns the tenant of a request; `None` if the request is accepted without one.
 pub(super) fn authenticate<'a>(
     table: &'a RouteTable,
     route: &Route,
@@ -52,7 +52,7 @@
     origin: Origin,
     is_proven: bool,
 ) -> Result<Option<&'a Arc<Tenant>>, Refusal> {
-    // A back end's call belongs to the request that it is made for, which has shown its key.
+    // A call belongs to the request that it is made for, whose key has been checked.
     if !table.has_tenants() || origin != Origin::Caller {
         return Ok(None);
     }
@@ -64,14 +64,14 @@
         return Ok(tenant.filter(|_| is_proven));
     }
     match (caller.credential, tenant) {
-        // Its identifier says that it is a call: the request that it is made for has just ended.
+        // The identifier is that of a call, and the request that it is made for has just ended.
         (Credential::Absent, _) if caller.parent_id.is_some() => {
             Err(Refusal::new(ResultCode::ParentEnded))
         }
         (Credential::Absent | Credential::Malformed, _) => {
             Err(Refusal::new(ResultCode::Unauthenticated))
         }
-        // Neither a known nor an unknown key is judged by a configuration that may be out of date.
+        // A configuration that may be outdated neither accepts nor rejects a key.
         (Credential::Key(_), _) if !is_proven => Err(Refusal::after(
             ResultCode::ConfigurationUnproven,
             UNPROVEN_MILLIS,
@@ -82,12 +82,13 @@
 }
 
 impl Outbound {
-    /// Returns the tokens to ask the owners of buckets for.
+    /// Returns the token queries that are due to be sent to the owners of buckets.
     pub fn token_queries_due(&mut self, now: Instant) -> Vec<TokenDemand> {
         self.tokens.queries_due(now)
     }
 
-    /// Sends a request once its tenant's limit lets it pass.
+    /// Sends a request to a node if it needs no token or gets one, leaves it waiting for a token,
+    /// or refuses it.
     pub(super) fn dispatch_within_limit(
         &mut self,
         now: Instant,
@@ -110,7 +111,8 @@
         }
     }
 
-    /// Takes in tokens of a tenant's bucket, or that there are none.
+    /// Handles the answer of a bucket's owner: sends waiting requests that get one of its tokens,
+    /// and refuses those for which there is none.
     pub fn on_tokens(
         &mut self,
         now: Instant,
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Takes in that nobody owns a tenant's bucket.
+    /// Refuses all requests that wait for tokens of a tenant whose bucket has no owner.
     pub fn on_no_owner(&mut self, now: Instant, tenant: &str, context: &mut OutboundContext<'_>) {
         for key in self.tokens.release_all(tenant) {
             self.refuse_without_owner(now, key, context);
@@ -172,7 +174,7 @@
         self.refuse_without_token(now, key, refusal, context);
     }
 
-    /// Refuses a request that has no token, so that none is given back for it.
+    /// Refuses a request that holds no token, so that none is returned to the tenant for it.
     fn refuse_without_token(
         &mut self,
         now: Instant,
--- a/crates/rillgap-forward/src/outbound/weights.rs
+++ b/crates/rillgap-forward/src/outbound/weights.rs
@@ -1,8 +1,8 @@
 //! Choice among the services of a route by their weights.
 //!
-//! Smooth weighted round robin: every span of requests holds each service's share as closely as
-//! whole requests allow. Each node starts at another place of the round, drawn evenly, so that the shares hold
-//! in the sum over nodes that see one request each.
+//! Smooth weighted round robin: any sequence of consecutive requests is divided by the weights as
+//! closely as whole requests allow. Each node starts at a different, uniformly distributed offset
+//! in the round, so that the weights also hold in the sum over nodes that receive one request each.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 
 use crate::configuration::{Route, WeightedService};
 
-/// Longest part of a round that a start passes over, in requests.
+/// Upper bound (exclusive) of the start offset in a round, in requests.
 const LONGEST_START: u64 = 10_000;
 
-/// Credits of a service in the round: the highest is chosen next.
+/// Credit of a service in a round. The service with the highest credit is chosen next.
 #[derive(Clone, Debug)]
 struct Credit {
     service: String,
@@ -21,7 +21,7 @@
     credit: i64,
 }
 
-/// Round of one route.
+/// Round-robin state of one route.
 #[derive(Clone, Debug)]
 struct Round {
     credits: Vec<Credit>,
@@ -29,7 +29,7 @@
 }
 
 impl Round {
-    /// Creates the round of a route, moved on by `place` requests.
+    /// Creates the round of a route, advanced by `place` requests modulo its length.
     fn new(route: &Route, place: u64) -> Self {
         let credits: Vec<Credit> = route.services.iter().map(first_credit).collect();
         let total = credits.iter().map(|credit| i64::from(credit.weight)).sum();
@@ -41,7 +41,7 @@
         round
     }
 
-    /// Returns whether the route still splits requests as this round does.
+    /// Returns whether the route still has the services and weights of this round.
     fn is_of(&self, route: &Route) -> bool {
         let is_same = |(credit, part): (&Credit, &WeightedService)| {
             credit.service == part.service && credit.weight == part.weight
@@ -57,7 +57,7 @@
         self.total.unsigned_abs() / divisor.max(1)
     }
 
-    /// Chooses the next service; returns its place in the route.
+    /// Chooses the next service and returns its index in the route.
     fn advance(&mut self) -> usize {
         for credit in &mut self.credits {
             credit.credit += i64::from(credit.weight);
@@ -70,7 +70,7 @@
     }
 }
 
-/// Position in each route's round.
+/// Round-robin state of all routes with several services.
 #[derive(Clone, Debug)]
 pub(super) struct WeightedChoice {
     seed: u64,
@@ -78,7 +78,7 @@
 }
 
 impl WeightedChoice {
-    /// Creates the choice of a fresh node.
+    /// Creates the state of a node that has just started; `seed` determines its start offsets.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Chooses the service of the route's next request; empty if the route has none.
+    /// Chooses the service for the route's next request; empty if the route has no services.
     pub fn choose<'a>(&mut self, route: &'a Route) -> &'a str {
         match route.services.as_slice() {
             [] => "",
@@ -110,9 +110,9 @@
         &route.services[round.advance()].service
     }
 
-    /// Returns the number of requests that the round of a route is moved on at its start. It follows from the
-    /// weights as well, so that a node which saw few requests before a change of weights is as likely as any
-    /// other to begin with each service.
+    /// Returns the offset at which the round of a route starts. The offset depends on the weights
+    /// as well: after a change of weights, a node that has received few requests is as likely as
+    /// any other node to start with each service.
     fn start(&self, route: &Route) -> u64 {
         let of_route = xxh3_64_with_seed(route.name.as_bytes(), self.seed);
         route.services.iter().fold(of_route, |hash, part| {
--- a/crates/rillgap-forward/src/retry_budget.rs
+++ b/crates/rillgap-forward/src/retry_budget.rs
@@ -1,23 +1,27 @@
-//! Repeated sends, bounded per service over a sliding window.
+//! Retry budget of a node, per service over a sliding window.
 //!
-//! The bound of a deployment is a sum over all nodes: repeats `R` of a service within a window are at most
-//! `ratio * Q + slack`, where `Q` are the requests for it. Nodes do not coordinate: each allows itself a share `U` of
-//! the ratio of its *own* requests, and on top its part of a share `F` of the slack, less what it has sent again.
+//! The bound of a deployment applies to the sum over all its nodes: within a window, the retries
+//! `R` of a service number at most `ratio * Q + slack`, where `Q` is the number of requests for it.
+//! Nodes do not coordinate. The allowance of each node is a share `U` of `ratio` times the number
+//! of its *own* requests, plus its part of a share `F` of the slack, minus the retries that it has
+//! sent.
 //!
-//! Both come to less than one repeat at a node of few requests. There a number of its own decides, drawn evenly
-//! from 0 to 1: the node may send again as often as its allowance and that number have whole units. Over all nodes this is
-//! the sum of the allowances in the mean, and with `N` nodes off it by the square root of `N` at the most, but for one
-//! case in thousands. So
+//! At a node with few requests the allowance is less than one retry. It is therefore rounded at
+//! random: each node draws a number uniformly from 0 to 1, adds it to its allowance and may send as
+//! many retries as the sum has whole units. On average, the total over all nodes is the sum of the
+//! allowances; with `N` nodes, it differs from that sum by at most the square root of `N`, except
+//! in one of thousands of cases. So
 //!
 //! ```text
 //! R <= U * ratio * Q + F * slack + sqrt(N) + restarted + inherited
 //! ```
 //!
-//! Nodes that restart have forgotten what they spent, and may spend their part of the slack again. A repeat makes its
-//! back end repeat the calls below it. The node that sends these counts them against its own allowance, so a service
-//! gets `U * ratio * Q` in all, whichever of the services above it was repeated, and `inherited` is only what exceeds
-//! the allowance of single nodes. `U` is [`LEAF_SHARE`] for a service whose back ends call nobody, as far as answers have
-//! shown, and [`SHARE`] for others, where a repeat costs repeats below it as well.
+//! Nodes that restart lose their counts and may spend their part of the slack again (`restarted`).
+//! A retry makes its back end repeat the calls below it. The node that sends these calls counts
+//! them against its own allowance, so a service gets `U * ratio * Q` retries in total, whichever of
+//! the services above it was retried, and `inherited` is only what exceeds the allowance of single
+//! nodes. `U` is [`LEAF_SHARE`] for a service whose answers so far have involved no calls, and
+//! [`SHARE`] for others, where a retry also causes retries below it. `F` is [`FLOOR_SHARE`].
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -29,20 +33,22 @@
 use crate::retry_demand::RetryDemand;
 use crate::settings::RetryBound;
 
-/// Slices of the window.
+/// Number of slices that the window is divided into.
 const SLICES: u32 = 20;
-/// Share of the deployment's ratio that one node uses for one service.
+/// Share of the deployment's ratio that a node may use for a service whose back ends make calls.
 const SHARE: f64 = 0.4;
-/// The same for a service whose back ends call nobody.
+/// Share of the deployment's ratio that a node may use for a service whose back ends make no calls.
 const LEAF_SHARE: f64 = 0.8;
-/// Most repeats of one node for each service whatever the number of requests.
+/// Maximum floor: retries per window that a node may send for a service without any requests.
 const MOST_FLOOR: f64 = 1.0;
-/// Windows after which a node draws its number anew, so that no node of few requests is without repeats for ever.
+/// Number of windows after which a node draws its rounding number again, so that no node with few
+/// requests is without retries permanently.
 const DRAW_LASTS: u64 = 6;
-/// Share of the deployment's slack that the floors of all nodes add up to. The rest is for nodes that
-/// restart and have forgotten what they spent.
+/// Share of the deployment's slack that is divided into the floors of all nodes. The rest is for
+/// nodes that restart and lose their counts.
 const FLOOR_SHARE: f64 = 0.25;
 
+/// Counts of one slice of the window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
     number: u64,
@@ -50,21 +56,21 @@
     repeats: u32,
 }
 
-/// Time for which the budget that is left is to last while more repeats are wanted than it pays for:
-/// half of the window.
+/// Fraction of the window for which the remaining budget has to last while more retries are
+/// requested than it covers.
 const HORIZON_SHARE: f64 = 0.5;
 
-/// Requests and repeats of one service within the window.
+/// Requests and retries of one service within the window.
 #[derive(Clone, Debug, Default)]
 struct ServiceBudget {
     slices: VecDeque<Slice>,
     demand: RetryDemand,
-    /// Whether the service's back ends make calls, as far as an answer has shown.
+    /// Whether an answer of the service has involved calls; `None` before the first answer.
     has_calls: Option<bool>,
 }
 
 impl ServiceBudget {
-    /// Returns the slice of this number, after those that left the window were dropped.
+    /// Returns the slice with this number, after removing the slices that have left the window.
     fn current(&mut self, number: u64) -> &mut Slice {
         let slices = &mut self.slices;
         while slices
@@ -83,7 +89,8 @@
         &mut slices[last]
     }
 
-    /// Returns the repeats that are left, by the deployment's ratio of repeats to requests.
+    /// Returns the number of retries left, without the floor, given the deployment's ratio of
+    /// retries to requests; negative if more were sent.
     fn left(&self, ratio: f64) -> f64 {
         let share = match self.has_calls {
             Some(false) => LEAF_SHARE,
@@ -95,7 +102,7 @@
     }
 }
 
-/// Repeats of one node, by service.
+/// Retry budget of one node for all services.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     seed: u64,
@@ -107,9 +114,9 @@
 }
 
 impl RetryBudget {
-    /// Creates the budget of a fresh node.
+    /// Creates the budget of a node that has just started.
     ///
-    /// `seed` differs from that of all other nodes.
+    /// `seed` must differ between nodes, so that they round their allowances independently.
     pub fn new(bound: RetryBound, seed: u64) -> Self {
         Self {
             seed,
@@ -126,19 +133,19 @@
         self.current(now, service).requests += 1;
     }
 
-    /// Takes in whether a request that was answered has made its back end call others.
+    /// Records whether an answered request of a service involved calls to other services.
     pub fn learn_calls(&mut self, service: &str, has_calls: bool) {
         let budget = self.service(service);
         budget.has_calls = Some(has_calls || budget.has_calls == Some(true));
     }
 
-    /// Counts a repeat that cannot be refused any more: a call made by a repeated request.
+    /// Counts a retry that cannot be refused any more: a call made for a retried request.
     pub fn spend(&mut self, now: Instant, service: &str) {
         self.current(now, service).repeats += 1;
     }
 
-    /// Takes one repeat, for a chain whose root has this level, out of the budget of a node among so
-    /// many; returns whether there was one for it.
+    /// Spends one retry, for a chain whose root has this level, if the budget of a node in a
+    /// deployment of `nodes` nodes covers it. Returns whether it does.
     pub fn try_spend(&mut self, now: Instant, service: &str, nodes: usize, level: Level) -> bool {
         let ratio = self.ratio;
         let horizon = self.horizon.as_secs_f64();
@@ -157,7 +164,7 @@
         true
     }
 
-    /// Returns the node's number for a service, from 0 to 1, by which its allowance is rounded.
+    /// Returns the number from 0 to 1 by which the node's allowance for a service is rounded.
     fn rounding(&self, slice: u64, service: &str) -> f64 {
         let draw = slice / (u64::from(SLICES) * DRAW_LASTS);
         let of_node = xxh3_64_with_seed(&draw.to_le_bytes(), self.seed);
--- a/crates/rillgap-forward/src/retry_demand.rs
+++ b/crates/rillgap-forward/src/retry_demand.rs
@@ -1,10 +1,11 @@
-//! Which requests are worth a repeat while there are fewer repeats than failures.
+//! Selection of the requests to retry while the budget covers only some of the failures.
 //!
-//! A chain of calls is of use only if all of them succeed. Where back ends refuse much and the budget
-//! pays for few repeats, paying for whoever fails next saves hardly any chain: each gets some of the
-//! repeats that it needs. So repeats go to the same chains everywhere: those whose roots have the
-//! highest admission levels, as far down as the budget reaches. Levels follow from the priority and the
-//! root's identifier, so all nodes prefer the same chains without talking.
+//! A chain of calls succeeds only if all of its calls do. Where back ends refuse many requests and
+//! the budget covers few retries, spending it in the order of failures saves hardly any chain: each
+//! one gets only some of the retries that it needs. Retries therefore go to the same chains at all
+//! nodes: those whose roots have the highest admission levels, down to the level that the budget
+//! covers. Levels depend only on the priority and the root's identifier, so all nodes prefer the
+//! same chains without coordination.
 
 use std::time::Duration;
 
@@ -13,23 +14,23 @@
 
 use crate::message::TIER_COUNT;
 
-/// Bins of each tier.
+/// Number of bins of the histogram per tier.
 const BINS_PER_TIER: usize = 16;
-/// Bins.
+/// Total number of bins of the histogram.
 const BINS: usize = TIER_COUNT * BINS_PER_TIER;
-/// Levels in a bin.
+/// Number of admission levels per bin.
 const LEVELS_PER_BIN: u32 = Level::PER_TIER / BINS_PER_TIER as u32;
-/// Time over which demand is averaged.
+/// Time constant of the exponential average of the demand.
 const MEMORY: Duration = Duration::from_millis(500);
-/// Demand a second that counts as none.
+/// Demand that is treated as none, in retries per second.
 const NEGLIGIBLE: f64 = 0.05;
-/// Time between two looks at the demand.
+/// Interval at which the lowest level to retry is recomputed.
 const INTERVAL: Duration = Duration::from_millis(50);
 
-/// Repeats that are wanted, by the levels of the roots.
+/// Demand for retries, as a histogram over the levels of the chains' roots.
 #[derive(Clone, Debug)]
 pub struct RetryDemand {
-    /// Repeats wanted a second, averaged.
+    /// Retries that were requested per second in each bin, averaged.
     wanted: [f64; BINS],
     floor: Level,
     next_look: Instant,
@@ -48,13 +49,14 @@
 }
 
 impl RetryDemand {
-    /// Counts that a repeat is wanted for a chain whose root has this level.
+    /// Counts a request for a retry in a chain whose root has this level.
     pub fn count(&mut self, level: Level) {
         let bin = (level.0 / LEVELS_PER_BIN) as usize;
         self.wanted[bin.min(BINS - 1)] += 1.0 / MEMORY.as_secs_f64();
     }
 
-    /// Returns the lowest level of which repeats are paid while `rate` of them a second can be.
+    /// Returns the lowest level of which retries are covered by a budget of `rate` retries per
+    /// second.
     pub fn floor(&mut self, now: Instant, rate: f64) -> Level {
         if now >= self.next_look {
             self.next_look = now + INTERVAL;
@@ -76,7 +78,8 @@
     fn lowest_within(&self, rate: f64) -> Level {
         let mut above = 0.0;
         for (bin, wanted) in self.wanted.iter().enumerate().rev() {
-            // The highest levels that are wanted are paid for as long as anything is left.
+            // The highest bin with demand is covered while any budget is left, even if its demand
+            // alone exceeds the rate.
             let is_highest = above < NEGLIGIBLE;
             if above + wanted > rate && !is_highest {
                 return Level((bin as u32 + 1) * LEVELS_PER_BIN);
--- a/crates/rillgap-forward/src/subset.rs
+++ b/crates/rillgap-forward/src/subset.rs
@@ -1,14 +1,16 @@
-//! Which peers a node keeps links to.
+//! Selection of the peers to which a node keeps links.
 //!
-//! Links from every node to every other grow with the square of the deployment. Each node therefore
-//! opens links to a subset of the peers of each service only, mostly in its own zone. The choice is
-//! rendezvous hashing: a peer's preference follows from the names of both nodes alone, so it is
-//! spread evenly over the deployment, nearly the same after nodes join or leave, and needs no
-//! agreement. Links serve both ends, so a node also uses the links that others have opened to it:
-//! a newcomer that opens its own links is known to as many callers as any other back end.
+//! Links between all pairs of nodes would grow with the square of the deployment. Each node
+//! therefore opens links only to a subset of the peers of each service, mostly in its own zone. The
+//! subset is selected by rendezvous hashing: the preference for a peer depends only on the names of
+//! both nodes, so links are spread evenly over the deployment, change little when nodes join or
+//! leave, and need no coordination. Both ends of a link may send requests, so a node also uses the
+//! links that peers have opened to it: a new node that opens its own links can be reached by as
+//! many callers as any other back end.
 //!
-//! Peers that cannot be reached or do not serve do not count: the next ones in the order of
-//! preference join the subset until enough of them serve, and the failed ones are tried on.
+//! Peers that are unreachable or do not serve are not counted: further peers in the order of
+//! preference are selected until enough of them serve. The failed ones stay selected, so that links
+//! to them are still attempted.
 
 use std::collections::BTreeMap;
 
@@ -17,18 +19,18 @@
 
 use crate::peer::Peer;
 
-/// Peers of each service that are wanted in the own zone.
+/// Number of serving peers to select per service in the own zone.
 const LOCAL_PEERS: usize = 6;
-/// Peers of each service that are wanted in other zones.
+/// Number of serving peers to select per service in other zones.
 const REMOTE_PEERS: usize = 4;
 
-/// Returns the preference of one node for another; the lowest is preferred.
+/// Returns the preference of a node for a peer; lower values are preferred.
 pub fn preference(own_name: &str, peer_name: &str) -> u64 {
     let seed = xxh3_64_with_seed(own_name.as_bytes(), 0);
     xxh3_64_with_seed(peer_name.as_bytes(), seed)
 }
 
-/// Marks the peers that the node wants links to.
+/// Marks the peers to which the node keeps links.
 pub fn select_peers<'a>(now: Instant, own_zone: &str, peers: impl Iterator<Item = &'a mut Peer>) {
     let mut groups: BTreeMap<(String, bool), Vec<&mut Peer>> = BTreeMap::new();
     for peer in peers {
@@ -43,7 +45,7 @@
     }
 }
 
-/// Marks the most preferred peers until enough of them may serve.
+/// Marks the peers of a group in the order of preference until `wanted` of them may serve.
 fn choose_within(now: Instant, wanted: usize, mut group: Vec<&mut Peer>) {
     group.sort_unstable_by_key(|peer| peer.preference);
     let mut serving = 0;
--- a/crates/rillgap-forward/tests/admission.rs
+++ b/crates/rillgap-forward/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Refusal at the entry of what a service further down would shed.
+//! Admission control: an entry node refuses requests that a service further down would shed.
 
 mod support;
 
@@ -16,7 +16,8 @@
 
 /// Priority of the routes of the test configuration.
 const PRIORITY: u8 = 1;
-/// Level that lets in this share of the routes of the test configuration, in percent.
+/// Returns the level that admits this percentage of the requests on the test configuration's
+/// routes.
 fn admitting(percent: u32) -> Level {
     let floor = Level::tier_floor(level_of(PRIORITY, "any").tier());
     Level(floor.0 + Level::PER_TIER * (100 - percent) / 100)
@@ -36,7 +37,7 @@
     }
 }
 
-/// An entry without a back end in service, linked to a peer that serves.
+/// Returns an entry node without a serving back end that has a link to a serving peer.
 fn entry() -> TestNode {
     let mut test = TestNode::configured("logbok");
     test.connect("peer-a", 2, SERVICE);
@@ -44,7 +45,7 @@
     test
 }
 
-/// Sends requests that are answered with these levels; returns how many were let in.
+/// Sends `count` requests that are answered with these levels; returns how many were admitted.
 fn admitted(
     test: &mut TestNode,
     count: u64,
@@ -55,7 +56,8 @@
     admitted_with_status(test, count, target, (own, deep), 200)
 }
 
-/// The same, with the status of the answers.
+/// Sends `count` requests that are answered with these levels and this status; returns how many
+/// were admitted.
 fn admitted_with_status(
     test: &mut TestNode,
     count: u64,
@@ -154,7 +156,7 @@
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let deep = test.connect("peer-deep", 7, DEEP_SERVICE);
-    // The service publishes a low level; what other nodes have passed on is higher.
+    // The service publishes a low level; the levels relayed by other nodes are higher.
     let published = admitting(80);
     test.connect("peer-a", 2, OTHER_SERVICE);
     tell(
--- a/crates/rillgap-forward/tests/outbound.rs
+++ b/crates/rillgap-forward/tests/outbound.rs
@@ -1,4 +1,4 @@
-//! The side that takes requests in: where they go, when they move, how they are answered.
+//! Outbound side of a node: where requests are sent, when they are retried, how they are answered.
 
 mod support;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A node without a back end in service, linked to two peers that serve.
+/// Returns a node without a serving back end that has links to two serving peers.
 fn entry() -> TestNode {
     let mut test = TestNode::configured("logbok");
     test.connect("peer-a", 2, SERVICE);
@@ -37,7 +37,7 @@
     test
 }
 
-/// The same with so many peers.
+/// Returns a node without a serving back end that has links to `count` serving peers.
 fn entry_with_peers(count: u8) -> TestNode {
     let mut test = TestNode::configured("logbok");
     for number in 0..count {
@@ -161,7 +161,7 @@
 
 #[gtest]
 fn time_out_is_answered_at_once_and_cancels_the_work() {
-    // One peer only: a silent one would lose the request to another before.
+    // With a second peer, the request would be retried there before its deadline.
     let mut test = TestNode::configured("logbok");
     test.connect("peer-a", 2, SERVICE);
     test.actions.clear();
@@ -178,7 +178,7 @@
         )
     });
     expect_that!(cancels.count(), eq(1));
-    // A late answer belongs to nothing any more.
+    // A late answer is ignored.
     test.respond(ForwardResult::Answered(answer(200)));
     expect_that!(test.statuses(), elements_are![eq(&504)]);
 }
@@ -230,8 +230,8 @@
     expect_that!(test.statuses(), elements_are![eq(&503)]);
 }
 
-/// Sends 200 requests whose first answers are lost, so that each would be repeated, and returns the
-/// repeats; the answers tell calls to `involved`.
+/// Sends 200 requests whose first answers are lost, so that each is worth a retry, and returns the
+/// number of retries. The answers report calls to `involved`.
 fn repeats_of_200(involved: &[ServiceAdmissionLevel]) -> usize {
     let mut test = entry();
     for turn in 0..200 {
@@ -251,9 +251,10 @@
         service: DEEP_SERVICE.to_owned(),
         level: Level(0),
     };
-    // Two fifths of the ratio of a fifth of the requests, and one.
+    // With calls, a node uses two fifths of the ratio 0.2, plus one retry: 17 for 200 requests.
     expect_that!(repeats_of_200(&[called]), all!(ge(10), le(17)));
-    // Four fifths of it where no calls follow, and one: below the 40 that the ratio allows the whole deployment.
+    // Without calls, it uses four fifths of the ratio, plus one retry: 33, which is below the 40
+    // that the ratio allows the whole deployment.
     expect_that!(repeats_of_200(&[]), all!(ge(20), le(33)));
 }
 
@@ -270,13 +271,13 @@
     let child = &exchanges[1].request;
     expect_that!(child.is_call, eq(true));
     expect_that!(child.level, eq(level_of(0, "root")));
-    // Its identifier leads to nothing that runs here: a caller's request.
+    // Its identifier names no request that is running here, so it counts as a caller's request.
     let stranger = &exchanges[2].request;
     expect_that!(stranger.is_call, eq(false));
     expect_that!(priority_of(stranger.level), eq(1));
 }
 
-/// Lets a peer answer the request that was sent last with 500.
+/// Makes a peer answer the request that was sent last with status 500.
 fn fail(test: &mut TestNode, has_failed_call: bool) {
     let (link, sequence, _) = test.sent().pop().expect("a request that was sent");
     let response = ForwardResponse {
--- a/crates/rillgap-forward/tests/policies.rs
+++ b/crates/rillgap-forward/tests/policies.rs
@@ -1,4 +1,4 @@
-//! Policies by themselves: routes, weights, balance, retry budget.
+//! Unit tests of the policies for routes, weights, load balancing and the retry budget.
 
 mod support;
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// Time that a request has.
+/// Remaining time of a request.
 const REMAINING: Duration = Duration::from_millis(10);
 
 fn choose(candidates: &[Candidate<&'static str>]) -> Option<&'static str> {
@@ -153,7 +153,7 @@
     let bad = failing("bad", 0.0, 400);
     expect_that!(choose(&[bad.clone(), sound(0.4)]), some(eq("sound")));
     expect_that!(choose(&[bad.clone(), sound(1.2)]), some(eq("bad")));
-    // Nothing better is to be had.
+    // It is chosen if there is no other candidate.
     expect_that!(choose(&[bad]), some(eq("bad")));
 }
 
@@ -178,7 +178,7 @@
 
 #[gtest]
 fn floors_of_all_nodes_leave_most_of_the_slack_to_restarts() {
-    // The grown archive: a slack of 95 over 73 nodes, of which all are killed twice in a window.
+    // A slack of 95 over 73 nodes, all of which are killed twice within a window.
     let bound = RetryBound {
         ratio: 0.2,
         slack: 95,
@@ -194,7 +194,7 @@
         })
         .sum();
     expect_that!(spent, le(95));
-    // It still may repeat for a request now and then, once there are some.
+    // A node with some requests may still send a retry.
     let mut budget = RetryBudget::new(bound, 0);
     for _ in 0..20 {
         budget.count_request(at(0), "takst");
@@ -214,7 +214,7 @@
         budget.count_request(at(100), "takst");
     }
     expect_that!(spend(&mut budget, at(200)), eq(8));
-    // Both the requests and the repeats leave the window.
+    // Both the requests and the retries have left the window.
     expect_that!(spend(&mut budget, at(20_000)), eq(1));
 }
 
@@ -233,7 +233,7 @@
     };
     expect_that!(spent_after(&[]), eq(9));
     expect_that!(spent_after(&[false]), eq(17));
-    // One answer with calls is enough: then its repeats are not the last of their chain.
+    // One answer that involved calls is enough, since a retry then causes retries below it.
     expect_that!(spent_after(&[false, true, false]), eq(9));
 }
 
@@ -253,7 +253,8 @@
     for _ in 0..1_250 {
         budget.count_request(at(0), "takst");
     }
-    // 100 repeats are left for 5 s; 200 a second are wanted, by roots of all levels of a tier.
+    // 100 retries are left for 5 s. 200 per second are requested, for roots of all levels of a
+    // tier.
     let tier = Level::tier_floor(5).0;
     let mut paid: Vec<u32> = Vec::new();
     for step in 0..800_u32 {
@@ -264,7 +265,7 @@
         }
     }
     expect_that!(paid.len(), ge(60));
-    // The first ones show how much is wanted.
+    // The first retries are spent before the demand has been measured.
     let late = &paid[30..];
     expect_that!(late.iter().min(), some(ge(&(Level::PER_TIER * 3 / 4))));
 }
--- a/crates/rillgap-forward/tests/retry_bound.rs
+++ b/crates/rillgap-forward/tests/retry_bound.rs
@@ -1,4 +1,5 @@
-//! The bound on repeats in the sum over the nodes of a deployment, whatever happens to them.
+//! The deployment's bound on retries in the sum over its nodes, also during restarts and
+//! partitions.
 
 mod support;
 
@@ -25,7 +26,8 @@
     }
 }
 
-/// Returns how often `nodes` nodes with so many requests each may repeat while all of them fail.
+/// Returns how many retries `nodes` nodes with `requests` requests each may send if all requests
+/// fail.
 fn spent(nodes: usize, requests: u32, slack: u32) -> f64 {
     let mut spent = 0;
     for seed in 0..nodes as u64 {
@@ -42,7 +44,8 @@
 
 #[gtest]
 fn nodes_of_few_requests_have_their_share_of_the_repeats() {
-    // Five requests a node in a window, the share that a service without calls uses, and a quarter of the slack.
+    // Five requests per node and window. Allowed are the share of the ratio for a service without
+    // calls, and a quarter of the slack.
     for (nodes, slack) in [(300, 302), (985, 1_040), (1_900, 2_000)] {
         let requests = nodes as f64 * 5.0;
         let allowed = 0.2 * 0.8 * requests + 0.25 * f64::from(slack);
@@ -51,20 +54,20 @@
     }
 }
 
-/// What nodes go through.
+/// Faults that the nodes undergo.
 #[derive(Clone, Copy, Debug)]
 enum Trouble {
     None,
-    /// One node in twenty restarts in each step.
+    /// Each node restarts with a probability of 1 in 20 in each step.
     Restarts,
-    /// Half of the nodes restart at once, every four seconds.
+    /// Half of the nodes restart at the same time, every four seconds.
     HalfRestarts,
-    /// Half of the nodes send nothing for two seconds, every four seconds.
+    /// Half of the nodes send nothing for two of every four seconds.
     Cuts,
 }
 
-/// Plays a minute in which all requests fail and are sent again as often as nodes allow, some of them since a repeat
-/// further up made them; returns by how much the bound was exceeded at the worst.
+/// Simulates a minute in which all requests fail and are retried as often as the nodes allow. Some
+/// of the requests are calls made for a retried request. Returns the maximum excess over the bound.
 fn worst_excess(nodes: usize, slack: u32, trouble: Trouble, seed: u64) -> f64 {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut draw = |below: u64| (u64::from(random.next_u32()) * below) >> 32;
@@ -92,11 +95,11 @@
                 continue;
             }
             budget.learn_calls(SERVICE, false);
-            // Nodes differ in how much they send.
+            // Nodes differ in the number of requests that they send.
             for _ in 0..draw(1 + number as u64 % 8) {
                 budget.count_request(now, SERVICE);
                 requests += 1.0;
-                // A share of the calls is made by requests that were sent again further up.
+                // 8 % of the requests are calls made for a request that was retried further up.
                 if draw(100) < 8 {
                     budget.spend(now, SERVICE);
                     repeats += 1.0;
--- a/crates/rillgap-forward/tests/tenants.rs
+++ b/crates/rillgap-forward/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Keys of callers, and the node's part in limits and proofs.
+//! Authentication of callers, proofs of the configuration's freshness, and tenants' rate limits.
 
 mod support;
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// A node with a back end in service and a tenant.
+/// Returns a node with a serving back end and a tenant.
 fn node(tenant: Tenant) -> TestNode {
     let mut test = TestNode {
         node: Node::new(at(0), strict("own")),
@@ -160,7 +160,7 @@
     let level = |tenant, route| level_for_tenant(tenant, route, "id");
     expect_that!(level(1, 0), gt(level(1, 1)));
     expect_that!(level(1, 1), gt(level(1, 2)));
-    // The tenant's goes first all the same.
+    // The tenant's priority still precedes that of the route.
     expect_that!(level(0, 9), gt(level(1, 0)));
     expect_that!(level(1, 9), gt(level(2, 0)));
     expect_that!(level(200, 200), eq(level(7, 7)));
@@ -170,7 +170,7 @@
 fn node_without_a_proof_refuses_known_and_unknown_keys_alike() {
     for key in [KEY, b"other"] {
         let mut test = node(tenant(None));
-        // The store does not answer any more; there is no peer.
+        // The store no longer answers, and there is no peer.
         test.pass(6_000);
         test.actions.clear();
         test.request(0, keyed("a", key));
@@ -183,7 +183,7 @@
 #[gtest]
 fn proof_counts_after_a_standstill_by_the_time_that_has_passed() {
     let mut test = node(tenant(None));
-    // No step of the node in between: the process stood still.
+    // The process was suspended: the node handled no event in between.
     test.now += 6_000;
     test.request(0, keyed("a", KEY));
     expect_that!(test.exchanges().len(), eq(0));
@@ -241,7 +241,8 @@
     burst: 3.0,
 };
 
-/// A node that knows that it is alone, and so owns all buckets, full by now.
+/// Returns a node that has listed itself as the only one, so that it owns all buckets. They are
+/// full.
 fn lonely_owner() -> TestNode {
     let mut test = node(tenant(Some(LIMIT)));
     let is_registration = |request: &StoreRequest| matches!(request, StoreRequest::Register(_));
@@ -292,7 +293,7 @@
 #[gtest]
 fn request_that_did_not_run_gives_its_token_back() {
     let mut test = lonely_owner();
-    // No back end of this route's service: refused, so it does not count.
+    // The route's service has no back end, so the requests are refused and do not count.
     for turn in 0..6 {
         let request = CallerRequest {
             target: "/deep/1".to_owned(),
@@ -348,7 +349,8 @@
     link
 }
 
-/// Names of peers that own the tenant's bucket before the node itself does, in their order.
+/// Returns the names of peers that precede the node itself as owner of the tenant's bucket, in
+/// their order.
 fn names_before_own() -> Vec<String> {
     let hash = TenantHash::of(TENANT);
     let own = hash.owner_score(name_hash("own"));
@@ -358,7 +360,8 @@
     names
 }
 
-/// Names of peers that are asked for the tenant's tokens before, and after, the node itself.
+/// Returns the name of a peer that precedes the node itself as owner of the tenant's bucket, and of
+/// one that follows it.
 fn names_around_own() -> (String, String) {
     let hash = TenantHash::of(TENANT);
     let own = hash.owner_score(name_hash("own"));
@@ -411,7 +414,7 @@
     let (_, after) = names_around_own();
     let mut test = lonely_owner();
     connect_owner(&mut test, &after, 6);
-    // Silence, without an end of the link.
+    // The peer is silent, but its link stays open.
     test.pass(4_500);
     test.actions.clear();
     test.request(0, keyed("a", KEY));
@@ -437,7 +440,7 @@
     ask(&mut test, link);
     let pinged = links_of(&test, |message| matches!(message, LinkMessage::Ping));
     expect_that!(pinged, contains(eq(&owner)));
-    // The owner says nothing; the one who asks is heard.
+    // The owner sends nothing, while the peer that queries the token is not silent.
     for _ in 0..6 {
         test.pass(300);
         ask(&mut test, link);
@@ -544,7 +547,7 @@
     let names = names_before_own();
     let mut test = lonely_owner();
     let next = connect_owner(&mut test, &names[2], 6);
-    // Two that come before it are known, and no link to them is open yet.
+    // Two peers that precede it are known, but there is no open link to them yet.
     for (number, name) in (30..).zip(&names[..2]) {
         let record = NodeRecord {
             name: name.clone(),
--- a/crates/rillgap-forward/tests/weights.rs
+++ b/crates/rillgap-forward/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Shares of weighted services in the sum over nodes that see few requests each.
+//! Weights of a route's services in the sum over nodes that receive few requests each.
 
 mod support;
 
@@ -12,7 +12,7 @@
 const OLD: &str = "old";
 const NEW: &str = "new";
 
-/// Furthest that the share of a service may lie off its weight.
+/// Maximum deviation of a service's fraction of the requests from its weight.
 const OFF: f64 = 0.1;
 
 fn split(version: u64, old: u32, new: u32) -> Configuration {
@@ -25,7 +25,7 @@
     configuration
 }
 
-/// A node that has links to a back end of each service.
+/// Returns a node that has links to a back end of each service.
 fn entry(seed: u64) -> TestNode {
     let settings = ForwardSettings {
         random_seed: seed,
@@ -39,7 +39,7 @@
     test
 }
 
-/// Lets a node send one request, which is answered; returns whether it went to the new service.
+/// Sends one request through a node and answers it; returns whether it went to the new service.
 fn chooses_new(test: &mut TestNode, turn: u64) -> bool {
     test.request(turn, caller_request(&format!("r{turn}"), "/safe/1"));
     let (_, _, request) = test.sent().pop().expect("a request that was sent");
@@ -53,7 +53,7 @@
     test.event(Event::Link { link, message });
 }
 
-/// Returns the share of the new service over `nodes` nodes that send so many requests each.
+/// Returns the new service's fraction of the requests of `nodes` nodes that send `requests` each.
 fn share_of_new(nodes: u64, requests: u64) -> f64 {
     let mut chosen = 0;
     for seed in 0..nodes {
