--- a/crates/rillgap-forward/src/balancer.rs
+++ b/crates/rillgap-forward/src/balancer.rs
@@ -21,18 +21,18 @@
 /// Utilization of the own zone up to which the full penalty applies, and from which none applies.
 /// Back ends queue requests only when they are nearly full; leaving the zone earlier would cause
 /// traffic between zones without benefit.
-const PENALTY_FADES: (f64, f64) = (0.7, 0.95);
+const PENALTY_FADE_RANGE: (f64, f64) = (0.7, 0.95);
 /// Cost of a mean service time equal to the request's remaining time. Some requests take several
 /// times the mean, so a back end whose mean is a fifth of the remaining time may miss the deadline;
 /// its cost exceeds the penalty for leaving the zone.
 const SLOWNESS_COST: f64 = 2.0;
 /// Maximum slowness that is counted: mean service time as a fraction of the remaining time.
-const MOST_SLOWNESS: f64 = 1.0;
+const MAX_SLOWNESS: f64 = 1.0;
 /// Cost of a back end that fails every request. One that fails half of them gets requests when the
 /// others are full.
 const FAILURE_COST: f64 = 2.0;
 /// Number of candidates drawn from each group.
-const DRAWN: usize = 2;
+const SAMPLES_PER_GROUP: usize = 2;
 
 /// A node whose back end is serving.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
 
 impl<T> Candidate<T> {
     fn cost(&self, remaining_micros: f64, penalty: f64) -> f64 {
-        let slowness = (f64::from(self.mean_micros) / remaining_micros).min(MOST_SLOWNESS);
+        let slowness = (f64::from(self.mean_micros) / remaining_micros).min(MAX_SLOWNESS);
         let next = 1.0 / f64::from(self.limit.max(1));
         let distance = if self.is_local { 0.0 } else { penalty };
         let failing = f64::from(self.failing_permille) / 1_000.0;
@@ -79,16 +79,17 @@
     /// Chooses a candidate for a request with this remaining time; `None` without candidates.
     pub fn choose<T>(&mut self, candidates: Vec<Candidate<T>>, remaining: Duration) -> Option<T> {
         let remaining_micros = remaining.as_micros().max(1) as f64;
-        let (failing, sound): (Vec<_>, Vec<_>) = candidates
+        let (failing, healthy): (Vec<_>, Vec<_>) = candidates
             .into_iter()
             .partition(|candidate| candidate.failing_permille >= FAILURE_THRESHOLD_PERMILLE);
-        let (local, remote): (Vec<_>, Vec<_>) =
-            sound.into_iter().partition(|candidate| candidate.is_local);
+        let (local, remote): (Vec<_>, Vec<_>) = healthy
+            .into_iter()
+            .partition(|candidate| candidate.is_local);
         let penalty = cross_zone_penalty(&local);
-        let mut drawn = self.draw_some(local);
-        drawn.extend(self.draw_some(remote));
-        drawn.extend(self.draw_some(failing));
-        drawn
+        let mut sampled = self.sample(local);
+        sampled.extend(self.sample(remote));
+        sampled.extend(self.sample(failing));
+        sampled
             .into_iter()
             .min_by(|left, right| {
                 let left = left.cost(remaining_micros, penalty);
@@ -97,28 +98,28 @@
             .map(|candidate| candidate.target)
     }
 
-    fn draw_some<T>(&mut self, mut candidates: Vec<Candidate<T>>) -> Vec<Candidate<T>> {
-        let mut drawn = Vec::with_capacity(DRAWN);
-        while drawn.len() < DRAWN && !candidates.is_empty() {
-            let index = self.draw(candidates.len());
-            drawn.push(candidates.swap_remove(index));
+    fn sample<T>(&mut self, mut candidates: Vec<Candidate<T>>) -> Vec<Candidate<T>> {
+        let mut sampled = Vec::with_capacity(SAMPLES_PER_GROUP);
+        while sampled.len() < SAMPLES_PER_GROUP && !candidates.is_empty() {
+            let index = self.random_below(candidates.len());
+            sampled.push(candidates.swap_remove(index));
         }
-        drawn
+        sampled
     }
 
     /// Returns a random number below `bound`, which must be small: bias is not corrected.
-    fn draw(&mut self, bound: usize) -> usize {
+    fn random_below(&mut self, bound: usize) -> usize {
         ((u64::from(self.random.next_u32()) * bound as u64) >> 32) as usize
     }
 }
 
 /// Returns the cost of leaving a zone that has these candidates.
 fn cross_zone_penalty<T>(local: &[Candidate<T>]) -> f64 {
-    let least = local
+    let lowest = local
         .iter()
         .map(|candidate| candidate.utilization)
         .fold(f64::INFINITY, f64::min);
-    let (whole, none) = PENALTY_FADES;
-    let faded = ((least - whole) / (none - whole)).clamp(0.0, 1.0);
+    let (full_until, none_from) = PENALTY_FADE_RANGE;
+    let faded = ((lowest - full_until) / (none_from - full_until)).clamp(0.0, 1.0);
     CROSS_ZONE_PENALTY * (1.0 - faded)
 }
--- a/crates/rillgap-forward/src/outbound/admission.rs
+++ b/crates/rillgap-forward/src/outbound/admission.rs
@@ -14,7 +14,7 @@
 use crate::message::{ServiceAdmissionLevel, priority_of};
 
 /// Smallest change of a service's level that is logged: a tenth of a tier.
-const REPORTED_MOVE: f64 = Level::PER_TIER as f64 / 10.0;
+const MIN_REPORTED_CHANGE: f64 = Level::PER_TIER as f64 / 10.0;
 
 /// Change of the admission threshold that a service's level sets for an entry node.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 
 /// Admission levels of one service.
 #[derive(Clone, Debug, Default)]
-struct KnownService {
+struct ServiceState {
     /// Levels published by the nodes of the service's own back ends. Only these are sent on to
     /// other nodes: if nodes relayed levels received from each other, outdated levels would
     /// circulate.
@@ -38,39 +38,39 @@
     /// Levels of `own`, and levels that other nodes have relayed.
     all: ServiceLevels<String>,
     /// Level that was last logged.
-    reported: f64,
+    logged_level: f64,
 }
 
 /// Admission state of an entry node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EntryAdmission {
-    services: BTreeMap<String, KnownService>,
+    services: BTreeMap<String, ServiceState>,
     /// Services that requests involve, by route and by the service that the request is sent to.
     involvement: BTreeMap<String, BTreeMap<String, Involvement<String>>>,
 }
 
 impl EntryAdmission {
     /// Records the level published by `reporter`, a node with a back end of the service.
-    pub fn observe(&mut self, now: Instant, service: &str, reporter: &str, level: Level) {
-        let known = self.known(service);
-        known.own.report(now, reporter.to_owned(), level);
-        known.all.report(now, reporter.to_owned(), level);
+    pub fn record_published(&mut self, now: Instant, service: &str, reporter: &str, level: Level) {
+        let state = self.service_state(service);
+        state.own.report(now, reporter.to_owned(), level);
+        state.all.report(now, reporter.to_owned(), level);
     }
 
     /// Records the level of a service that `reporter` has relayed.
-    pub fn observe_relayed(
+    pub fn record_relayed(
         &mut self,
         now: Instant,
         involved: &ServiceAdmissionLevel,
         reporter: &str,
     ) {
-        let known = self.known(&involved.service);
-        known.all.report(now, reporter.to_owned(), involved.level);
+        let state = self.service_state(&involved.service);
+        state.all.report(now, reporter.to_owned(), involved.level);
     }
 
     /// Records which services the answer to a caller's request involved. A failed request may have
     /// reached only some of them, but its answer is the only source while no request succeeds.
-    pub fn learn(
+    pub fn record_involvement(
         &mut self,
         route: &str,
         service: &str,
@@ -86,14 +86,14 @@
         if !by_service.contains_key(service) {
             by_service.insert(service.to_owned(), Involvement::default());
         }
-        let Some(known) = by_service.get_mut(service) else {
+        let Some(involvement) = by_service.get_mut(service) else {
             return;
         };
         let services = involved.iter().map(|involved| &involved.service);
         if is_success {
-            known.record_answer(services);
+            involvement.record_answer(services);
         } else {
-            known.record_partial_answer(services);
+            involvement.record_partial_answer(services);
         }
     }
 
@@ -104,22 +104,22 @@
 
     /// Returns the level of a service as published by the nodes of its own back ends.
     pub fn published_level(&self, now: Instant, service: &str) -> Level {
-        let known = self.services.get(service);
-        Level(known.map_or(0.0, |known| known.own.at(now)) as u32)
+        let state = self.services.get(service);
+        Level(state.map_or(0.0, |state| state.own.at(now)) as u32)
     }
 
     /// Returns the services whose level differs by a tenth of a tier or more from the level that
     /// was last logged, or has fallen to 0, and records their levels as logged.
     pub fn take_changes(&mut self, now: Instant) -> Vec<AdmissionChange> {
         let mut changes = Vec::new();
-        for (service, known) in &mut self.services {
-            let level = known.all.at(now);
-            let has_ended = level == 0.0 && known.reported > 0.0;
-            if !has_ended && (level - known.reported).abs() < REPORTED_MOVE {
+        for (service, state) in &mut self.services {
+            let level = state.all.at(now);
+            let has_ended = level == 0.0 && state.logged_level > 0.0;
+            if !has_ended && (level - state.logged_level).abs() < MIN_REPORTED_CHANGE {
                 continue;
             }
-            known.reported = level;
-            changes.push(change(service, level));
+            state.logged_level = level;
+            changes.push(admission_change(service, level));
         }
         changes
     }
@@ -137,24 +137,24 @@
             .fold(own, f64::max)
     }
 
-    fn known(&mut self, service: &str) -> &mut KnownService {
+    fn service_state(&mut self, service: &str) -> &mut ServiceState {
         self.services.entry(service.to_owned()).or_default()
     }
 
     fn level_at(&self, now: Instant, service: &str) -> f64 {
         self.services
             .get(service)
-            .map_or(0.0, |known| known.all.at(now))
+            .map_or(0.0, |state| state.all.at(now))
     }
 }
 
-fn change(service: &str, level: f64) -> AdmissionChange {
-    let whole = Level(level as u32);
-    let floor = f64::from(Level::tier_floor(whole.tier()).0);
-    let shed = (level - floor) / f64::from(Level::PER_TIER);
+fn admission_change(service: &str, level: f64) -> AdmissionChange {
+    let threshold = Level(level as u32);
+    let floor = f64::from(Level::tier_floor(threshold.tier()).0);
+    let shed_fraction = (level - floor) / f64::from(Level::PER_TIER);
     AdmissionChange {
         service: service.to_owned(),
-        priority: priority_of(whole),
-        admitted_percent: ((1.0 - shed) * 100.0) as u32,
+        priority: priority_of(threshold),
+        admitted_percent: ((1.0 - shed_fraction) * 100.0) as u32,
     }
 }
--- a/crates/rillgap-forward/src/outbound/answer.rs
+++ b/crates/rillgap-forward/src/outbound/answer.rs
@@ -13,13 +13,13 @@
 /// Status for a request of a tenant that has reached its rate limit.
 const LIMIT_STATUS: u16 = 429;
 /// Minimum and default of the `Retry-After` field, in milliseconds.
-const RETRY_AFTER_MILLIS: u32 = 100;
+const MIN_RETRY_AFTER_MILLIS: u32 = 100;
 
 /// Returns the answer for a result code.
 ///
 /// `may_have_run` overrides the outcome of the code: after an attempt with unknown outcome, a later
 /// refusal does not prove that the request did not run.
-pub(super) fn own(
+pub(super) fn for_code(
     code: ResultCode,
     retry_after_millis: u32,
     may_have_run: bool,
@@ -29,7 +29,7 @@
     let mut fields = Vec::new();
     fields.extend_from_slice(b"Content-Type: application/problem+json\r\n");
     if matches!(status, NOT_RUN_STATUS | LIMIT_STATUS) {
-        let millis = retry_after_millis.max(RETRY_AFTER_MILLIS);
+        let millis = retry_after_millis.max(MIN_RETRY_AFTER_MILLIS);
         let seconds = f64::from(millis) / 1_000.0;
         fields.extend_from_slice(format!("Retry-After: {seconds:.3}\r\n").as_bytes());
     }
--- a/crates/rillgap-forward/src/outbound/attempts.rs
+++ b/crates/rillgap-forward/src/outbound/attempts.rs
@@ -32,7 +32,7 @@
             return;
         };
         let (link, name) = match target {
-            Target::Own => (LinkId::LOCAL, self.own_name.as_str()),
+            Target::Local => (LinkId::LOCAL, self.own_name.as_str()),
             Target::Peer(index, link) => (link, context.directory.peer(index).record.name.as_str()),
         };
         let forwarded = request.begin_attempt(now, link, name, sequence);
@@ -57,13 +57,13 @@
         let service = &request.forwarded.service;
         let level = request.forwarded.level;
         let mut candidates = Vec::new();
-        let own = context.inbound;
-        let serves = own.is_serving() && own.service() == service && !context.is_stopping;
+        let inbound = context.inbound;
+        let serves = inbound.is_serving() && inbound.service() == service && !context.is_stopping;
         if serves && !request.was_tried(&self.own_name) {
-            let load = own.load();
+            let load = inbound.load();
             let ahead = load.ahead_of(level);
             let utilization = f64::from(ahead) / f64::from(load.limit.max(1));
-            candidates.push(candidate(Target::Own, true, utilization, load));
+            candidates.push(candidate(Target::Local, true, utilization, load));
         }
         for (index, peer) in context.directory.linked(service) {
             let Some(link) = peer.serving_link() else {
@@ -80,16 +80,20 @@
         candidates
     }
 
-    pub(super) fn requests_at(&self, link: LinkId) -> Vec<RequestKey> {
+    pub(super) fn requests_on_link(&self, link: LinkId) -> Vec<RequestKey> {
         self.requests
             .iter()
-            .filter(|(_, request)| request.is_at(link))
+            .filter(|(_, request)| request.is_on_link(link))
             .map(|(key, _)| *key)
             .collect()
     }
 
     /// Cancels the attempt in flight, if any, of a request that stays registered.
-    pub(super) fn withdraw_attempt(&mut self, key: RequestKey, context: &mut OutboundContext<'_>) {
+    pub(super) fn cancel_attempt_by_key(
+        &mut self,
+        key: RequestKey,
+        context: &mut OutboundContext<'_>,
+    ) {
         if let Some(mut request) = self.requests.remove(&key) {
             self.cancel_attempt(&mut request, context);
             self.requests.insert(key, request);
--- a/crates/rillgap-forward/src/outbound/ending.rs
+++ b/crates/rillgap-forward/src/outbound/completion.rs
@@ -4,7 +4,7 @@
 use rillgap_core::time::Instant;
 
 use super::request::{Request, RequestKey};
-use super::{NO_BACK_END_MILLIS, Outbound, OutboundContext, answer};
+use super::{NO_BACK_END_RETRY_AFTER_MILLIS, Outbound, OutboundContext, answer};
 use crate::action::{Action, CallerAnswer};
 use crate::configuration::RouteTable;
 use crate::event::CallerRequest;
@@ -39,12 +39,14 @@
         let Some(request) = self.requests.get(&key) else {
             return;
         };
-        let retry_after = request.retry_after_millis.unwrap_or(NO_BACK_END_MILLIS);
-        self.answer_own(now, key, ResultCode::NoBackEnd, retry_after, context);
+        let retry_after = request
+            .retry_after_millis
+            .unwrap_or(NO_BACK_END_RETRY_AFTER_MILLIS);
+        self.answer_with_code(now, key, ResultCode::NoBackEnd, retry_after, context);
     }
 
     /// Completes a request whose deadline has passed.
-    pub(super) fn give_up(
+    pub(super) fn on_deadline(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -55,17 +57,17 @@
             return;
         };
         let was_sent = request.current().is_some();
-        self.withdraw_attempt(key, context);
+        self.cancel_attempt_by_key(key, context);
         let code = if was_sent {
             ResultCode::AnswerTimeout
         } else {
             ResultCode::DeadlineUnmet
         };
-        self.answer_own(now, key, code, 0, context);
+        self.answer_with_code(now, key, code, 0, context);
     }
 
     /// Completes a request with a result code, or with the failure of a back end if one was kept.
-    pub(super) fn answer_own(
+    pub(super) fn answer_with_code(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -81,7 +83,7 @@
             self.finish_forwarded(now, key, forwarded, context);
             return;
         }
-        let answer = answer::own(
+        let answer = answer::for_code(
             code,
             retry_after_millis,
             request.may_have_run,
@@ -98,10 +100,10 @@
         code: Option<ResultCode>,
         context: &mut OutboundContext<'_>,
     ) {
-        let Some(request) = self.take(key) else {
+        let Some(request) = self.remove_request(key) else {
             return;
         };
-        let has_not_run = request.arrivals == 0 && !request.may_have_run;
+        let has_not_run = request.possible_arrivals == 0 && !request.may_have_run;
         if let Some(tenant) = request.limited_tenant.as_ref().filter(|_| has_not_run) {
             self.tokens.return_token(now, tenant);
         }
@@ -119,7 +121,7 @@
             tenant: request.forwarded.tenant.clone().unwrap_or_default(),
             proof_age_millis: context.proof_age_millis,
         }));
-        self.count_outcome(request, answer.status);
+        self.record_call_outcome(request, answer.status);
         context.out.push(Action::Answer {
             connection: key.connection,
             pipeline_index: key.pipeline_index,
@@ -128,7 +130,7 @@
     }
 
     /// Queues the outcome of a call of the local back end for the inbound side.
-    fn count_outcome(&mut self, request: Request, status: u16) {
+    fn record_call_outcome(&mut self, request: Request, status: u16) {
         let Some(parent_id) = request.parent_id else {
             return;
         };
@@ -172,7 +174,7 @@
     }
 
     /// Removes a request together with its deadline.
-    pub(super) fn take(&mut self, key: RequestKey) -> Option<Request> {
+    pub(super) fn remove_request(&mut self, key: RequestKey) -> Option<Request> {
         let request = self.requests.remove(&key)?;
         self.deadlines.remove(&(request.deadline, key));
         Some(request)
--- a/crates/rillgap-forward/src/outbound/intake.rs
+++ b/crates/rillgap-forward/src/outbound/intake.rs
@@ -9,7 +9,9 @@
 
 use super::request::Request;
 use super::tenancy::{self, Refusal};
-use super::{NO_BACK_END_MILLIS, Origin, Outbound, OutboundContext, THROTTLED_MILLIS};
+use super::{
+    NO_BACK_END_RETRY_AFTER_MILLIS, Origin, Outbound, OutboundContext, THROTTLED_RETRY_AFTER_MILLIS,
+};
 use crate::action::Action;
 use crate::configuration::{Route, RouteTable, Tenant};
 use crate::crash::Suspicion;
@@ -18,7 +20,7 @@
 use crate::message::{ForwardedRequest, content_fingerprint, level_for_tenant};
 
 /// Configuration entries that apply to a request.
-struct Known<'a> {
+struct Resolved<'a> {
     table: &'a RouteTable,
     route: Arc<Route>,
     tenant: Option<Arc<Tenant>>,
@@ -33,24 +35,24 @@
         origin: Origin,
         context: &mut OutboundContext<'_>,
     ) -> Result<Request, (Box<CallerRequest>, Refusal)> {
-        let known = match look_up(&caller, origin, context) {
-            Ok(known) => known,
+        let resolved = match resolve(&caller, origin, context) {
+            Ok(resolved) => resolved,
             Err(refusal) => return Err((Box::new(caller), refusal)),
         };
-        let Known {
+        let Resolved {
             table,
             route,
             tenant,
-        } = known;
+        } = resolved;
         let service = self.weights.choose(&route).to_owned();
         self.budget.count_request(now, &service);
         let (level, is_retry) = match origin {
-            Origin::Caller => (level_of_caller(&caller, &route, tenant.as_deref()), false),
+            Origin::Caller => (caller_level(&caller, &route, tenant.as_deref()), false),
             Origin::BackEnd { level, is_retry } => (level, is_retry),
         };
-        let content = watched_content(&caller, &route, tenant.as_deref(), context);
-        let guilty = content.filter(|content| is_quarantined(now, *content, context));
-        if let Some(content) = guilty {
+        let content = tracked_fingerprint(&caller, &route, tenant.as_deref(), context);
+        let quarantined = content.filter(|content| is_quarantined(now, *content, context));
+        if let Some(content) = quarantined {
             let retry_after = context
                 .inbound
                 .crashes()
@@ -64,7 +66,7 @@
         }
         let is_call = origin != Origin::Caller;
         if !is_call && !self.admission.admits(now, &route.name, &service, level) {
-            let refusal = Refusal::after(ResultCode::Overloaded, THROTTLED_MILLIS);
+            let refusal = Refusal::after(ResultCode::Overloaded, THROTTLED_RETRY_AFTER_MILLIS);
             return Err((Box::new(caller), refusal));
         }
         if is_retry {
@@ -106,17 +108,20 @@
 }
 
 /// Resolves the configuration entries for a request and authenticates its tenant.
-fn look_up<'a>(
+fn resolve<'a>(
     caller: &CallerRequest,
     origin: Origin,
     context: &OutboundContext<'a>,
-) -> Result<Known<'a>, Refusal> {
+) -> Result<Resolved<'a>, Refusal> {
     let is_refused = context.refuses_callers && origin == Origin::Caller;
     if context.is_exiting || is_refused {
         return Err(Refusal::new(ResultCode::NodeStopping));
     }
     let Some(table) = context.table else {
-        return Err(Refusal::after(ResultCode::NotReady, NO_BACK_END_MILLIS));
+        return Err(Refusal::after(
+            ResultCode::NotReady,
+            NO_BACK_END_RETRY_AFTER_MILLIS,
+        ));
     };
     let Some(route) = table.lookup(&caller.host, &caller.target) else {
         return Err(Refusal::new(ResultCode::UnknownRoute));
@@ -126,7 +131,7 @@
     }
     let tenant =
         tenancy::authenticate(table, route, caller, origin, context.is_configuration_fresh)?;
-    Ok(Known {
+    Ok(Resolved {
         table,
         route: route.clone(),
         tenant: tenant.cloned(),
@@ -135,7 +140,7 @@
 
 /// Returns the fingerprint of a request's content (route, method, target, tenant and body), or
 /// `None` while no content is recurrent or quarantined, so that none needs to be computed.
-fn watched_content(
+fn tracked_fingerprint(
     caller: &CallerRequest,
     route: &Route,
     tenant: Option<&Tenant>,
@@ -166,7 +171,7 @@
 
 /// Returns the admission level of a caller's request: by the priority of its tenant, if that has
 /// one, else by the priority of the route.
-fn level_of_caller(caller: &CallerRequest, route: &Route, tenant: Option<&Tenant>) -> Level {
+fn caller_level(caller: &CallerRequest, route: &Route, tenant: Option<&Tenant>) -> Level {
     let priority = tenant
         .and_then(|tenant| tenant.priority)
         .unwrap_or(route.priority);
--- a/crates/rillgap-forward/src/outbound/mod.rs
+++ b/crates/rillgap-forward/src/outbound/mod.rs
@@ -8,7 +8,7 @@
 mod admission;
 mod answer;
 mod attempts;
-mod ending;
+mod completion;
 mod intake;
 mod request;
 mod results;
@@ -42,28 +42,28 @@
 
 /// Fraction of the route's target latency for which a caller's request may wait in queues. Requests
 /// that wait longer are mostly not served in time, and fail after work was done for them.
-const QUEUE_SHARE: f64 = 0.2;
+const CALLER_QUEUE_FRACTION: f64 = 0.2;
 /// Fraction of the route's target latency for which a back end's call may wait in queues. Several
 /// calls follow each other within the time of one caller's request.
-const CALL_QUEUE_SHARE: f64 = 0.33;
+const CALL_QUEUE_FRACTION: f64 = 0.33;
 /// Maximum number of retries of a request after an attempt that reached no back end. Such a retry
 /// spends no budget.
-const MOST_FREE_MOVES: u32 = 3;
+const MAX_TRANSPARENT_RETRIES: u32 = 3;
 /// Maximum number of retries of a request in total: enough for nearly every call to succeed where
 /// back ends refuse half of the requests.
-const MOST_MOVES: u32 = 6;
+const MAX_RETRIES: u32 = 6;
 /// `Retry-After` of a request for which no back end is available, in milliseconds.
-const NO_BACK_END_MILLIS: u32 = 250;
+const NO_BACK_END_RETRY_AFTER_MILLIS: u32 = 250;
 /// Interval at which changes of admission are logged.
 const ADMISSION_REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// `Retry-After` of a request that admission control refuses, in milliseconds.
-const THROTTLED_MILLIS: u32 = 300;
+const THROTTLED_RETRY_AFTER_MILLIS: u32 = 300;
 
 /// Node that may run an attempt.
 #[derive(Clone, Copy, Debug)]
 enum Target {
     /// This node.
-    Own,
+    Local,
     /// A peer, over its open link.
     Peer(PeerIndex, LinkId),
 }
@@ -174,7 +174,7 @@
                     code,
                     retry_after_millis,
                 } = refusal;
-                let answer = answer::own(code, retry_after_millis, false, context.is_stopping);
+                let answer = answer::for_code(code, retry_after_millis, false, context.is_stopping);
                 self.answer_rejected(key, *rejected, code, answer, context);
                 return;
             }
@@ -188,7 +188,7 @@
         }
         self.deadlines.insert((request.deadline, key));
         self.requests.insert(key, request);
-        self.dispatch_within_limit(now, key, context);
+        self.dispatch_with_token(now, key, context);
     }
 
     /// Cancels all requests of a caller's connection that was closed.
@@ -201,7 +201,7 @@
             .map(|(key, _)| *key)
             .collect();
         for key in keys {
-            let Some(mut request) = self.take(key) else {
+            let Some(mut request) = self.remove_request(key) else {
                 continue;
             };
             self.cancel_attempt(&mut request, context);
@@ -230,7 +230,7 @@
         let Some(key) = key else {
             return;
         };
-        self.observe_levels(now, key, link, &response, context);
+        self.record_levels(now, key, link, &response, context);
         if let Some(request) = self.requests.get_mut(&key) {
             request.timing = response.timing;
             request.has_failed_call = response.has_failed_call;
@@ -245,7 +245,7 @@
         link: LinkId,
         context: &mut OutboundContext<'_>,
     ) {
-        for key in self.requests_at(link) {
+        for key in self.requests_on_link(link) {
             self.end_attempt(key, context);
             let result = ForwardResult::Unknown {
                 code: ResultCode::AnswerLost,
@@ -261,12 +261,12 @@
             self.next_admission_report = now + ADMISSION_REPORT_INTERVAL;
             self.report_admission(now, context);
         }
-        self.refuse_overdue(now, context);
+        self.refuse_unanswered_token_waits(now, context);
         while let Some((deadline, key)) = self.deadlines.first().copied() {
             if deadline > now {
                 return;
             }
-            self.give_up(now, key, context);
+            self.on_deadline(now, key, context);
         }
     }
 
@@ -274,12 +274,13 @@
     pub fn on_status(&mut self, now: Instant, peer: &str, status: &Status) {
         if status.is_serving {
             let level = status.load.level;
-            self.admission.observe(now, &status.service, peer, level);
+            self.admission
+                .record_published(now, &status.service, peer, level);
         }
     }
 
     /// Records the levels of the services that an answer involved.
-    fn observe_levels(
+    fn record_levels(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -296,15 +297,15 @@
             .map_or(self.own_name.as_str(), |peer| &peer.record.name);
         let service = &request.forwarded.service;
         self.admission
-            .observe(now, service, reporter, response.load.level);
+            .record_published(now, service, reporter, response.load.level);
         for involved in &response.downstream_levels {
-            self.admission.observe_relayed(now, involved, reporter);
+            self.admission.record_relayed(now, involved, reporter);
         }
         let is_success =
             matches!(&response.result, ForwardResult::Answered(answer) if answer.is_success());
         if is_success {
             self.budget
-                .learn_calls(service, !response.downstream_levels.is_empty());
+                .record_calls(service, !response.downstream_levels.is_empty());
         }
         if request.is_call {
             let mut involved = vec![ServiceAdmissionLevel {
@@ -315,8 +316,12 @@
             request.involved = involved;
         } else {
             let route = &request.route.name;
-            self.admission
-                .learn(route, service, &response.downstream_levels, is_success);
+            self.admission.record_involvement(
+                route,
+                service,
+                &response.downstream_levels,
+                is_success,
+            );
         }
     }
 
@@ -346,11 +351,11 @@
 
 /// Returns how long a request that arrived `elapsed` ago may still wait in queues.
 fn queue_limit(route: &Route, is_call: bool, elapsed: Duration) -> Duration {
-    let share = if is_call {
-        CALL_QUEUE_SHARE
+    let fraction = if is_call {
+        CALL_QUEUE_FRACTION
     } else {
-        QUEUE_SHARE
+        CALLER_QUEUE_FRACTION
     };
-    let limit = route.target_latency().mul_f64(share);
+    let limit = route.target_latency().mul_f64(fraction);
     limit.saturating_sub(elapsed)
 }
--- a/crates/rillgap-forward/src/outbound/request.rs
+++ b/crates/rillgap-forward/src/outbound/request.rs
@@ -55,13 +55,13 @@
     /// Tenant whose rate limit the request counts towards; `None` if it needs no token.
     pub limited_tenant: Option<String>,
     /// Names of the nodes that the request was sent to, in order.
-    tried: Vec<String>,
+    tried_nodes: Vec<String>,
     /// Number of back ends that the request may have reached.
-    pub arrivals: u32,
+    pub possible_arrivals: u32,
     /// Number of these back ends that have refused to run the request.
     pub refusals: u32,
     /// Number of attempts after the first.
-    pub moves: u32,
+    pub retries: u32,
     /// Whether a back end may have worked on the request.
     pub may_have_run: bool,
     /// Longest `Retry-After` among the refusals so far, in milliseconds; `None` without a refusal.
@@ -95,10 +95,10 @@
             configuration,
             forwarded,
             limited_tenant: None,
-            tried: Vec::new(),
-            arrivals: 0,
+            tried_nodes: Vec::new(),
+            possible_arrivals: 0,
             refusals: 0,
-            moves: 0,
+            retries: 0,
             may_have_run: false,
             retry_after_millis: None,
             timing: Timing::default(),
@@ -120,11 +120,11 @@
         let remaining = self.deadline.saturating_since(now);
         let elapsed = now.saturating_since(self.arrived);
         let limit = queue_limit(&self.route, self.is_call, elapsed);
-        self.tried.push(node.to_owned());
-        self.arrivals += 1;
+        self.tried_nodes.push(node.to_owned());
+        self.possible_arrivals += 1;
         self.current = Some(Attempt { link, sequence });
         let forwarded = Arc::make_mut(&mut self.forwarded);
-        forwarded.is_retry |= self.arrivals > 1;
+        forwarded.is_retry |= self.possible_arrivals > 1;
         forwarded.remaining_micros = u64::try_from(remaining.as_micros()).unwrap_or(u64::MAX);
         forwarded.queue_limit_micros = u64::try_from(limit.as_micros()).unwrap_or(u64::MAX);
         self.forwarded.clone()
@@ -136,38 +136,38 @@
     }
 
     /// Records that the last attempt did not run; `arrived` tells whether it reached the back end.
-    pub fn not_run(&mut self, arrived: bool, retry_after_millis: u32) {
+    pub fn record_not_run(&mut self, arrived: bool, retry_after_millis: u32) {
         if arrived {
             self.refusals += 1;
         } else {
-            self.arrivals = self.arrivals.saturating_sub(1);
+            self.possible_arrivals = self.possible_arrivals.saturating_sub(1);
         }
         let longest = self.retry_after_millis.unwrap_or(0).max(retry_after_millis);
         self.retry_after_millis = Some(longest);
     }
 
     /// Returns the number of back ends that may have run the request.
-    pub const fn runs(&self) -> u32 {
-        self.arrivals - self.refusals
+    pub const fn possible_runs(&self) -> u32 {
+        self.possible_arrivals - self.refusals
     }
 
     pub fn current(&self) -> Option<(LinkId, Sequence)> {
         self.current.map(|attempt| (attempt.link, attempt.sequence))
     }
 
-    pub fn is_at(&self, link: LinkId) -> bool {
+    pub fn is_on_link(&self, link: LinkId) -> bool {
         self.current.is_some_and(|attempt| attempt.link == link)
     }
 
     pub fn was_tried(&self, node: &str) -> bool {
-        self.tried.iter().any(|tried| tried == node)
+        self.tried_nodes.iter().any(|tried_node| tried_node == node)
     }
 
     pub fn last_target(&self) -> &str {
-        self.tried.last().map_or("", String::as_str)
+        self.tried_nodes.last().map_or("", String::as_str)
     }
 
     pub fn attempts(&self) -> u32 {
-        u32::try_from(self.tried.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.tried_nodes.len()).unwrap_or(u32::MAX)
     }
 }
--- a/crates/rillgap-forward/src/outbound/results.rs
+++ b/crates/rillgap-forward/src/outbound/results.rs
@@ -4,7 +4,7 @@
 use rillgap_core::time::Instant;
 
 use super::request::RequestKey;
-use super::{MOST_FREE_MOVES, MOST_MOVES, Outbound, OutboundContext};
+use super::{MAX_RETRIES, MAX_TRANSPARENT_RETRIES, Outbound, OutboundContext};
 use crate::action::Action;
 use crate::crash::Suspicion;
 use crate::log_record::LogRecord;
@@ -13,7 +13,7 @@
 /// Minimum number of serving back ends for an immediate retry of a request during which a back end
 /// crashed. The retry may crash another one; with few back ends, that takes away much of the
 /// service's capacity.
-const LEAST_EXPOSED: usize = 4;
+const MIN_BACK_ENDS_FOR_CRASH_RETRY: usize = 4;
 
 impl Outbound {
     pub(super) fn on_result(
@@ -48,11 +48,14 @@
         // A failed call was already retried by the node that made it, within the budget. Retrying
         // the whole chain above it would cost a retry at every service of the chain.
         let is_failure = forwarded.status >= 500 && !request.has_failed_call;
-        if is_failure && self.has_other_target(key, context) && self.may_repeat(now, key, context) {
+        if is_failure
+            && self.has_other_target(key, context)
+            && self.try_spend_retry(now, key, context)
+        {
             if let Some(request) = self.requests.get_mut(&key) {
                 request.failed_answer = Some(forwarded);
             }
-            self.repeat(now, key, ResultCode::AnswerBroken, true, context);
+            self.retry(now, key, ResultCode::AnswerBroken, true, context);
             return;
         }
         let Some(request) = self.requests.get(&key) else {
@@ -60,9 +63,9 @@
         };
         // These statuses tell the caller that the request did not run. Only a node can know this,
         // so a back end's status is not passed on for a request that may run only once.
-        let breaks_promise = matches!(forwarded.status, 408 | 421 | 429 | 503);
-        if breaks_promise && !request.route.is_idempotent() {
-            self.answer_own(now, key, ResultCode::AnswerLost, 0, context);
+        let claims_not_run = matches!(forwarded.status, 408 | 421 | 429 | 503);
+        if claims_not_run && !request.route.is_idempotent() {
+            self.answer_with_code(now, key, ResultCode::AnswerLost, 0, context);
             return;
         }
         self.finish_forwarded(now, key, forwarded, context);
@@ -80,25 +83,29 @@
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
-        request.not_run(arrived, retry_after_millis);
-        let most_moves = if arrived { MOST_MOVES } else { MOST_FREE_MOVES };
-        let moves_left = request.moves < most_moves;
+        request.record_not_run(arrived, retry_after_millis);
+        let max_retries = if arrived {
+            MAX_RETRIES
+        } else {
+            MAX_TRANSPARENT_RETRIES
+        };
+        let has_retries_left = request.retries < max_retries;
         // If one node's queue is full, another's is likely to be shorter. If one node cannot meet
         // the deadline, another is unlikely to meet it.
-        let worth_moving = match code {
+        let may_succeed_elsewhere = match code {
             ResultCode::DeadlineUnmet => request.is_call,
             ResultCode::Quarantined => false,
             _ => true,
         };
-        let may_move = moves_left
-            && worth_moving
+        let may_retry = has_retries_left
+            && may_succeed_elsewhere
             && self.has_other_target(key, context)
-            && (!arrived || self.may_repeat(now, key, context));
-        if may_move {
-            self.repeat(now, key, code, arrived, context);
+            && (!arrived || self.try_spend_retry(now, key, context));
+        if may_retry {
+            self.retry(now, key, code, arrived, context);
             return;
         }
-        self.answer_own(now, key, code, retry_after_millis, context);
+        self.answer_with_code(now, key, code, retry_after_millis, context);
     }
 
     pub(super) fn on_unknown(
@@ -112,18 +119,22 @@
             return;
         };
         request.may_have_run = true;
-        let is_exposure = code == ResultCode::BackEndCrashed;
-        let may_expose = !is_exposure || may_lose_one_more(&request.forwarded.service, context);
-        if may_expose && self.has_other_target(key, context) && self.may_repeat(now, key, context) {
-            self.repeat(now, key, code, true, context);
+        let back_end_crashed = code == ResultCode::BackEndCrashed;
+        let may_risk_crash =
+            !back_end_crashed || has_enough_for_crash_retry(&request.forwarded.service, context);
+        if may_risk_crash
+            && self.has_other_target(key, context)
+            && self.try_spend_retry(now, key, context)
+        {
+            self.retry(now, key, code, true, context);
             return;
         }
-        self.answer_own(now, key, code, 0, context);
+        self.answer_with_code(now, key, code, 0, context);
     }
 
     /// Spends one retry on a request that has reached a back end, if it may be sent to another
     /// one. Returns whether it may.
-    pub(super) fn may_repeat(
+    pub(super) fn try_spend_retry(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -137,11 +148,11 @@
         let has_not_run = !request.may_have_run && request.current().is_none();
         let may_run_again = request.route.is_idempotent() || has_not_run;
         // A back end that has refused to run the request does not count.
-        let attempts_left = request.runs() < request.route.max_attempts;
+        let has_attempts_left = request.possible_runs() < request.route.max_attempts;
         // Several back ends have crashed while running this content: no immediate retry.
         let is_recurrent =
             context.inbound.suspicion(now, &request.forwarded) >= Suspicion::Recurrent;
-        if !has_time || !may_run_again || !attempts_left || is_recurrent {
+        if !has_time || !may_run_again || !has_attempts_left || is_recurrent {
             return false;
         }
         let service = request.forwarded.service.clone();
@@ -156,7 +167,7 @@
             .is_some_and(|request| !self.candidates(request, context).is_empty())
     }
 
-    pub(super) fn repeat(
+    pub(super) fn retry(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -165,7 +176,7 @@
         context: &mut OutboundContext<'_>,
     ) {
         if let Some(request) = self.requests.get_mut(&key) {
-            request.moves += 1;
+            request.retries += 1;
             context.out.push(Action::Log(LogRecord::Retried {
                 request_id: request.forwarded.request_id.clone(),
                 from: request.last_target().to_owned(),
@@ -179,14 +190,14 @@
 
 /// Returns whether a service has enough back ends for an immediate retry of a request during which
 /// one of them crashed.
-fn may_lose_one_more(service: &str, context: &OutboundContext<'_>) -> bool {
-    serving_nodes(service, context) >= LEAST_EXPOSED
+fn has_enough_for_crash_retry(service: &str, context: &OutboundContext<'_>) -> bool {
+    serving_nodes(service, context) >= MIN_BACK_ENDS_FOR_CRASH_RETRY
 }
 
 /// Returns the number of nodes known to this one that have a serving back end of a service.
 fn serving_nodes(service: &str, context: &OutboundContext<'_>) -> usize {
-    let own = context.inbound.is_serving() && context.inbound.service() == service;
+    let is_own_serving = context.inbound.is_serving() && context.inbound.service() == service;
     let peers = context.directory.linked(service);
     let serving = peers.filter(|(_, peer)| peer.serving_link().is_some());
-    usize::from(own) + serving.count()
+    usize::from(is_own_serving) + serving.count()
 }
--- a/crates/rillgap-forward/src/outbound/tenancy.rs
+++ b/crates/rillgap-forward/src/outbound/tenancy.rs
@@ -14,10 +14,10 @@
 
 /// `Retry-After` while the configuration is not known to be recent, in milliseconds; long enough
 /// for several attempts to prove it.
-const UNPROVEN_MILLIS: u32 = 500;
+const UNPROVEN_RETRY_AFTER_MILLIS: u32 = 500;
 /// `Retry-After` while the owner of a tenant's bucket does not answer, in milliseconds; its
 /// successor takes over within that time.
-const NO_OWNER_MILLIS: u32 = 500;
+const NO_OWNER_RETRY_AFTER_MILLIS: u32 = 500;
 
 /// Refusal of a request before its first attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
     route: &Route,
     caller: &CallerRequest,
     origin: Origin,
-    is_proven: bool,
+    is_configuration_fresh: bool,
 ) -> Result<Option<&'a Arc<Tenant>>, Refusal> {
     // A call belongs to the request that it is made for, whose key has been checked.
     if !table.has_tenants() || origin != Origin::Caller {
@@ -61,7 +61,7 @@
         Credential::Absent | Credential::Malformed => None,
     };
     if route.is_public {
-        return Ok(tenant.filter(|_| is_proven));
+        return Ok(tenant.filter(|_| is_configuration_fresh));
     }
     match (caller.credential, tenant) {
         // The identifier is that of a call, and the request that it is made for has just ended.
@@ -72,9 +72,9 @@
             Err(Refusal::new(ResultCode::Unauthenticated))
         }
         // A configuration that may be outdated neither accepts nor rejects a key.
-        (Credential::Key(_), _) if !is_proven => Err(Refusal::after(
+        (Credential::Key(_), _) if !is_configuration_fresh => Err(Refusal::after(
             ResultCode::ConfigurationUnproven,
-            UNPROVEN_MILLIS,
+            UNPROVEN_RETRY_AFTER_MILLIS,
         )),
         (Credential::Key(_), Some(tenant)) => Ok(Some(tenant)),
         (Credential::Key(_), None) => Err(Refusal::new(ResultCode::Unauthenticated)),
@@ -89,7 +89,7 @@
 
     /// Sends a request to a node if it needs no token or gets one, leaves it waiting for a token,
     /// or refuses it.
-    pub(super) fn dispatch_within_limit(
+    pub(super) fn dispatch_with_token(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -147,7 +147,11 @@
         }
     }
 
-    pub(super) fn refuse_overdue(&mut self, now: Instant, context: &mut OutboundContext<'_>) {
+    pub(super) fn refuse_unanswered_token_waits(
+        &mut self,
+        now: Instant,
+        context: &mut OutboundContext<'_>,
+    ) {
         for key in self.tokens.take_overdue(now) {
             self.refuse_without_owner(now, key, context);
         }
@@ -159,7 +163,7 @@
         key: RequestKey,
         context: &mut OutboundContext<'_>,
     ) {
-        let refusal = Refusal::after(ResultCode::LimitUnknown, NO_OWNER_MILLIS);
+        let refusal = Refusal::after(ResultCode::LimitUnknown, NO_OWNER_RETRY_AFTER_MILLIS);
         self.refuse_without_token(now, key, refusal, context);
     }
 
@@ -185,6 +189,6 @@
         if let Some(request) = self.requests.get_mut(&key) {
             request.limited_tenant = None;
         }
-        self.answer_own(now, key, refusal.code, refusal.retry_after_millis, context);
+        self.answer_with_code(now, key, refusal.code, refusal.retry_after_millis, context);
     }
 }
--- a/crates/rillgap-forward/src/outbound/weights.rs
+++ b/crates/rillgap-forward/src/outbound/weights.rs
@@ -11,7 +11,7 @@
 use crate::configuration::{Route, WeightedService};
 
 /// Upper bound (exclusive) of the start offset in a round, in requests.
-const LONGEST_START: u64 = 10_000;
+const MAX_START_OFFSET: u64 = 10_000;
 
 /// Credit of a service in a round. The service with the highest credit is chosen next.
 #[derive(Clone, Debug)]
@@ -29,20 +29,20 @@
 }
 
 impl Round {
-    /// Creates the round of a route, advanced by `place` requests modulo its length.
-    fn new(route: &Route, place: u64) -> Self {
-        let credits: Vec<Credit> = route.services.iter().map(first_credit).collect();
+    /// Creates the round of a route, advanced by `offset` requests modulo its length.
+    fn new(route: &Route, offset: u64) -> Self {
+        let credits: Vec<Credit> = route.services.iter().map(initial_credit).collect();
         let total = credits.iter().map(|credit| i64::from(credit.weight)).sum();
         let mut round = Self { credits, total };
         let length = round.length();
-        for _ in 0..place % length.clamp(1, LONGEST_START) {
+        for _ in 0..offset % length.clamp(1, MAX_START_OFFSET) {
             round.advance();
         }
         round
     }
 
     /// Returns whether the route still has the services and weights of this round.
-    fn is_of(&self, route: &Route) -> bool {
+    fn matches(&self, route: &Route) -> bool {
         let is_same = |(credit, part): (&Credit, &WeightedService)| {
             credit.service == part.service && credit.weight == part.weight
         };
@@ -96,12 +96,12 @@
     }
 
     fn choose_weighted<'a>(&mut self, route: &'a Route) -> &'a str {
-        let is_known = self
+        let is_current = self
             .rounds
             .get(&route.name)
-            .is_some_and(|round| round.is_of(route));
-        if !is_known {
-            let round = Round::new(route, self.start(route));
+            .is_some_and(|round| round.matches(route));
+        if !is_current {
+            let round = Round::new(route, self.start_offset(route));
             self.rounds.insert(route.name.clone(), round);
         }
         let Some(round) = self.rounds.get_mut(&route.name) else {
@@ -113,15 +113,15 @@
     /// Returns the offset at which the round of a route starts. The offset depends on the weights
     /// as well: after a change of weights, a node that has received few requests is as likely as
     /// any other node to start with each service.
-    fn start(&self, route: &Route) -> u64 {
-        let of_route = xxh3_64_with_seed(route.name.as_bytes(), self.seed);
-        route.services.iter().fold(of_route, |hash, part| {
+    fn start_offset(&self, route: &Route) -> u64 {
+        let route_hash = xxh3_64_with_seed(route.name.as_bytes(), self.seed);
+        route.services.iter().fold(route_hash, |hash, part| {
             xxh3_64_with_seed(&part.weight.to_le_bytes(), hash)
         })
     }
 }
 
-fn first_credit(part: &WeightedService) -> Credit {
+fn initial_credit(part: &WeightedService) -> Credit {
     Credit {
         service: part.service.clone(),
         weight: part.weight,
--- a/crates/rillgap-forward/src/retry_budget.rs
+++ b/crates/rillgap-forward/src/retry_budget.rs
@@ -20,8 +20,9 @@
 //! A retry makes its back end repeat the calls below it. The node that sends these calls counts
 //! them against its own allowance, so a service gets `U * ratio * Q` retries in total, whichever of
 //! the services above it was retried, and `inherited` is only what exceeds the allowance of single
-//! nodes. `U` is [`LEAF_SHARE`] for a service whose answers so far have involved no calls, and
-//! [`SHARE`] for others, where a retry also causes retries below it. `F` is [`FLOOR_SHARE`].
+//! nodes. `U` is [`LEAF_RATIO_SHARE`] for a service whose answers so far have involved no calls,
+//! and [`RATIO_SHARE`] for others, where a retry also causes retries below it. `F` is
+//! [`FLOOR_SLACK_SHARE`].
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -36,29 +37,29 @@
 /// Number of slices that the window is divided into.
 const SLICES: u32 = 20;
 /// Share of the deployment's ratio that a node may use for a service whose back ends make calls.
-const SHARE: f64 = 0.4;
+const RATIO_SHARE: f64 = 0.4;
 /// Share of the deployment's ratio that a node may use for a service whose back ends make no calls.
-const LEAF_SHARE: f64 = 0.8;
+const LEAF_RATIO_SHARE: f64 = 0.8;
 /// Maximum floor: retries per window that a node may send for a service without any requests.
-const MOST_FLOOR: f64 = 1.0;
+const MAX_FLOOR: f64 = 1.0;
 /// Number of windows after which a node draws its rounding number again, so that no node with few
 /// requests is without retries permanently.
-const DRAW_LASTS: u64 = 6;
+const REDRAW_WINDOWS: u64 = 6;
 /// Share of the deployment's slack that is divided into the floors of all nodes. The rest is for
 /// nodes that restart and lose their counts.
-const FLOOR_SHARE: f64 = 0.25;
+const FLOOR_SLACK_SHARE: f64 = 0.25;
 
 /// Counts of one slice of the window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Fraction of the window for which the remaining budget has to last while more retries are
 /// requested than it covers.
-const HORIZON_SHARE: f64 = 0.5;
+const HORIZON_FRACTION: f64 = 0.5;
 
 /// Requests and retries of one service within the window.
 #[derive(Clone, Debug, Default)]
@@ -91,14 +92,14 @@
 
     /// Returns the number of retries left, without the floor, given the deployment's ratio of
     /// retries to requests; negative if more were sent.
-    fn left(&self, ratio: f64) -> f64 {
+    fn remaining(&self, ratio: f64) -> f64 {
         let share = match self.has_calls {
-            Some(false) => LEAF_SHARE,
-            Some(true) | None => SHARE,
+            Some(false) => LEAF_RATIO_SHARE,
+            Some(true) | None => RATIO_SHARE,
         };
         let requests: u32 = self.slices.iter().map(|slice| slice.requests).sum();
-        let repeats: u32 = self.slices.iter().map(|slice| slice.repeats).sum();
-        f64::from(requests) * ratio * share - f64::from(repeats)
+        let retries: u32 = self.slices.iter().map(|slice| slice.retries).sum();
+        f64::from(requests) * ratio * share - f64::from(retries)
     }
 }
 
@@ -123,7 +124,7 @@
             ratio: bound.ratio,
             slack: f64::from(bound.slack),
             slice: bound.window / SLICES,
-            horizon: bound.window.mul_f64(HORIZON_SHARE),
+            horizon: bound.window.mul_f64(HORIZON_FRACTION),
             services: BTreeMap::new(),
         }
     }
@@ -134,14 +135,14 @@
     }
 
     /// Records whether an answered request of a service involved calls to other services.
-    pub fn learn_calls(&mut self, service: &str, has_calls: bool) {
+    pub fn record_calls(&mut self, service: &str, has_calls: bool) {
         let budget = self.service(service);
         budget.has_calls = Some(has_calls || budget.has_calls == Some(true));
     }
 
     /// Counts a retry that cannot be refused any more: a call made for a retried request.
     pub fn spend(&mut self, now: Instant, service: &str) {
-        self.current(now, service).repeats += 1;
+        self.current(now, service).retries += 1;
     }
 
     /// Spends one retry, for a chain whose root has this level, if the budget of a node in a
@@ -149,26 +150,26 @@
     pub fn try_spend(&mut self, now: Instant, service: &str, nodes: usize, level: Level) -> bool {
         let ratio = self.ratio;
         let horizon = self.horizon.as_secs_f64();
-        let floor = (self.slack * FLOOR_SHARE / nodes.max(1) as f64).min(MOST_FLOOR);
+        let floor = (self.slack * FLOOR_SLACK_SHARE / nodes.max(1) as f64).min(MAX_FLOOR);
         let number = self.slice_number(now);
         let rounding = self.rounding(number, service);
         let budget = self.service(service);
         budget.current(number);
-        let left = budget.left(ratio) + floor;
+        let remaining = budget.remaining(ratio) + floor;
         budget.demand.count(level);
-        let is_preferred = level >= budget.demand.floor(now, left.max(0.0) / horizon);
-        if left + rounding < 1.0 || !is_preferred {
+        let is_preferred = level >= budget.demand.min_level(now, remaining.max(0.0) / horizon);
+        if remaining + rounding < 1.0 || !is_preferred {
             return false;
         }
-        budget.current(number).repeats += 1;
+        budget.current(number).retries += 1;
         true
     }
 
     /// Returns the number from 0 to 1 by which the node's allowance for a service is rounded.
     fn rounding(&self, slice: u64, service: &str) -> f64 {
-        let draw = slice / (u64::from(SLICES) * DRAW_LASTS);
-        let of_node = xxh3_64_with_seed(&draw.to_le_bytes(), self.seed);
-        xxh3_64_with_seed(service.as_bytes(), of_node) as f64 / u64::MAX as f64
+        let draw = slice / (u64::from(SLICES) * REDRAW_WINDOWS);
+        let node_hash = xxh3_64_with_seed(&draw.to_le_bytes(), self.seed);
+        xxh3_64_with_seed(service.as_bytes(), node_hash) as f64 / u64::MAX as f64
     }
 
     fn current(&mut self, now: Instant, service: &str) -> &mut Slice {
--- a/crates/rillgap-forward/src/retry_demand.rs
+++ b/crates/rillgap-forward/src/retry_demand.rs
@@ -21,29 +21,29 @@
 /// Number of admission levels per bin.
 const LEVELS_PER_BIN: u32 = Level::PER_TIER / BINS_PER_TIER as u32;
 /// Time constant of the exponential average of the demand.
-const MEMORY: Duration = Duration::from_millis(500);
+const DECAY_TIME_CONSTANT: Duration = Duration::from_millis(500);
 /// Demand that is treated as none, in retries per second.
-const NEGLIGIBLE: f64 = 0.05;
+const NEGLIGIBLE_RATE: f64 = 0.05;
 /// Interval at which the lowest level to retry is recomputed.
-const INTERVAL: Duration = Duration::from_millis(50);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Demand for retries, as a histogram over the levels of the chains' roots.
 #[derive(Clone, Debug)]
 pub struct RetryDemand {
     /// Retries that were requested per second in each bin, averaged.
-    wanted: [f64; BINS],
-    floor: Level,
-    next_look: Instant,
-    looked_at: Instant,
+    requested: [f64; BINS],
+    min_level: Level,
+    next_update: Instant,
+    updated_at: Instant,
 }
 
 impl Default for RetryDemand {
     fn default() -> Self {
         Self {
-            wanted: [0.0; BINS],
-            floor: Level(0),
-            next_look: Instant::default(),
-            looked_at: Instant::default(),
+            requested: [0.0; BINS],
+            min_level: Level(0),
+            next_update: Instant::default(),
+            updated_at: Instant::default(),
         }
     }
 }
@@ -52,39 +52,39 @@
     /// Counts a request for a retry in a chain whose root has this level.
     pub fn count(&mut self, level: Level) {
         let bin = (level.0 / LEVELS_PER_BIN) as usize;
-        self.wanted[bin.min(BINS - 1)] += 1.0 / MEMORY.as_secs_f64();
+        self.requested[bin.min(BINS - 1)] += 1.0 / DECAY_TIME_CONSTANT.as_secs_f64();
     }
 
     /// Returns the lowest level of which retries are covered by a budget of `rate` retries per
     /// second.
-    pub fn floor(&mut self, now: Instant, rate: f64) -> Level {
-        if now >= self.next_look {
-            self.next_look = now + INTERVAL;
-            self.fade(now);
-            self.floor = self.lowest_within(rate);
+    pub fn min_level(&mut self, now: Instant, rate: f64) -> Level {
+        if now >= self.next_update {
+            self.next_update = now + UPDATE_INTERVAL;
+            self.decay(now);
+            self.min_level = self.min_level_within(rate);
         }
-        self.floor
+        self.min_level
     }
 
-    fn fade(&mut self, now: Instant) {
-        let elapsed = now.saturating_since(self.looked_at).as_secs_f64();
-        self.looked_at = now;
-        let kept = (-elapsed / MEMORY.as_secs_f64()).exp();
-        for wanted in &mut self.wanted {
-            *wanted *= kept;
+    fn decay(&mut self, now: Instant) {
+        let elapsed = now.saturating_since(self.updated_at).as_secs_f64();
+        self.updated_at = now;
+        let decay_factor = (-elapsed / DECAY_TIME_CONSTANT.as_secs_f64()).exp();
+        for requested in &mut self.requested {
+            *requested *= decay_factor;
         }
     }
 
-    fn lowest_within(&self, rate: f64) -> Level {
+    fn min_level_within(&self, rate: f64) -> Level {
         let mut above = 0.0;
-        for (bin, wanted) in self.wanted.iter().enumerate().rev() {
+        for (bin, requested) in self.requested.iter().enumerate().rev() {
             // The highest bin with demand is covered while any budget is left, even if its demand
             // alone exceeds the rate.
-            let is_highest = above < NEGLIGIBLE;
-            if above + wanted > rate && !is_highest {
+            let is_highest = above < NEGLIGIBLE_RATE;
+            if above + requested > rate && !is_highest {
                 return Level((bin as u32 + 1) * LEVELS_PER_BIN);
             }
-            above += wanted;
+            above += requested;
         }
         Level(0)
     }
--- a/crates/rillgap-forward/src/subset.rs
+++ b/crates/rillgap-forward/src/subset.rs
@@ -41,12 +41,12 @@
     }
     for ((_, is_local), group) in groups {
         let wanted = if is_local { LOCAL_PEERS } else { REMOTE_PEERS };
-        choose_within(now, wanted, group);
+        select_within_group(now, wanted, group);
     }
 }
 
 /// Marks the peers of a group in the order of preference until `wanted` of them may serve.
-fn choose_within(now: Instant, wanted: usize, mut group: Vec<&mut Peer>) {
+fn select_within_group(now: Instant, wanted: usize, mut group: Vec<&mut Peer>) {
     group.sort_unstable_by_key(|peer| peer.preference);
     let mut serving = 0;
     for peer in group {
--- a/crates/rillgap-forward/tests/policies.rs
+++ b/crates/rillgap-forward/tests/policies.rs
@@ -226,7 +226,7 @@
             budget.count_request(at(0), "takst");
         }
         for has_calls in answers {
-            budget.learn_calls("takst", *has_calls);
+            budget.record_calls("takst", *has_calls);
         }
         let spent = (0..100).filter(|_| budget.try_spend(at(1), "takst", NODES, HIGHEST));
         spent.count()
--- a/crates/rillgap-forward/tests/retry_bound.rs
+++ b/crates/rillgap-forward/tests/retry_bound.rs
@@ -32,7 +32,7 @@
     let mut spent = 0;
     for seed in 0..nodes as u64 {
         let mut budget = RetryBudget::new(bound(slack), seed);
-        budget.learn_calls(SERVICE, false);
+        budget.record_calls(SERVICE, false);
         for _ in 0..requests {
             budget.count_request(at(0), SERVICE);
         }
@@ -94,7 +94,7 @@
             if is_cut {
                 continue;
             }
-            budget.learn_calls(SERVICE, false);
+            budget.record_calls(SERVICE, false);
             // Nodes differ in the number of requests that they send.
             for _ in 0..draw(1 + number as u64 % 8) {
                 budget.count_request(now, SERVICE);
