--- a/crates/rillgap-forward/src/outbound/attempts.rs
+++ b/crates/rillgap-forward/src/outbound/attempts.rs
@@ -49,6 +49,7 @@
         });
     }
 
+    /// Returns the serving nodes of the request's service that it has not been sent to yet.
     pub(super) fn candidates(
         &self,
         request: &Request,
--- a/crates/rillgap-forward/src/outbound/mod.rs
+++ b/crates/rillgap-forward/src/outbound/mod.rs
@@ -52,7 +52,8 @@
 /// Maximum number of retries of a request in total: enough for nearly every call to succeed where
 /// back ends refuse half of the requests.
 const MAX_RETRIES: u32 = 6;
-/// `Retry-After` of a request for which no back end is available, in milliseconds.
+/// `Retry-After` of a request for which no back end or no configuration is available, in
+/// milliseconds.
 const NO_BACK_END_RETRY_AFTER_MILLIS: u32 = 250;
 /// Interval at which changes of admission are logged.
 const ADMISSION_REPORT_INTERVAL: Duration = Duration::from_millis(200);
@@ -116,6 +117,7 @@
     own_service: String,
     requests: BTreeMap<RequestKey, Request>,
     deadlines: BTreeSet<(Instant, RequestKey)>,
+    /// Requests with an attempt in flight, by the sequence number of the attempt.
     by_sequence: BTreeMap<Sequence, RequestKey>,
     next_sequence: u64,
     balancer: Balancer,
@@ -124,6 +126,7 @@
     tokens: EntryLimiter<RequestKey>,
     next_admission_report: Instant,
     weights: WeightedChoice,
+    /// Updates on calls of the local back end that the inbound side has not received yet.
     call_updates: Vec<CallUpdate>,
 }
 
--- a/crates/rillgap-forward/src/outbound/request.rs
+++ b/crates/rillgap-forward/src/outbound/request.rs
@@ -9,7 +9,7 @@
 use crate::id::{ConnectionId, LinkId, PipelineIndex, Sequence};
 use crate::message::{ForwardedAnswer, ForwardedRequest, ServiceAdmissionLevel, Timing};
 
-/// Identifies a request by its connection and its position there.
+/// Identifies a request by its connection and its position in the connection's pipeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RequestKey {
     pub connection: ConnectionId,
@@ -47,9 +47,11 @@
     pub arrived: Instant,
     pub deadline: Instant,
     pub route: Arc<Route>,
+    /// Whether the request is a call that the local back end makes for another request.
     pub is_call: bool,
     /// Identifier of the request that a call is made for.
     pub parent_id: Option<String>,
+    /// Version of the configuration by which the request was routed.
     pub configuration: u64,
     pub forwarded: Arc<ForwardedRequest>,
     /// Tenant whose rate limit the request counts towards; `None` if it needs no token.
--- a/crates/rillgap-forward/src/outbound/tenancy.rs
+++ b/crates/rillgap-forward/src/outbound/tenancy.rs
@@ -147,6 +147,7 @@
         }
     }
 
+    /// Refuses requests that have waited too long for a token.
     pub(super) fn refuse_unanswered_token_waits(
         &mut self,
         now: Instant,
--- a/crates/rillgap-forward/tests/admission.rs
+++ b/crates/rillgap-forward/tests/admission.rs
@@ -18,7 +18,7 @@
 const PRIORITY: u8 = 1;
 /// Returns the level that admits this percentage of the requests on the test configuration's
 /// routes.
-fn admitting(percent: u32) -> Level {
+fn level_admitting(percent: u32) -> Level {
     let floor = Level::tier_floor(level_of(PRIORITY, "any").tier());
     Level(floor.0 + Level::PER_TIER * (100 - percent) / 100)
 }
@@ -67,9 +67,9 @@
 ) -> u64 {
     let mut admitted = 0;
     for number in 0..count {
-        let turn = test.now * 1_000 + number;
+        let index = test.now * 1_000 + number;
         let sent = test.sent().len();
-        test.request(turn, caller_request(&format!("{target}{turn}"), target));
+        test.request(index, caller_request(&format!("{target}{index}"), target));
         if test.sent().len() > sent {
             admitted += 1;
             test.respond_with(
@@ -84,13 +84,13 @@
 }
 
 #[gtest]
-fn what_a_service_further_down_would_shed_is_refused_before_it_begins() {
+fn request_that_a_downstream_service_would_shed_is_refused_at_the_entry() {
     let mut test = entry();
-    let half = involved(admitting(50));
+    let half = involved(level_admitting(50));
     admitted(&mut test, 200, "/safe/1", Level(0), &half);
     test.actions.clear();
-    let let_in = admitted(&mut test, 400, "/safe/1", Level(0), &half);
-    expect_that!(let_in, all!(gt(150), lt(250)));
+    let admitted_count = admitted(&mut test, 400, "/safe/1", Level(0), &half);
+    expect_that!(admitted_count, all!(gt(150), lt(250)));
     let refused = test
         .answers()
         .into_iter()
@@ -103,63 +103,75 @@
 }
 
 #[gtest]
-fn services_of_a_route_are_learned_while_every_chain_fails() {
+fn involved_services_are_recorded_while_every_request_fails() {
     let mut test = entry();
-    let half = involved(admitting(50));
-    let let_in = admitted_with_status(&mut test, 400, "/safe/1", (Level(0), &half), 500);
-    expect_that!(let_in, lt(250));
+    let half = involved(level_admitting(50));
+    let admitted_count = admitted_with_status(&mut test, 400, "/safe/1", (Level(0), &half), 500);
+    expect_that!(admitted_count, lt(250));
 }
 
 #[gtest]
-fn chains_that_fail_early_do_not_hide_what_a_route_involves() {
+fn requests_that_fail_early_do_not_remove_involved_services() {
     let mut test = entry();
-    let half = involved(admitting(50));
+    let half = involved(level_admitting(50));
     admitted(&mut test, 200, "/safe/1", Level(0), &half);
     admitted_with_status(&mut test, 400, "/safe/1", (Level(0), &[]), 500);
-    let let_in = admitted(&mut test, 400, "/safe/1", Level(0), &half);
-    expect_that!(let_in, lt(250));
+    let admitted_count = admitted(&mut test, 400, "/safe/1", Level(0), &half);
+    expect_that!(admitted_count, lt(250));
 }
 
 #[gtest]
-fn route_that_does_not_involve_the_service_is_let_in_whole() {
+fn route_that_does_not_involve_the_service_is_admitted_entirely() {
     let mut test = entry();
-    admitted(&mut test, 200, "/safe/1", Level(0), &involved(admitting(0)));
+    admitted(
+        &mut test,
+        200,
+        "/safe/1",
+        Level(0),
+        &involved(level_admitting(0)),
+    );
     let other = admitted(&mut test, 100, "/once/1", Level(0), &[]);
     expect_that!(other, eq(100));
 }
 
 #[gtest]
-fn more_important_requests_are_let_in_whole() {
+fn requests_above_the_level_are_all_admitted() {
     let mut test = entry();
     let below = Level::tier_floor(level_of(PRIORITY, "any").tier());
-    let let_in = admitted(&mut test, 200, "/safe/1", below, &[]);
-    expect_that!(let_in, eq(200));
+    let admitted_count = admitted(&mut test, 200, "/safe/1", below, &[]);
+    expect_that!(admitted_count, eq(200));
 }
 
 #[gtest]
-fn level_that_nobody_reports_any_more_is_forgotten() {
+fn level_without_reports_expires() {
     let mut test = entry();
-    admitted(&mut test, 200, "/safe/1", Level(0), &involved(admitting(0)));
+    admitted(
+        &mut test,
+        200,
+        "/safe/1",
+        Level(0),
+        &involved(level_admitting(0)),
+    );
     test.actions.clear();
     expect_that!(admitted(&mut test, 1, "/safe/1", Level(0), &[]), eq(0));
     test.pass(2_500);
     expect_that!(admitted(&mut test, 1, "/safe/1", Level(0), &[]), eq(1));
 }
 
-fn tell(test: &mut TestNode, link: LinkId, status: Status) {
+fn send_status(test: &mut TestNode, link: LinkId, status: Status) {
     let message = LinkMessage::Status(status);
     test.event(Event::Link { link, message });
 }
 
 #[gtest]
-fn only_levels_that_were_published_by_the_service_are_passed_on() {
+fn only_levels_published_by_the_service_are_relayed() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let deep = test.connect("peer-deep", 7, DEEP_SERVICE);
     // The service publishes a low level; the levels relayed by other nodes are higher.
-    let published = admitting(80);
+    let published = level_admitting(80);
     test.connect("peer-a", 2, OTHER_SERVICE);
-    tell(
+    send_status(
         &mut test,
         deep,
         Status {
@@ -173,7 +185,7 @@
             caller_request(&format!("r{number}"), "/settlement/1"),
         );
         let answered = ForwardResult::Answered(answer(200));
-        test.respond_with(load(Level(0)), involved(admitting(10)), answered);
+        test.respond_with(load(Level(0)), involved(level_admitting(10)), answered);
     }
     test.forward(link, 1, forwarded("parent", true));
     let parent = test.exchanges().last().expect("the parent").id;
@@ -181,22 +193,22 @@
     let answered = ForwardResult::Answered(answer(200));
     test.respond_with(load(published), Vec::new(), answered);
     test.end_exchange(parent, ExchangeResult::Answered(answer(200)));
-    let told = test.involved().pop().expect("levels of the answer");
-    expect_that!(told.service.as_str(), eq(DEEP_SERVICE));
-    expect_that!(told.level, eq(published));
+    let relayed = test.involved().pop().expect("levels of the answer");
+    expect_that!(relayed.service.as_str(), eq(DEEP_SERVICE));
+    expect_that!(relayed.level, eq(published));
 }
 
 #[gtest]
-fn change_of_what_is_let_in_is_told_to_the_log() {
+fn change_of_admission_is_logged() {
     let mut test = entry();
     admitted(
         &mut test,
         300,
         "/safe/1",
         Level(0),
-        &involved(admitting(30)),
+        &involved(level_admitting(30)),
     );
-    let told = test.notes().into_iter().rev().find_map(|note| match note {
+    let logged = test.notes().into_iter().rev().find_map(|note| match note {
         LogRecord::Admission {
             service,
             priority,
@@ -204,26 +216,26 @@
         } => Some((service, priority, admitted_percent)),
         _ => None,
     });
-    let (service, priority, percent) = told.expect("a record of the change");
+    let (service, priority, percent) = logged.expect("a log record of the change");
     expect_that!(service.as_str(), eq(DEEP_SERVICE));
     expect_that!(priority, eq(PRIORITY));
     expect_that!(percent, all!(ge(25), le(45)));
 }
 
 #[gtest]
-fn queue_of_less_important_requests_does_not_count_for_a_more_important_one() {
+fn queued_requests_of_lower_priority_do_not_count_for_a_higher_one() {
     let mut test = TestNode::configured("logbok");
     let busy = test.connect("peer-busy", 2, SERVICE);
     let calm = test.connect("peer-calm", 3, SERVICE);
     let tier = |priority| usize::from(level_of(priority, "any").tier());
-    let mut of_less_important = serving(SERVICE);
-    of_less_important.load.running = 2;
-    of_less_important.load.queued[tier(5)] = 50;
-    let mut of_more_important = serving(SERVICE);
-    of_more_important.load.running = 4;
-    of_more_important.load.queued[tier(0)] = 5;
-    tell(&mut test, busy, of_less_important);
-    tell(&mut test, calm, of_more_important);
+    let mut lower_priority = serving(SERVICE);
+    lower_priority.load.running = 2;
+    lower_priority.load.queued[tier(5)] = 50;
+    let mut higher_priority = serving(SERVICE);
+    higher_priority.load.running = 4;
+    higher_priority.load.queued[tier(0)] = 5;
+    send_status(&mut test, busy, lower_priority);
+    send_status(&mut test, calm, higher_priority);
     test.actions.clear();
     test.request(1, caller_request("a", "/safe/1"));
     expect_that!(test.sent()[0].0, eq(busy));
--- a/crates/rillgap-forward/tests/outbound.rs
+++ b/crates/rillgap-forward/tests/outbound.rs
@@ -22,7 +22,7 @@
     }
 }
 
-fn lost() -> ForwardResult {
+fn answer_lost() -> ForwardResult {
     ForwardResult::Unknown {
         code: ResultCode::AnswerLost,
     }
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn answer_of_the_peer_goes_back_unchanged() {
+fn answer_of_a_peer_is_returned_unchanged() {
     let mut test = entry();
     test.request(0, caller_request("a", "/safe/1"));
     test.respond(ForwardResult::Answered(answer(200)));
@@ -78,12 +78,12 @@
 }
 
 #[gtest]
-fn request_carries_the_smaller_of_deadline_and_time_out() {
+fn request_carries_the_smaller_of_deadline_and_timeout() {
     let mut test = entry();
     test.request(0, caller_request("a", "/safe/1"));
-    let mut patient = caller_request("b", "/safe/1");
-    patient.deadline = Some(std::time::Duration::from_secs(60));
-    test.request(1, patient);
+    let mut long_deadline = caller_request("b", "/safe/1");
+    long_deadline.deadline = Some(std::time::Duration::from_secs(60));
+    test.request(1, long_deadline);
     let remaining: Vec<u64> = test
         .sent()
         .iter()
@@ -93,16 +93,16 @@
 }
 
 #[gtest]
-fn request_that_may_run_once_is_not_sent_again_after_a_lost_answer() {
+fn at_most_once_request_is_not_retried_after_a_lost_answer() {
     let mut test = entry();
     test.request(0, caller_request("a", "/once/1"));
-    test.respond(lost());
+    test.respond(answer_lost());
     expect_that!(test.sent().len(), eq(1));
     expect_that!(test.statuses(), elements_are![eq(&502)]);
 }
 
 #[gtest]
-fn request_that_may_run_once_moves_on_the_word_that_it_did_not_run() {
+fn at_most_once_request_is_retried_if_it_is_reported_as_not_run() {
     let mut test = entry();
     test.request(0, caller_request("a", "/once/1"));
     test.respond(not_run(false));
@@ -115,7 +115,7 @@
 }
 
 #[gtest]
-fn back_end_that_refuses_to_run_a_request_does_not_count_as_an_attempt() {
+fn refusal_by_a_back_end_does_not_count_as_an_attempt() {
     let mut test = entry_with_peers(6);
     for number in 0..40 {
         let id = format!("earlier-{number}");
@@ -132,17 +132,17 @@
 }
 
 #[gtest]
-fn refusal_after_a_try_of_unknown_fate_promises_nothing() {
+fn refusal_after_an_attempt_with_unknown_outcome_is_answered_with_502() {
     let mut test = entry();
     test.request(0, caller_request("a", "/safe/1"));
-    test.respond(lost());
+    test.respond(answer_lost());
     expect_that!(test.sent().len(), eq(2));
     test.respond(not_run(false));
     expect_that!(test.statuses(), elements_are![eq(&502)]);
 }
 
 #[gtest]
-fn failure_of_the_back_end_outlives_a_second_try_that_came_to_nothing() {
+fn failure_of_a_back_end_is_returned_if_the_retry_is_refused() {
     let mut test = entry();
     test.request(0, caller_request("a", "/safe/1"));
     test.respond(ForwardResult::Answered(answer(500)));
@@ -152,7 +152,7 @@
 }
 
 #[gtest]
-fn promise_of_a_back_end_is_not_passed_on_for_what_may_have_run() {
+fn status_503_of_a_back_end_is_not_passed_on_for_an_at_most_once_request() {
     let mut test = entry();
     test.request(0, caller_request("a", "/once/1"));
     test.respond(ForwardResult::Answered(answer(503)));
@@ -160,7 +160,7 @@
 }
 
 #[gtest]
-fn time_out_is_answered_at_once_and_cancels_the_work() {
+fn request_past_its_deadline_is_answered_at_once_and_cancelled() {
     // With a second peer, the request would be retried there before its deadline.
     let mut test = TestNode::configured("logbok");
     test.connect("peer-a", 2, SERVICE);
@@ -184,7 +184,7 @@
 }
 
 #[gtest]
-fn caller_that_has_gone_cancels_all_its_requests() {
+fn closed_caller_connection_cancels_all_its_requests() {
     let mut test = entry();
     test.request(0, caller_request("a", "/safe/1"));
     test.request(1, caller_request("b", "/safe/1"));
@@ -194,19 +194,19 @@
 }
 
 #[gtest]
-fn end_of_a_link_moves_what_may_run_again_and_answers_the_rest() {
+fn end_of_a_link_retries_idempotent_requests_and_answers_the_others() {
     let mut test = TestNode::configured("logbok");
-    let first = test.connect("peer-a", 2, SERVICE);
+    let link = test.connect("peer-a", 2, SERVICE);
     test.request(0, caller_request("a", "/safe/1"));
     test.request(1, caller_request("b", "/once/1"));
     test.connect("peer-b", 3, SERVICE);
-    test.event(Event::LinkClosed(first));
+    test.event(Event::LinkClosed(link));
     expect_that!(test.statuses(), elements_are![eq(&502)]);
     expect_that!(test.sent().len(), eq(3));
 }
 
 #[gtest]
-fn no_back_end_is_refused_with_a_time_to_come_back() {
+fn request_without_a_back_end_is_refused_with_retry_after() {
     let mut test = TestNode::configured("logbok");
     test.request(0, caller_request("a", "/once/1"));
     expect_that!(test.statuses(), elements_are![eq(&503)]);
@@ -214,7 +214,7 @@
 }
 
 #[gtest]
-fn stopping_or_leaving_peers_get_nothing() {
+fn stopping_peer_gets_no_requests() {
     let mut test = TestNode::configured("logbok");
     let link = test.connect("peer-a", 2, SERVICE);
     let status = Status {
@@ -232,11 +232,11 @@
 
 /// Sends 200 requests whose first answers are lost, so that each is worth a retry, and returns the
 /// number of retries. The answers report calls to `involved`.
-fn repeats_of_200(involved: &[ServiceAdmissionLevel]) -> usize {
+fn retries_of_200_requests(involved: &[ServiceAdmissionLevel]) -> usize {
     let mut test = entry();
-    for turn in 0..200 {
-        test.request(turn, caller_request(&format!("r{turn}"), "/safe/1"));
-        test.respond(lost());
+    for index in 0..200 {
+        test.request(index, caller_request(&format!("r{index}"), "/safe/1"));
+        test.respond(answer_lost());
         if test.node.outbound().in_flight() > 0 {
             let result = ForwardResult::Answered(answer(200));
             test.respond_with(serving(SERVICE).load, involved.to_vec(), result);
@@ -246,16 +246,16 @@
 }
 
 #[gtest]
-fn repeats_stay_within_the_share_of_the_requests() {
+fn retries_stay_within_the_ratio_of_the_requests() {
     let called = ServiceAdmissionLevel {
         service: DEEP_SERVICE.to_owned(),
         level: Level(0),
     };
     // With calls, a node uses two fifths of the ratio 0.2, plus one retry: 17 for 200 requests.
-    expect_that!(repeats_of_200(&[called]), all!(ge(10), le(17)));
+    expect_that!(retries_of_200_requests(&[called]), all!(ge(10), le(17)));
     // Without calls, it uses four fifths of the ratio, plus one retry: 33, which is below the 40
     // that the ratio allows the whole deployment.
-    expect_that!(repeats_of_200(&[]), all!(ge(20), le(33)));
+    expect_that!(retries_of_200_requests(&[]), all!(ge(20), le(33)));
 }
 
 #[gtest]
@@ -272,13 +272,13 @@
     expect_that!(child.is_call, eq(true));
     expect_that!(child.level, eq(level_of(0, "root")));
     // Its identifier names no request that is running here, so it counts as a caller's request.
-    let stranger = &exchanges[2].request;
-    expect_that!(stranger.is_call, eq(false));
-    expect_that!(priority_of(stranger.level), eq(1));
+    let unrelated = &exchanges[2].request;
+    expect_that!(unrelated.is_call, eq(false));
+    expect_that!(priority_of(unrelated.level), eq(1));
 }
 
 /// Makes a peer answer the request that was sent last with status 500.
-fn fail(test: &mut TestNode, has_failed_call: bool) {
+fn respond_with_500(test: &mut TestNode, has_failed_call: bool) {
     let (link, sequence, _) = test.sent().pop().expect("a request that was sent");
     let response = ForwardResponse {
         sequence,
@@ -293,22 +293,22 @@
 }
 
 #[gtest]
-fn failure_of_the_back_end_itself_is_tried_elsewhere_that_of_its_call_is_not() {
+fn failure_of_a_back_end_is_retried_unless_its_call_failed() {
     let mut test = entry();
     test.request(0, caller_request("a", "/safe/1"));
-    fail(&mut test, false);
+    respond_with_500(&mut test, false);
     expect_that!(test.sent().len(), eq(2));
     test.respond(ForwardResult::Answered(answer(200)));
     expect_that!(test.statuses(), elements_are![eq(&200)]);
     let mut test = entry();
     test.request(0, caller_request("a", "/safe/1"));
-    fail(&mut test, true);
+    respond_with_500(&mut test, true);
     expect_that!(test.sent().len(), eq(1));
     expect_that!(test.statuses(), elements_are![eq(&500)]);
 }
 
 #[gtest]
-fn own_back_end_is_reached_without_a_link() {
+fn local_back_end_is_reached_without_a_link() {
     let mut test = TestNode::serving();
     test.request(0, caller_request("a", "/safe/1"));
     let exchange = test.exchanges()[0].id;
@@ -317,12 +317,12 @@
 }
 
 #[gtest]
-fn silent_link_with_requests_is_given_up_far_before_their_time_is_over() {
+fn silent_link_with_requests_is_pinged_before_their_deadline() {
     let mut test = TestNode::configured("logbok");
     let link = test.connect("peer-a", 2, SERVICE);
-    let mut patient = caller_request("a", "/once/1");
-    patient.deadline = None;
-    test.request(0, patient);
+    let mut without_deadline = caller_request("a", "/once/1");
+    without_deadline.deadline = None;
+    test.request(0, without_deadline);
     test.actions.clear();
     test.pass(990);
     expect_that!(test.statuses(), is_empty());
@@ -333,7 +333,7 @@
 }
 
 #[gtest]
-fn peer_that_does_not_answer_a_ping_gets_no_new_requests_until_it_is_heard() {
+fn peer_with_an_unanswered_ping_gets_no_new_requests_until_it_answers() {
     let mut test = TestNode::configured("logbok");
     let link = test.connect("peer-a", 2, SERVICE);
     test.request(0, caller_request("a", "/safe/1"));
@@ -349,7 +349,7 @@
 }
 
 #[gtest]
-fn requests_at_a_suspected_peer_wait_for_proof() {
+fn requests_at_a_suspected_peer_are_not_retried_at_once() {
     let mut test = TestNode::configured("logbok");
     test.connect("peer-a", 2, SERVICE);
     test.request(0, caller_request("b", "/once/1"));
--- a/crates/rillgap-forward/tests/policies.rs
+++ b/crates/rillgap-forward/tests/policies.rs
@@ -46,13 +46,13 @@
 }
 
 #[gtest]
-fn query_is_no_part_of_the_path() {
+fn query_is_not_part_of_the_path() {
     let table = table(&["/a/b/"]);
     expect_that!(prefix(&table, HOST, "/a?/a/b/"), none());
 }
 
 #[gtest]
-fn weights_are_held_in_every_span_of_requests() {
+fn requests_are_divided_by_the_weights() {
     let mut test = TestNode::fresh("logbok");
     let mut split = configuration(1);
     split.routes[0].services = vec![
@@ -69,8 +69,8 @@
     test.connect("peer-a", 2, "old");
     test.connect("peer-b", 3, "new");
     test.actions.clear();
-    for turn in 0..100 {
-        test.request(turn, caller_request(&format!("r{turn}"), "/safe/1"));
+    for index in 0..100 {
+        test.request(index, caller_request(&format!("r{index}"), "/safe/1"));
     }
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for (_, _, request) in test.sent() {
@@ -104,7 +104,7 @@
 }
 
 #[gtest]
-fn own_zone_is_preferred_while_it_has_room() {
+fn own_zone_is_preferred_while_it_has_capacity() {
     let near = candidate("near", true, 0.3, 1_000);
     let far = candidate("far", false, 0.1, 1_000);
     expect_that!(choose(&[near, far.clone()]), some(eq("near")));
@@ -117,7 +117,7 @@
 }
 
 #[gtest]
-fn slow_back_end_is_spared_but_used_when_the_fast_one_is_full() {
+fn slow_back_end_is_avoided_but_used_when_the_fast_one_is_full() {
     let slow = candidate("slow", true, 0.5, 2_300);
     expect_that!(
         choose(&[slow.clone(), candidate("fast", true, 0.5, 1_000)]),
@@ -130,13 +130,13 @@
 }
 
 #[gtest]
-fn request_leaves_the_zone_when_the_local_back_end_takes_much_of_its_time() {
+fn request_leaves_the_zone_if_the_local_back_end_is_slow_for_its_deadline() {
     let near = candidate("near", true, 0.2, 3_000);
     let far = candidate("far", false, 0.2, 1_000);
     let candidates = [near, far];
     expect_that!(choose(&candidates), some(eq("far")));
-    let patient = Duration::from_millis(50);
-    let chosen = Balancer::new(1).choose(candidates.to_vec(), patient);
+    let long_deadline = Duration::from_millis(50);
+    let chosen = Balancer::new(1).choose(candidates.to_vec(), long_deadline);
     expect_that!(chosen, some(eq("near")));
 }
 
@@ -148,24 +148,30 @@
 }
 
 #[gtest]
-fn back_end_that_fails_requests_is_spared_but_used_when_sound_ones_are_full() {
-    let sound = |utilization| candidate("sound", false, utilization, 1_000);
-    let bad = failing("bad", 0.0, 400);
-    expect_that!(choose(&[bad.clone(), sound(0.4)]), some(eq("sound")));
-    expect_that!(choose(&[bad.clone(), sound(1.2)]), some(eq("bad")));
+fn failing_back_end_is_avoided_but_used_when_healthy_ones_are_full() {
+    let healthy = |utilization| candidate("healthy", false, utilization, 1_000);
+    let failing_one = failing("failing", 0.0, 400);
+    expect_that!(
+        choose(&[failing_one.clone(), healthy(0.4)]),
+        some(eq("healthy"))
+    );
+    expect_that!(
+        choose(&[failing_one.clone(), healthy(1.2)]),
+        some(eq("failing"))
+    );
     // It is chosen if there is no other candidate.
-    expect_that!(choose(&[bad]), some(eq("bad")));
+    expect_that!(choose(&[failing_one]), some(eq("failing")));
 }
 
 #[gtest]
-fn sound_back_end_is_found_among_many_that_fail() {
-    let mut candidates: Vec<_> = (0..20).map(|_| failing("bad", 0.1, 400)).collect();
-    candidates.push(candidate("sound", false, 0.3, 1_000));
+fn healthy_back_end_is_chosen_among_many_failing_ones() {
+    let mut candidates: Vec<_> = (0..20).map(|_| failing("failing", 0.1, 400)).collect();
+    candidates.push(candidate("healthy", false, 0.3, 1_000));
     let mut balancer = Balancer::new(1);
     for _ in 0..50 {
         expect_that!(
             balancer.choose(candidates.clone(), REMAINING),
-            some(eq("sound"))
+            some(eq("healthy"))
         );
     }
 }
@@ -184,10 +190,10 @@
         slack: 95,
         window: Duration::from_secs(10),
     };
-    let lives = 73 * 3;
-    let spent: usize = (0..lives)
-        .map(|life| {
-            let mut budget = RetryBudget::new(bound, life);
+    let node_starts = 73 * 3;
+    let spent: usize = (0..node_starts)
+        .map(|seed| {
+            let mut budget = RetryBudget::new(bound, seed);
             (0..10)
                 .filter(|_| budget.try_spend(at(0), "takst", 73, HIGHEST))
                 .count()
@@ -219,7 +225,7 @@
 }
 
 #[gtest]
-fn service_that_calls_nobody_may_be_repeated_twice_as_often() {
+fn service_without_calls_may_be_retried_twice_as_often() {
     let spent_after = |answers: &[bool]| {
         let mut budget = RetryBudget::new(settings("own", "logbok").retry_bound, 0);
         for _ in 0..100 {
@@ -238,7 +244,7 @@
 }
 
 #[gtest]
-fn calls_of_a_repeated_request_use_up_the_budget() {
+fn calls_of_a_retried_request_use_up_the_budget() {
     let mut budget = RetryBudget::new(settings("own", "logbok").retry_bound, 0);
     for _ in 0..100 {
         budget.count_request(at(0), "takst");
@@ -248,7 +254,7 @@
 }
 
 #[gtest]
-fn repeats_go_to_the_same_chains_while_too_few_can_be_paid() {
+fn retries_go_to_the_highest_levels_while_the_budget_is_short() {
     let mut budget = RetryBudget::new(settings("own", "logbok").retry_bound, 0);
     for _ in 0..1_250 {
         budget.count_request(at(0), "takst");
@@ -256,27 +262,30 @@
     // 100 retries are left for 5 s. 200 per second are requested, for roots of all levels of a
     // tier.
     let tier = Level::tier_floor(5).0;
-    let mut paid: Vec<u32> = Vec::new();
+    let mut granted: Vec<u32> = Vec::new();
     for step in 0..800_u32 {
         let level = level_of(2, &format!("root-{step}"));
         let now = at(u64::from(step) * 5);
         if step >= 100 && budget.try_spend(now, "takst", NODES, level) {
-            paid.push(level.0 - tier);
+            granted.push(level.0 - tier);
         }
     }
-    expect_that!(paid.len(), ge(60));
+    expect_that!(granted.len(), ge(60));
     // The first retries are spent before the demand has been measured.
-    let late = &paid[30..];
-    expect_that!(late.iter().min(), some(ge(&(Level::PER_TIER * 3 / 4))));
+    let after_first = &granted[30..];
+    expect_that!(
+        after_first.iter().min(),
+        some(ge(&(Level::PER_TIER * 3 / 4)))
+    );
 }
 
 #[gtest]
-fn repeats_are_paid_whatever_the_level_while_there_are_enough() {
+fn retries_are_granted_at_any_level_while_the_budget_suffices() {
     let mut budget = RetryBudget::new(settings("own", "logbok").retry_bound, 0);
     for _ in 0..2_000 {
         budget.count_request(at(0), "takst");
     }
-    let paid =
+    let granted =
         (0..20_u64).filter(|step| budget.try_spend(at(step * 100), "takst", NODES, Level(0)));
-    expect_that!(paid.count(), eq(20));
+    expect_that!(granted.count(), eq(20));
 }
--- a/crates/rillgap-forward/tests/tenants.rs
+++ b/crates/rillgap-forward/tests/tenants.rs
@@ -27,7 +27,7 @@
 
 const TENANT: &str = "north";
 const KEY: &[u8] = b"secret";
-const REVOCATION: Duration = Duration::from_secs(5);
+const MAX_PROOF_AGE: Duration = Duration::from_secs(5);
 
 fn tenant(limit: Option<RateLimit>) -> Tenant {
     Tenant {
@@ -45,9 +45,9 @@
     }
 }
 
-fn strict(name: &str) -> ForwardSettings {
+fn revoking_settings(name: &str) -> ForwardSettings {
     ForwardSettings {
-        revocation: Some(REVOCATION),
+        revocation: Some(MAX_PROOF_AGE),
         ..settings(name, SERVICE)
     }
 }
@@ -55,7 +55,7 @@
 /// Returns a node with a serving back end and a tenant.
 fn node(tenant: Tenant) -> TestNode {
     let mut test = TestNode {
-        node: Node::new(at(0), strict("own")),
+        node: Node::new(at(0), revoking_settings("own")),
         now: 0,
         actions: Vec::new(),
     };
@@ -67,7 +67,7 @@
     test
 }
 
-fn keyed(id: &str, key: &[u8]) -> CallerRequest {
+fn request_with_key(id: &str, key: &[u8]) -> CallerRequest {
     CallerRequest {
         credential: Credential::Key(KeyDigest::of(key)),
         ..caller_request(id, "/safe/1")
@@ -85,7 +85,7 @@
 #[gtest]
 fn request_with_a_known_key_runs_for_its_tenant() {
     let mut test = node(tenant(None));
-    test.request(0, keyed("a", KEY));
+    test.request(0, request_with_key("a", KEY));
     let exchanges = test.exchanges();
     let tenants: Vec<Option<&str>> = exchanges
         .iter()
@@ -128,13 +128,13 @@
 #[gtest]
 fn call_of_the_back_end_needs_no_key() {
     let mut test = node(tenant(None));
-    test.request(0, keyed("a", KEY));
+    test.request(0, request_with_key("a", KEY));
     test.request(1, caller_request("a.1", "/safe/1"));
     expect_that!(test.exchanges().len(), eq(2));
 }
 
 #[gtest]
-fn call_for_a_request_that_has_ended_is_refused_with_the_word_that_it_did_not_run() {
+fn call_for_an_ended_request_is_refused_as_not_run() {
     let mut test = node(tenant(None));
     test.request(0, caller_request("a.1", "/safe/1"));
     expect_that!(test.statuses(), elements_are![eq(&503)]);
@@ -145,18 +145,18 @@
 }
 
 #[gtest]
-fn priority_of_the_tenant_goes_before_that_of_the_route() {
+fn priority_of_the_tenant_precedes_that_of_the_route() {
     let mut test = node(Tenant {
         priority: Some(4),
         ..tenant(None)
     });
-    test.request(0, keyed("a", KEY));
+    test.request(0, request_with_key("a", KEY));
     let level = test.exchanges()[0].request.level;
     expect_that!(priority_of(level), eq(4));
 }
 
 #[gtest]
-fn priority_of_the_route_decides_between_requests_of_tenants_of_one_priority() {
+fn route_priority_decides_between_tenants_of_equal_priority() {
     let level = |tenant, route| level_for_tenant(tenant, route, "id");
     expect_that!(level(1, 0), gt(level(1, 1)));
     expect_that!(level(1, 1), gt(level(1, 2)));
@@ -167,13 +167,13 @@
 }
 
 #[gtest]
-fn node_without_a_proof_refuses_known_and_unknown_keys_alike() {
+fn node_without_a_proof_refuses_known_and_unknown_keys() {
     for key in [KEY, b"other"] {
         let mut test = node(tenant(None));
         // The store no longer answers, and there is no peer.
         test.pass(6_000);
         test.actions.clear();
-        test.request(0, keyed("a", key));
+        test.request(0, request_with_key("a", key));
         expect_that!(test.statuses(), elements_are![eq(&503)]);
         let expected = ResultCode::ConfigurationUnproven;
         expect_that!(codes(&test), elements_are![some(eq(&expected))]);
@@ -181,16 +181,16 @@
 }
 
 #[gtest]
-fn proof_counts_after_a_standstill_by_the_time_that_has_passed() {
+fn proof_expires_while_the_process_is_suspended() {
     let mut test = node(tenant(None));
     // The process was suspended: the node handled no event in between.
     test.now += 6_000;
-    test.request(0, keyed("a", KEY));
+    test.request(0, request_with_key("a", KEY));
     expect_that!(test.exchanges().len(), eq(0));
 }
 
 #[gtest]
-fn peer_proves_the_configuration_of_a_node_that_the_store_refuses() {
+fn peer_proves_the_configuration_while_the_store_does_not_answer() {
     let mut test = node(tenant(None));
     let link = test.connect("peer", 5, SERVICE);
     test.pass(4_500);
@@ -214,12 +214,12 @@
     let message = LinkMessage::FreshnessAnswer(answer);
     test.event(Event::Link { link, message });
     test.pass(3_000);
-    test.request(0, keyed("a", KEY));
+    test.request(0, request_with_key("a", KEY));
     expect_that!(test.exchanges().len() + test.sent().len(), eq(1));
 }
 
 #[gtest]
-fn query_for_a_proof_is_answered_with_the_age_of_the_own_one() {
+fn freshness_query_is_answered_with_the_age_of_the_own_proof() {
     let mut test = node(tenant(None));
     let link = test.connect("peer", 5, SERVICE);
     test.now += 700;
@@ -243,7 +243,7 @@
 
 /// Returns a node that has listed itself as the only one, so that it owns all buckets. They are
 /// full.
-fn lonely_owner() -> TestNode {
+fn sole_owner() -> TestNode {
     let mut test = node(tenant(Some(LIMIT)));
     let is_registration = |request: &StoreRequest| matches!(request, StoreRequest::Register(_));
     test.actions.clear();
@@ -252,7 +252,7 @@
             at(0),
             ForwardSettings {
                 revocation: None,
-                ..strict("own")
+                ..revoking_settings("own")
             },
         ),
         ..test
@@ -279,10 +279,10 @@
 }
 
 #[gtest]
-fn tenant_at_its_limit_is_refused_with_a_time_to_come_back() {
-    let mut test = lonely_owner();
-    for turn in 0..4 {
-        test.request(turn, keyed(&format!("r{turn}"), KEY));
+fn tenant_at_its_limit_is_refused_with_retry_after() {
+    let mut test = sole_owner();
+    for index in 0..4 {
+        test.request(index, request_with_key(&format!("r{index}"), KEY));
     }
     expect_that!(test.exchanges().len(), eq(3));
     expect_that!(test.statuses(), elements_are![eq(&429)]);
@@ -291,25 +291,25 @@
 }
 
 #[gtest]
-fn request_that_did_not_run_gives_its_token_back() {
-    let mut test = lonely_owner();
+fn request_that_did_not_run_returns_its_token() {
+    let mut test = sole_owner();
     // The route's service has no back end, so the requests are refused and do not count.
-    for turn in 0..6 {
+    for index in 0..6 {
         let request = CallerRequest {
             target: "/deep/1".to_owned(),
-            ..keyed(&format!("d{turn}"), KEY)
+            ..request_with_key(&format!("d{index}"), KEY)
         };
-        test.request(turn, request);
+        test.request(index, request);
     }
     test.actions.clear();
-    test.request(9, keyed("r", KEY));
+    test.request(9, request_with_key("r", KEY));
     expect_that!(test.exchanges().len(), eq(1));
 }
 
 #[gtest]
-fn node_that_does_not_know_the_others_owns_no_bucket() {
+fn node_without_a_list_of_nodes_owns_no_bucket() {
     let mut test = node(tenant(Some(LIMIT)));
-    test.request(0, keyed("a", KEY));
+    test.request(0, request_with_key("a", KEY));
     expect_that!(test.statuses(), elements_are![eq(&503)]);
     expect_that!(
         codes(&test),
@@ -317,7 +317,7 @@
     );
 }
 
-fn ask(test: &mut TestNode, link: LinkId) -> Option<TokenResult> {
+fn query_token(test: &mut TestNode, link: LinkId) -> Option<TokenResult> {
     test.actions.clear();
     let query = TokenQuery {
         number: 1,
@@ -351,7 +351,7 @@
 
 /// Returns the names of peers that precede the node itself as owner of the tenant's bucket, in
 /// their order.
-fn names_before_own() -> Vec<String> {
+fn names_ranked_before_own() -> Vec<String> {
     let hash = TenantHash::of(TENANT);
     let own = hash.owner_score(name_hash("own"));
     let mut names: Vec<String> = (0..50).map(|number| format!("peer-{number}")).collect();
@@ -362,7 +362,7 @@
 
 /// Returns the name of a peer that precedes the node itself as owner of the tenant's bucket, and of
 /// one that follows it.
-fn names_around_own() -> (String, String) {
+fn names_ranked_around_own() -> (String, String) {
     let hash = TenantHash::of(TENANT);
     let own = hash.owner_score(name_hash("own"));
     let names: Vec<String> = (0..50).map(|number| format!("peer-{number}")).collect();
@@ -373,36 +373,36 @@
         .iter()
         .find(|name| hash.owner_score(name_hash(name)) < own);
     (
-        before.expect("a name").clone(),
-        after.expect("a name").clone(),
+        before.expect("a name of this rank").clone(),
+        after.expect("a name of this rank").clone(),
     )
 }
 
 #[gtest]
-fn only_the_first_of_the_order_gives_tokens() {
-    let (before, after) = names_around_own();
-    let mut test = lonely_owner();
+fn only_the_first_owner_in_order_grants_tokens() {
+    let (before, after) = names_ranked_around_own();
+    let mut test = sole_owner();
     let link = connect_owner(&mut test, &after, 6);
     expect_that!(
-        ask(&mut test, link),
+        query_token(&mut test, link),
         some(matches_pattern!(TokenResult::Granted { .. }))
     );
     connect_owner(&mut test, &before, 5);
     expect_that!(
-        ask(&mut test, link),
+        query_token(&mut test, link),
         some(matches_pattern!(TokenResult::OwnedBy(_)))
     );
 }
 
 #[gtest]
 fn successor_takes_over_with_an_empty_bucket_when_the_owner_is_lost() {
-    let (before, after) = names_around_own();
-    let mut test = lonely_owner();
+    let (before, after) = names_ranked_around_own();
+    let mut test = sole_owner();
     let link = connect_owner(&mut test, &after, 6);
     let owner = connect_owner(&mut test, &before, 5);
     test.pass(1_000);
     test.event(Event::LinkClosed(owner));
-    let first = ask(&mut test, link);
+    let first = query_token(&mut test, link);
     let Some(TokenResult::Granted { tokens, .. }) = first else {
         panic!("no grant: {first:?}");
     };
@@ -410,67 +410,67 @@
 }
 
 #[gtest]
-fn node_that_hears_of_nobody_any_more_gives_no_tokens() {
-    let (_, after) = names_around_own();
-    let mut test = lonely_owner();
+fn node_without_contact_to_peers_grants_no_tokens() {
+    let (_, after) = names_ranked_around_own();
+    let mut test = sole_owner();
     connect_owner(&mut test, &after, 6);
     // The peer is silent, but its link stays open.
     test.pass(4_500);
     test.actions.clear();
-    test.request(0, keyed("a", KEY));
+    test.request(0, request_with_key("a", KEY));
     test.pass(500);
     expect_that!(test.exchanges().len(), eq(0));
 }
 
 /// Returns the links on which a kind of message was sent.
-fn links_of(test: &TestNode, is_meant: impl Fn(&LinkMessage) -> bool) -> Vec<LinkId> {
+fn links_sent(test: &TestNode, is_kind: impl Fn(&LinkMessage) -> bool) -> Vec<LinkId> {
     let link = |action: &Action| match action {
-        Action::SendOnLink { link, message } if is_meant(message) => Some(*link),
+        Action::SendOnLink { link, message } if is_kind(message) => Some(*link),
         _ => None,
     };
     test.actions.iter().filter_map(link).collect()
 }
 
 #[gtest]
-fn successor_that_is_asked_notices_that_the_owner_is_silent() {
-    let (before, after) = names_around_own();
-    let mut test = lonely_owner();
+fn queried_successor_pings_a_silent_owner_and_takes_over() {
+    let (before, after) = names_ranked_around_own();
+    let mut test = sole_owner();
     let link = connect_owner(&mut test, &after, 6);
     let owner = connect_owner(&mut test, &before, 5);
-    ask(&mut test, link);
-    let pinged = links_of(&test, |message| matches!(message, LinkMessage::Ping));
+    query_token(&mut test, link);
+    let pinged = links_sent(&test, |message| matches!(message, LinkMessage::Ping));
     expect_that!(pinged, contains(eq(&owner)));
     // The owner sends nothing, while the peer that queries the token is not silent.
     for _ in 0..6 {
         test.pass(300);
-        ask(&mut test, link);
+        query_token(&mut test, link);
     }
     expect_that!(
-        ask(&mut test, link),
+        query_token(&mut test, link),
         some(matches_pattern!(TokenResult::Granted { .. }))
     );
 }
 
 #[gtest]
-fn successor_is_asked_as_well_when_the_owner_does_not_answer() {
-    let names = names_before_own();
-    let mut test = lonely_owner();
+fn successor_is_queried_too_if_the_owner_does_not_answer() {
+    let names = names_ranked_before_own();
+    let mut test = sole_owner();
     let owner = connect_owner(&mut test, &names[0], 5);
     let next = connect_owner(&mut test, &names[1], 6);
     test.actions.clear();
-    test.request(0, keyed("a", KEY));
-    let asked = |test: &TestNode| {
-        links_of(test, |message| {
+    test.request(0, request_with_key("a", KEY));
+    let queried = |test: &TestNode| {
+        links_sent(test, |message| {
             matches!(message, LinkMessage::TokenQuery(_))
         })
     };
-    expect_that!(asked(&test), elements_are![eq(&owner)]);
+    expect_that!(queried(&test), elements_are![eq(&owner)]);
     test.pass(100);
-    expect_that!(asked(&test), contains(eq(&next)));
+    expect_that!(queried(&test), contains(eq(&next)));
 }
 
 #[gtest]
-fn node_that_is_asked_tries_the_owners_that_it_has_never_tried() {
+fn queried_node_opens_a_link_to_an_owner_not_tried_before() {
     let records: Vec<NodeRecord> = (0..40)
         .map(|number: u8| NodeRecord {
             name: format!("peer-{number}"),
@@ -543,9 +543,9 @@
 }
 
 #[gtest]
-fn next_owner_is_asked_while_there_is_no_link_to_the_first() {
-    let names = names_before_own();
-    let mut test = lonely_owner();
+fn next_owner_is_queried_while_there_is_no_link_to_the_first() {
+    let names = names_ranked_before_own();
+    let mut test = sole_owner();
     let next = connect_owner(&mut test, &names[2], 6);
     // Two peers that precede it are known, but there is no open link to them yet.
     for (number, name) in (30..).zip(&names[..2]) {
@@ -566,9 +566,9 @@
         });
     }
     test.actions.clear();
-    test.request(0, keyed("a", KEY));
-    let asked = links_of(&test, |message| {
+    test.request(0, request_with_key("a", KEY));
+    let queried = links_sent(&test, |message| {
         matches!(message, LinkMessage::TokenQuery(_))
     });
-    expect_that!(asked, elements_are![eq(&next)]);
+    expect_that!(queried, elements_are![eq(&next)]);
 }
--- a/crates/rillgap-forward/tests/weights.rs
+++ b/crates/rillgap-forward/tests/weights.rs
@@ -13,7 +13,7 @@
 const NEW: &str = "new";
 
 /// Maximum deviation of a service's fraction of the requests from its weight.
-const OFF: f64 = 0.1;
+const TOLERANCE: f64 = 0.1;
 
 fn split(version: u64, old: u32, new: u32) -> Configuration {
     let part = |service: &str, weight| WeightedService {
@@ -40,32 +40,32 @@
 }
 
 /// Sends one request through a node and answers it; returns whether it went to the new service.
-fn chooses_new(test: &mut TestNode, turn: u64) -> bool {
-    test.request(turn, caller_request(&format!("r{turn}"), "/safe/1"));
+fn chooses_new(test: &mut TestNode, index: u64) -> bool {
+    test.request(index, caller_request(&format!("r{index}"), "/safe/1"));
     let (_, _, request) = test.sent().pop().expect("a request that was sent");
     test.respond(ForwardResult::Answered(answer(200)));
     request.service == NEW
 }
 
-fn adopt(test: &mut TestNode, configuration: Configuration) {
+fn send_configuration(test: &mut TestNode, configuration: Configuration) {
     let link = test.connect("peer-c", 4, OLD);
     let message = LinkMessage::Configuration(configuration.into());
     test.event(Event::Link { link, message });
 }
 
 /// Returns the new service's fraction of the requests of `nodes` nodes that send `requests` each.
-fn share_of_new(nodes: u64, requests: u64) -> f64 {
-    let mut chosen = 0;
+fn fraction_of_new(nodes: u64, requests: u64) -> f64 {
+    let mut new_count = 0;
     for seed in 0..nodes {
         let mut node = entry(seed);
-        let news = (0..requests).filter(|turn| chooses_new(&mut node, *turn));
-        chosen += news.count();
+        let to_new = (0..requests).filter(|index| chooses_new(&mut node, *index));
+        new_count += to_new.count();
     }
-    chosen as f64 / (nodes * requests) as f64
+    new_count as f64 / (nodes * requests) as f64
 }
 
 #[gtest]
-fn shares_hold_however_requests_are_spread_over_nodes() {
+fn weights_hold_for_any_number_of_nodes_and_requests() {
     for (nodes, requests) in [
         (1, 1_000),
         (20, 50),
@@ -74,17 +74,17 @@
         (1_000, 1),
         (2_000, 1),
     ] {
-        let share = share_of_new(nodes, requests);
+        let fraction = fraction_of_new(nodes, requests);
         expect_that!(
-            share,
-            near(0.1, OFF),
+            fraction,
+            near(0.1, TOLERANCE),
             "{nodes} nodes, {requests} requests each"
         );
     }
 }
 
 #[gtest]
-fn shares_hold_over_nodes_that_see_one_request_after_each_change_of_weights() {
+fn weights_hold_over_nodes_with_one_request_per_change_of_weights() {
     let mut nodes: Vec<TestNode> = (0..400).map(entry).collect();
     let weights = [
         (9_000, 1_000),
@@ -93,13 +93,13 @@
         (2_500, 7_500),
     ];
     for (version, (old, new)) in (2..).zip(weights) {
-        let mut chosen = 0;
+        let mut new_count = 0;
         for node in &mut nodes {
-            adopt(node, split(version, old, new));
-            chosen += u32::from(chooses_new(node, version));
+            send_configuration(node, split(version, old, new));
+            new_count += u32::from(chooses_new(node, version));
         }
-        let share = f64::from(chosen) / nodes.len() as f64;
+        let fraction = f64::from(new_count) / nodes.len() as f64;
         let weight = f64::from(new) / f64::from(old + new);
-        expect_that!(share, near(weight, OFF), "weights {old} and {new}");
+        expect_that!(fraction, near(weight, TOLERANCE), "weights {old} and {new}");
     }
 }
