--- a/crates/rillgap-forward/src/crash/answered.rs
+++ b/crates/rillgap-forward/src/crash/answered.rs
@@ -1,4 +1,4 @@
-//! Requests that were answered a short time ago.
+//! Remembers the contents of recently answered requests.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,13 +6,14 @@
 use rillgap_core::id::Fingerprint;
 use rillgap_core::time::Instant;
 
-/// Time after which a new generation begins. What is remembered was answered less than two generations ago: back ends of
-/// another version may end under what earlier ones have answered.
+/// Time after which a new generation begins. An answer is remembered for less than two generations:
+/// back ends of another version may crash on a request that earlier ones have answered.
 const GENERATION: Duration = Duration::from_secs(30);
-/// Contents of a generation after which a new one begins: with two of them, 0.2 MB at most.
+/// Number of contents in a generation after which a new one begins. Two generations take 0.2 MB at
+/// most.
 const GENERATION_CONTENTS: usize = 2_048;
 
-/// Requests that were answered a short time ago, in two generations.
+/// Contents of recently answered requests, in two generations.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RecentAnswers {
     current: BTreeSet<Fingerprint>,
@@ -21,7 +22,7 @@
 }
 
 impl RecentAnswers {
-    /// Takes in that a request was answered.
+    /// Records that a request was answered.
     pub fn record(&mut self, now: Instant, content: Fingerprint) {
         self.forget_old(now);
         if self.current.len() >= GENERATION_CONTENTS {
@@ -30,7 +31,7 @@
         self.current.insert(content);
     }
 
-    /// Returns whether such a request was answered a short time ago.
+    /// Returns whether such a request was answered recently.
     pub fn contains(&mut self, now: Instant, content: Fingerprint) -> bool {
         self.forget_old(now);
         self.current.contains(&content) || self.earlier.contains(&content)
--- a/crates/rillgap-forward/src/crash/evidence.rs
+++ b/crates/rillgap-forward/src/crash/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence against one content.
+//! Evidence against one content, and the suspicion that follows from it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,35 +11,36 @@
     QUARANTINE_CRASHES_ALONE, QUARANTINE_CRASHES_DOUBTFUL,
 };
 
-/// Crashes from which a request is recurrent.
+/// Minimum number of crashes of a recurrent content.
 const RECURRENT_CRASHES: usize = 2;
-/// Crashes that are kept of one content. Later ones are passed over until it is forgotten: were others dropped for them, what
-/// peers tell again would be news without end.
+/// Maximum number of crashes that are kept of one content. Later ones are ignored until the content
+/// is evicted. If they replaced earlier ones, crashes that peers send again would count as new, and
+/// nodes would send them back and forth without end.
 const MOST_CRASHES: usize = 32;
-/// Time after the last crash for which a content is refused. Then one run may end one more back end.
+/// Duration of a quarantine from the last crash. After it, one run may crash one more back end.
 const QUARANTINE: Duration = Duration::from_secs(600);
-/// Time after the last crash after which a suspect, or one that was exonerated, is forgotten: callers give up much
-/// earlier.
+/// Time after the last crash at which a suspect or exonerated content is evicted. Callers stop
+/// retrying much earlier.
 const SUSPECT_LIFE: Duration = Duration::from_secs(60);
-/// Time after the last crash after which a recurrent content is forgotten.
+/// Time after the last crash at which a recurrent or quarantined content is evicted.
 const RECURRENT_LIFE: Duration = Duration::from_secs(3_600);
 
-/// What follows from the evidence against a content.
+/// Suspicion that follows from the evidence against a content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Suspicion {
-    /// Nothing is held against it.
+    /// There is no evidence against the content, or it was exonerated.
     Clear,
-    /// It was under way at one crash.
+    /// The content was in flight at one crash.
     Suspected,
-    /// It was under way at several crashes.
+    /// The content was in flight at several crashes.
     Recurrent,
-    /// It is refused.
+    /// All nodes refuse requests with the content.
     Quarantined,
 }
 
 impl Suspicion {
-    /// Returns whether such a request may run beside no other one that back ends have ended under: if the back end ends
-    /// again, it is known which of them it was.
+    /// Returns whether requests with the content must run isolated, as the only suspect on the back
+    /// end. A further crash then shows which request caused it.
     pub const fn is_isolated(self) -> bool {
         matches!(self, Self::Suspected | Self::Recurrent)
     }
@@ -58,9 +59,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     strength: EvidenceStrength,
-    /// When the node learned of it.
+    /// When the node recorded the crash.
     learned_at: Instant,
-    /// Age at that time: it may be older than the node.
+    /// Age of the crash at that time. The crash may have happened before the node started.
     age_then: Duration,
 }
 
@@ -78,7 +79,7 @@
 }
 
 impl Evidence {
-    /// Takes in a crash; returns whether it was news.
+    /// Records a crash. Returns whether the evidence has changed.
     fn add(&mut self, now: Instant, record: &CrashRecord) -> bool {
         let CrashRecord {
             crash,
@@ -102,7 +103,7 @@
         true
     }
 
-    /// Takes in that such a request was answered; returns whether that was news.
+    /// Records that such a request was answered. Returns whether the evidence has changed.
     pub const fn exonerate(&mut self) -> bool {
         !std::mem::replace(&mut self.is_exonerated, true)
     }
@@ -118,7 +119,7 @@
         self.crashes.len()
     }
 
-    /// Returns the number of crashes at which it was the only suspect.
+    /// Returns the number of crashes at which the content was the only suspect.
     pub fn crashes_as_only_suspect(&self) -> usize {
         self.crashes_of(EvidenceStrength::Weak)
     }
@@ -128,12 +129,13 @@
         crashes.filter(|seen| seen.strength >= least).count()
     }
 
-    /// Returns whether it was under way at a crash.
+    /// Returns whether the content was in flight at a crash.
     pub fn has(&self, crash: CrashId) -> bool {
         self.crashes.contains_key(&crash)
     }
 
-    /// Returns the crashes that are younger than `age`, and whether it was the only suspect.
+    /// Returns the crashes that are younger than `age`, each with whether the content was the only
+    /// suspect.
     pub fn recent(&self, now: Instant, age: Duration) -> impl Iterator<Item = (CrashId, bool)> {
         let recent = self
             .crashes
@@ -142,12 +144,12 @@
         recent.map(|(crash, seen)| (*crash, seen.strength > EvidenceStrength::Inconclusive))
     }
 
-    /// Returns whether it was under way at several crashes, whatever has become of it.
+    /// Returns whether the content was in flight at several crashes, even if it was exonerated.
     pub fn is_of_several_crashes(&self) -> bool {
         self.crashes.len() >= RECURRENT_CRASHES
     }
 
-    /// Returns what follows from the evidence.
+    /// Returns the suspicion that follows from the evidence.
     pub fn suspicion(&self, now: Instant) -> Suspicion {
         if self.is_exonerated || self.crashes.is_empty() {
             return Suspicion::Clear;
@@ -168,12 +170,13 @@
         is_proved && self.crashes() >= QUARANTINE_CRASHES
     }
 
-    /// Returns the time until the end of the quarantine, if the content is guilty.
+    /// Returns the time that is left of a quarantine that began with the last crash. It does not
+    /// tell whether the content meets the quarantine threshold.
     pub fn quarantine_left(&self, now: Instant) -> Duration {
         QUARANTINE.saturating_sub(self.age(now))
     }
 
-    /// Returns whether the evidence is too old to be kept.
+    /// Returns whether the evidence is old enough to be evicted.
     pub fn is_over(&self, now: Instant) -> bool {
         let is_recurrent = self.suspicion(now) >= Suspicion::Recurrent;
         let life = if is_recurrent {
@@ -184,7 +187,7 @@
         self.age(now) >= life
     }
 
-    /// Takes in what a peer knows; returns whether any of it was news.
+    /// Merges the evidence of a peer. Returns whether the evidence has changed.
     pub fn merge(&mut self, now: Instant, told: &ContentEvidence) -> bool {
         let mut is_news = false;
         for record in &told.crashes {
@@ -196,7 +199,7 @@
         is_news
     }
 
-    /// Returns what peers are told.
+    /// Returns the evidence as a message to peers.
     pub fn tell(&self, now: Instant, content: Fingerprint) -> ContentEvidence {
         let record = |(crash, seen): (&CrashId, &Seen)| CrashRecord {
             crash: *crash,
@@ -210,7 +213,7 @@
         }
     }
 
-    /// Creates the evidence that a peer knows.
+    /// Creates the evidence from the message of a peer.
     pub fn heard(now: Instant, told: &ContentEvidence) -> Self {
         let mut evidence = Self::default();
         evidence.merge(now, told);
--- a/crates/rillgap-forward/src/crash/mod.rs
+++ b/crates/rillgap-forward/src/crash/mod.rs
@@ -1,21 +1,27 @@
-//! Requests under which back ends end.
+//! Detects requests that crash back ends, and quarantines them.
 //!
-//! A request may end the process that works on it. Repeated like any request whose answer was lost, and sent again by
-//! its caller, it ends one back end after the other, faster than they come back. The nodes therefore keep
-//! *evidence*: which requests were under way when a back end ended.
+//! A request may crash the process that works on it. If it is retried like any request whose answer
+//! was lost, and sent again by its caller, it crashes one back end after the other, faster than
+//! they restart. The nodes therefore collect *evidence*: which requests were in flight when a back
+//! end crashed. Requests are identified by their *content*, the fingerprint of what they ask for
+//! (route, method, target, tenant and body).
 //!
-//! - The node beside the back end sees which requests end with it, and tells peers ([`ContentEvidence`]).
-//! - One crash makes *suspects* of all requests that were under way. Beside a back end only one suspect runs at a time,
-//!   so that the next crash tells which one it was. Where a service has few back ends, it is not repeated at once either.
-//! - After a second crash a request is *recurrent*: all nodes know it, and none repeats it at once.
+//! - The node beside the back end sees which requests are lost with it, and sends the evidence to
+//!   its peers ([`ContentEvidence`]).
+//! - One crash makes *suspects* of all requests that were in flight. Only one suspect at a time
+//!   runs on a back end, so that the next crash shows which one caused it. Where a service has few
+//!   back ends, a suspect is not retried at once either.
+//! - After a second crash a request is *recurrent*: all nodes know about it, and none retries it at
+//!   once.
 //! - After [`QUARANTINE_CRASHES`] crashes, [`QUARANTINE_CRASHES_ALONE`] of them as the only suspect
-//!   ([`QUARANTINE_CRASHES_DOUBTFUL`] while back ends also end without it), it is *quarantined*: every node refuses it until
-//!   some time after the last crash. Then one run decides again.
-//! - An answer exonerates, also one of a short time before the first crash: a request that ends every back end is never
-//!   answered.
+//!   ([`QUARANTINE_CRASHES_DOUBTFUL`] while back ends also crash without it), it is *quarantined*:
+//!   every node refuses it for a fixed time after the last crash. After that, one run decides
+//!   again.
+//! - An answer exonerates a request, even an answer from shortly before the first crash: a request
+//!   that crashes every back end is never answered.
 //!
-//! Evidence only grows, and being exonerated outweighs all crashes, so that nodes may merge what they hear in any
-//! order and more than once.
+//! Evidence only grows, and an exoneration outweighs all crashes, so nodes may merge the evidence
+//! that they receive in any order and more than once.
 
 mod answered;
 mod evidence;
@@ -30,64 +36,67 @@
 pub use evidence::Suspicion;
 pub use register::{CrashRegister, EvidenceNews, SuspicionChange};
 
-/// Crashes from which a request may be quarantined. Requests that are repeated together meet the first two
-/// crashes together.
+/// Minimum number of crashes for a quarantine. Requests that are retried together are in flight
+/// together at the first two crashes.
 pub const QUARANTINE_CRASHES: usize = 3;
-/// Crashes among them at which the request was the only suspect at the back end: one could be bad luck.
+/// Minimum number of these crashes at which the request was the only suspect on the back end and no
+/// doubt remains: a single one could be a coincidence.
 pub const QUARANTINE_CRASHES_ALONE: usize = 2;
-/// The same while back ends also end without it, so that it may have been there by chance more often.
+/// Minimum number of these crashes at which the request was the only suspect while back ends also
+/// crash without it, since it may then more often have been in flight by chance.
 pub const QUARANTINE_CRASHES_DOUBTFUL: usize = 3;
 
-/// One crash of a back end, by the incarnation that has ended.
+/// Identifies one crash of a back end by the incarnation that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct CrashId(u64);
 
 impl CrashId {
-    /// Returns the identifier of the end of an incarnation.
+    /// Returns the identifier of the crash of an incarnation.
     pub fn of(incarnation: &Incarnation) -> Self {
         let started_at = incarnation.started_at_millis.unwrap_or_default();
         Self(xxh3_64_with_seed(incarnation.id.as_bytes(), started_at))
     }
 }
 
-/// What a crash says of a request that was under way.
+/// Strength of the evidence that a crash gives against a request that was in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub enum EvidenceStrength {
-    /// It was not the only suspect there.
+    /// The request was not the only suspect on the back end.
     Inconclusive,
-    /// It was the only suspect there, but other back ends have ended without it and for no known reason.
+    /// The request was the only suspect, but other back ends have crashed without it and for no
+    /// known reason.
     Weak,
-    /// It was the only suspect there.
+    /// The request was the only suspect on the back end.
     Strong,
 }
 
-/// A request that was under way when a back end ended.
+/// A request that was in flight when a back end crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Suspect {
-    /// What it asks for.
+    /// Content of the request.
     pub content: Fingerprint,
-    /// Whether it was the only suspect there.
+    /// Whether the request was the only suspect on the back end.
     pub was_alone: bool,
 }
 
-/// A crash at which requests with some content were under way.
+/// A crash at which requests with some content were in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CrashRecord {
     /// The crash.
     pub crash: CrashId,
-    /// What it says of the request.
+    /// Strength of the evidence against the content.
     pub strength: EvidenceStrength,
     /// Age of the crash when the message is sent, in microseconds.
     pub age_micros: u64,
 }
 
-/// What is known of requests with one content.
+/// Evidence about the requests with one content.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ContentEvidence {
     /// The content.
     pub content: Fingerprint,
-    /// Crashes at which such a request was under way.
+    /// Crashes at which such a request was in flight.
     pub crashes: Vec<CrashRecord>,
-    /// Whether a back end has answered such a request since.
+    /// Whether a back end has answered such a request.
     pub is_exonerated: bool,
 }
--- a/crates/rillgap-forward/src/crash/register.rs
+++ b/crates/rillgap-forward/src/crash/register.rs
@@ -1,4 +1,4 @@
-//! All evidence that a node knows.
+//! Register of the crash evidence that a node has, by content.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,52 +12,55 @@
 use super::{ContentEvidence, CrashId, CrashRecord, EvidenceStrength, Suspect};
 use crate::incarnation::Incarnation;
 
-/// Contents that evidence is kept of: a megabyte at most.
+/// Maximum number of contents with evidence. They take 1 MB at most.
 const MOST_CONTENTS: usize = 4_096;
 
-/// Time between two looks for evidence that is too old.
+/// Interval at which expired evidence is evicted.
 const CLEANING_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Age up to which crashes are taken for one series.
+/// Maximum age of crashes that count as one series.
 const SERIES: Duration = Duration::from_secs(10);
-/// Crashes without a request and without a known reason in one series from which the request may have been at others by
-/// chance. One or two may be the first crashes of another request of this kind.
+/// Number of unexplained crashes in a series from which the evidence of a further crash is weak.
+/// Unexplained are crashes at which the request was not in flight and no other one was the only
+/// suspect; the request may have been at the others by chance. One or two may be the first crashes
+/// of another request that crashes back ends.
 const SERIES_CRASHES: usize = 3;
 
-/// A content whose standing has changed.
+/// A content whose suspicion has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspicionChange {
     /// The content.
     pub content: Fingerprint,
-    /// Its new standing.
+    /// The new suspicion.
     pub suspicion: Suspicion,
-    /// Crashes at which such a request was under way.
+    /// Number of crashes at which such a request was in flight.
     pub crashes: usize,
-    /// Crashes among them at which it was the only suspect.
+    /// Number of these crashes at which it was the only suspect.
     pub crashes_as_only_suspect: usize,
 }
 
-/// All evidence that a node knows.
+/// Crash evidence that a node has, by content.
 #[derive(Clone, Debug, Default)]
 pub struct CrashRegister {
     contents: BTreeMap<Fingerprint, Evidence>,
-    /// What the back end beside the node has answered lately.
+    /// Contents that the back end beside the node has answered recently.
     answered: RecentAnswers,
-    /// Contents that are recurrent or quarantined: only these make a difference at an entry.
+    /// Contents that are recurrent or quarantined. Only these affect requests at their entry node.
     watched: BTreeSet<Fingerprint>,
-    /// Contents of which peers are to be told.
+    /// Contents whose evidence must be sent to peers.
     news: BTreeSet<Fingerprint>,
     changes: Vec<SuspicionChange>,
     next_cleaning: Instant,
 }
 
 impl CrashRegister {
-    /// Returns whether nothing is known, so that no request need be looked up.
+    /// Returns whether there is no evidence, so that no request need be looked up.
     pub fn is_empty(&self) -> bool {
         self.contents.is_empty()
     }
 
-    /// Returns whether an entry treats some contents in another way than others.
+    /// Returns whether there are recurrent or quarantined contents, which entry nodes treat
+    /// differently.
     pub fn has_recurrent(&self) -> bool {
         !self.watched.is_empty()
     }
@@ -70,20 +73,21 @@
             .count()
     }
 
-    /// Returns the standing of a content.
+    /// Returns the suspicion against a content.
     pub fn suspicion(&self, now: Instant, content: Fingerprint) -> Suspicion {
         let evidence = self.contents.get(&content);
         evidence.map_or(Suspicion::Clear, |evidence| evidence.suspicion(now))
     }
 
-    /// Returns the time until the quarantine of a content ends, in milliseconds.
+    /// Returns the time until the quarantine of a content ends, in milliseconds; zero without
+    /// evidence.
     pub fn quarantine_remaining_millis(&self, now: Instant, content: Fingerprint) -> u32 {
         let evidence = self.contents.get(&content);
         let left = evidence.map_or(Duration::ZERO, |known| known.quarantine_left(now));
         u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
     }
 
-    /// Takes in that a back end has ended while these requests were under way.
+    /// Records that a back end has crashed while these requests were in flight.
     pub fn on_crash(&mut self, now: Instant, incarnation: &Incarnation, suspects: &[Suspect]) {
         let crash = CrashId::of(incarnation);
         for suspect in suspects {
@@ -112,7 +116,8 @@
         }
     }
 
-    /// Returns at how many recent crashes, besides `this` one, a request was not under way and no other was the only suspect.
+    /// Returns the number of recent crashes, not counting `this` one, at which a content was not in
+    /// flight and no other content was the only suspect.
     fn unexplained_crashes(&self, now: Instant, this: CrashId, content: Fingerprint) -> usize {
         let mut explained: BTreeMap<CrashId, bool> = BTreeMap::new();
         for known in self.contents.values() {
@@ -126,7 +131,7 @@
         unexplained.filter(|(crash, _)| !was_there(**crash)).count()
     }
 
-    /// Takes in that a back end has answered a request whole.
+    /// Records that a back end has answered a request completely.
     pub fn on_answer(&mut self, now: Instant, content: Fingerprint) {
         self.answered.record(now, content);
         let Some(evidence) = self.contents.get_mut(&content) else {
@@ -138,7 +143,8 @@
         }
     }
 
-    /// Takes in what a peer knows; returns whether this node exonerates any of it, which the peer does not know.
+    /// Merges the evidence of a peer. Returns whether this node exonerates any of it, of which the
+    /// peer has no record.
     pub fn merge(&mut self, now: Instant, evidence: &[ContentEvidence]) -> bool {
         let mut exonerates = false;
         for told in evidence {
@@ -147,7 +153,8 @@
         exonerates
     }
 
-    /// Takes in what is known of one content; returns whether this node has exonerated it for an earlier answer.
+    /// Merges the evidence against one content. Returns whether this node has exonerated the
+    /// content because of an earlier answer.
     fn merge_one(&mut self, now: Instant, told: &ContentEvidence) -> bool {
         let is_new = !self.contents.contains_key(&told.content);
         if is_new {
@@ -167,7 +174,7 @@
         exonerates
     }
 
-    /// Notes that the evidence against a content has changed.
+    /// Records that the evidence against a content has changed.
     fn note(&mut self, now: Instant, content: Fingerprint, before: Suspicion) {
         let Some(evidence) = self.contents.get(&content) else {
             return;
@@ -190,8 +197,8 @@
         }
     }
 
-    /// Forgets what weighs least if there is no room for another content: many contents at one crash must not
-    /// push out what is known of those that were under way at several.
+    /// Evicts the least important evidence if the register is full. Many contents of a single crash
+    /// must not evict the evidence against those that were in flight at several.
     fn make_room(&mut self, now: Instant) {
         if self.contents.len() < MOST_CONTENTS {
             return;
@@ -209,7 +216,7 @@
         self.news.remove(&content);
     }
 
-    /// Forgets what is too old to matter.
+    /// Evicts expired evidence.
     pub fn forget_old(&mut self, now: Instant) {
         if self.contents.is_empty() || now < self.next_cleaning {
             return;
@@ -222,8 +229,9 @@
         }
     }
 
-    /// Takes the evidence that has changed since the last time: what concerns all nodes, and what only those
-    /// beside back ends of the same service need, to see that a content comes up at a second crash.
+    /// Takes the evidence that has changed since the last call. Evidence of several crashes is sent
+    /// to all nodes. The rest is sent only to nodes beside back ends of the same service, which
+    /// need it to detect the second crash of a content.
     pub fn take_updates(&mut self, now: Instant) -> EvidenceNews {
         let news = std::mem::take(&mut self.news);
         let changed = news.iter().filter_map(|content| {
@@ -233,27 +241,27 @@
         sort_evidence(now, changed)
     }
 
-    /// Returns all evidence, for a peer that may know nothing.
+    /// Returns all evidence, for a peer that may have none.
     pub fn all_evidence(&self, now: Instant) -> EvidenceNews {
         sort_evidence(now, self.contents.iter())
     }
 
-    /// Takes the changes of standings since the last time.
+    /// Takes the changes of suspicions since the last call.
     pub fn take_changes(&mut self) -> Vec<SuspicionChange> {
         std::mem::take(&mut self.changes)
     }
 }
 
-/// Evidence that peers are told.
+/// Evidence to be sent to peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvidenceNews {
-    /// What concerns all nodes.
+    /// Evidence for all nodes.
     pub for_all: Vec<ContentEvidence>,
-    /// What concerns only nodes beside back ends of the service.
+    /// Evidence only for nodes beside back ends of the same service.
     pub for_service: Vec<ContentEvidence>,
 }
 
-/// Sorts evidence by whom it concerns.
+/// Sorts evidence by the nodes to which it is sent.
 fn sort_evidence<'a>(
     now: Instant,
     evidence: impl Iterator<Item = (&'a Fingerprint, &'a Evidence)>,
--- a/crates/rillgap-forward/src/inbound/admission.rs
+++ b/crates/rillgap-forward/src/inbound/admission.rs
@@ -1,4 +1,4 @@
-//! What may run, what waits and what is refused at once.
+//! Decides which requests run, which wait and which are refused at once.
 
 use std::time::Duration;
 
@@ -24,14 +24,15 @@
         count(self.running.len()) < self.limit()
     }
 
-    /// Counts a request as demand; one that is refused here counts where it goes next as well.
+    /// Records a request as demand. If this node refuses it, the node that receives it next counts
+    /// it too.
     pub(super) fn count_demand(&mut self, request: &ForwardedRequest) {
         let expected = self.times.expected(&request.route);
         let work_micros = expected.as_micros() as f64;
         self.threshold.record_arrival(request.level, work_micros);
     }
 
-    /// Moves the published level at the end of each control window.
+    /// Updates the published admission level at the end of each control window.
     pub(super) fn update_level(&mut self, now: Instant) {
         if !self.threshold.is_due(now) {
             return;
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Returns whether a rank has less than its reserved share of the limit.
+    /// Returns whether a rank uses less than its reserved fraction of the limit.
     pub(super) fn is_within_reserve(&self, rank: u8) -> bool {
         let running = self
             .running
@@ -63,7 +64,7 @@
         (running as f64) < f64::from(self.limit()) * RESERVED_SHARE
     }
 
-    /// Returns why the back end takes no requests of this service, if it does not.
+    /// Returns why the back end accepts no requests of this service; `None` if it accepts them.
     pub(super) fn refusal_of_service(&self, request: &ForwardedRequest) -> Option<ResultCode> {
         if self.is_stopping {
             return Some(ResultCode::NodeStopping);
@@ -74,7 +75,7 @@
         (self.back_end.service() != request.service).then_some(ResultCode::NoBackEnd)
     }
 
-    /// Returns whether a request is not expected to end in time.
+    /// Returns whether a request is not expected to complete before its deadline.
     pub(super) fn is_doomed(&self, now: Instant, arrival: &Arrival) -> bool {
         let remaining = arrival.deadline.saturating_since(now);
         let expected = self.times.expected(&arrival.request.route);
@@ -87,7 +88,8 @@
         let bound = Duration::from_micros(arrival.request.queue_limit_micros);
         let rank = arrival.request.rank();
         let place = arrival.request.position_in_rank();
-        // The whole rank counts: by its own place, each request would find room and the queue would grow beyond its bound.
+        // All queued requests of the rank count as ahead. If only those with an earlier position
+        // counted, almost every request would be queued, and the queue would grow beyond its bound.
         let ahead = self.queue.ahead_of(rank, u8::MAX);
         let wait = self.drain_time(ahead + 1);
         if wait > bound || self.queue.len() >= QUEUE_LENGTH {
@@ -112,14 +114,15 @@
         self.places.insert(of_request, queued_at);
     }
 
-    /// Returns the time in which `count` queued requests come to their turn.
+    /// Returns the expected time until `count` queued requests have been started.
     pub(super) fn drain_time(&self, count: usize) -> Duration {
         let mean = f64::from(self.times.mean_micros());
         let micros = count as f64 * mean / f64::from(self.limit());
         Duration::from_micros(micros as u64)
     }
 
-    /// Returns the time after which a request that is refused for this reason should come back, in milliseconds.
+    /// Returns the time after which a request refused with `code` should be retried, in
+    /// milliseconds.
     pub(super) fn retry_after_of(
         &self,
         now: Instant,
--- a/crates/rillgap-forward/src/inbound/back_end.rs
+++ b/crates/rillgap-forward/src/inbound/back_end.rs
@@ -1,8 +1,9 @@
-//! What a node believes of the back end beside it.
+//! Tracks the health of the back end beside the node.
 //!
-//! Heartbeats may arrive seconds late and a restarted node does not remember their numbers. So a
-//! new incarnation is believed only after the health endpoint has named it, healthy and not
-//! leaving; and an incarnation that has announced that it leaves never comes back.
+//! Heartbeats may arrive seconds late, and a restarted node has no record of their sequence
+//! numbers. A new incarnation is therefore considered to be serving only after the health endpoint
+//! has named it as healthy and not leaving. An incarnation that has announced that it leaves never
+//! returns to service.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,30 +15,30 @@
 use crate::id::ProbeId;
 use crate::incarnation::Incarnation;
 
-/// Heartbeat intervals without a heartbeat after which the back end is probed.
+/// Heartbeat timeout, in heartbeat intervals. The back end is probed after it.
 const SILENT_INTERVALS: f64 = 3.2;
-/// Lost answers in a row after which the back end is probed.
+/// Consecutive lost answers after which the back end is probed.
 const LOST_IN_A_ROW: u32 = 3;
-/// Incarnations that are remembered as having left.
+/// Maximum number of departed incarnations that are remembered.
 const MOST_LEFT: usize = 64;
 
-/// Standing of the current incarnation.
+/// Health of the current incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Standing {
-    /// Nothing is known.
+    /// Not confirmed by the health endpoint yet.
     Unknown,
-    /// Confirmed and taking requests.
+    /// Confirmed by the health endpoint; accepts requests.
     Serving,
-    /// Has announced that it leaves, or has left.
+    /// Has announced that it leaves service, or has left.
     Leaving,
-    /// Does not answer.
+    /// Failed a health probe, or another incarnation answers at its address.
     Down,
 }
 
-/// What follows from something that was learned.
+/// Effect of an event on the health of the back end.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Effect {
-    /// The standing has changed for this reason.
+    /// Logged cause of a change of the back end's status; `None` if nothing changed.
     pub change: Option<&'static str>,
 }
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// What is announced by an incarnation.
+/// Contents of the latest heartbeat of an incarnation.
 #[derive(Clone, Debug)]
 struct Announcement {
     incarnation: Incarnation,
@@ -60,7 +61,7 @@
     sequence: u64,
 }
 
-/// What a node believes of the back end beside it.
+/// Health of the back end beside the node, derived from heartbeats, probes and request outcomes.
 #[derive(Clone, Debug)]
 pub(super) struct BackEnd {
     address: SocketAddr,
@@ -79,7 +80,7 @@
 }
 
 impl BackEnd {
-    /// Creates the belief of a fresh node.
+    /// Creates the state of a new node, to which the back end is unknown.
     pub fn new(address: SocketAddr, heartbeat_interval: Duration) -> Self {
         Self {
             address,
@@ -114,26 +115,26 @@
         }
     }
 
-    /// Returns the incarnation that is believed in, if there is one.
+    /// Returns the current incarnation: the last one that was confirmed, if any.
     pub fn incarnation(&self) -> Option<&Incarnation> {
         self.current.as_ref().map(|known| &known.incarnation)
     }
 
-    /// Returns the name for logs of the incarnation that is believed in, or else of the one that has announced
-    /// itself.
+    /// Returns the log name of the current incarnation, or else of the announced one; empty if
+    /// neither is known.
     pub fn name(&self) -> String {
         let announced = self.announced.as_ref().map(|known| &known.incarnation);
         let known = self.incarnation().or(announced);
         known.map_or_else(String::new, Incarnation::to_string)
     }
 
-    /// Returns whether an incarnation has ended, since another one has its address.
+    /// Returns whether an incarnation has ended because another one now has its address.
     pub fn has_ended(&self, incarnation: &Incarnation) -> bool {
         let is_replaced = self.is_serving() && self.incarnation() != Some(incarnation);
         is_replaced || self.is_superseded(incarnation)
     }
 
-    /// Returns whether an incarnation has announced that it leaves.
+    /// Returns whether an incarnation has announced that it leaves service.
     pub fn has_left_service(&self, incarnation: &Incarnation) -> bool {
         self.left.contains(incarnation)
     }
@@ -153,7 +154,7 @@
         self.current.as_ref().map_or(0, |known| known.sequence)
     }
 
-    /// Returns whether a heartbeat is of the back end beside the node.
+    /// Returns whether a heartbeat was sent by the back end beside the node.
     pub fn is_own(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat
             .address
@@ -161,7 +162,7 @@
             .is_ok_and(|address: SocketAddr| address == self.address)
     }
 
-    /// Takes in a heartbeat.
+    /// Processes a heartbeat.
     pub fn on_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> Effect {
         let incarnation = &heartbeat.incarnation;
         if !self.is_own(heartbeat) || self.is_superseded(incarnation) {
@@ -186,8 +187,9 @@
         self.end_predecessor(incarnation)
     }
 
-    /// Ends the belief in an earlier run under the identifier of a new one: the health endpoint, which names
-    /// identifiers alone, would be taken for the word of the earlier run.
+    /// Drops the current incarnation if it is an earlier run under the identifier of `successor`.
+    /// The health endpoint reports only identifiers, so its next answer would otherwise confirm the
+    /// earlier run.
     fn end_predecessor(&mut self, successor: &Incarnation) -> Effect {
         if !self
             .incarnation()
@@ -204,21 +206,22 @@
         Effect::NONE
     }
 
-    /// Returns whether a later run under the same identifier is known: then what an earlier one says is late.
+    /// Returns whether a later run under the same identifier is known. Messages of the earlier one
+    /// are stale then.
     fn is_superseded(&self, incarnation: &Incarnation) -> bool {
         let announced = self.announced.iter().map(|known| &known.incarnation);
         let mut known = announced.chain(self.incarnation()).chain(&self.left);
         known.any(|known| incarnation.precedes(known))
     }
 
-    /// Returns the latest run under an identifier that is known.
+    /// Returns the latest known incarnation with an identifier.
     fn latest(&self, id: &str) -> Option<&Incarnation> {
         let announced = self.announced.iter().map(|known| &known.incarnation);
         let known = announced.chain(self.incarnation()).chain(&self.left);
         known.filter(|known| known.id == id).max()
     }
 
-    /// Takes in that an incarnation leaves.
+    /// Processes the announcement of an incarnation that it leaves service.
     pub fn on_leave(&mut self, incarnation: &Incarnation) -> Effect {
         let leaving = self.meant(incarnation);
         if self.is_superseded(&leaving) {
@@ -227,14 +230,15 @@
         self.leave(leaving, "left")
     }
 
-    /// Returns the incarnation that is meant by one that may not tell its start: the latest of its identifier.
+    /// Resolves an incarnation without a start time to the latest known one with its identifier.
+    /// Returns any other incarnation unchanged.
     pub fn meant(&self, incarnation: &Incarnation) -> Incarnation {
         let latest = self.latest(&incarnation.id);
         let known = latest.filter(|_| incarnation.started_at_millis.is_none());
         known.unwrap_or(incarnation).clone()
     }
 
-    /// Takes in an answer of the health endpoint.
+    /// Processes the result of a health probe.
     pub fn on_probe(&mut self, now: Instant, probe: ProbeId, result: &ProbeResult) -> Effect {
         if self.probing != Some(probe) {
             return Effect::NONE;
@@ -242,7 +246,7 @@
         self.probing = None;
         match result {
             ProbeResult::Healthy { instance } => self.confirm(now, instance),
-            // Health endpoints may be wrong; what the back end does meanwhile counts more.
+            // The health endpoint may be wrong: a request that was answered meanwhile outweighs it.
             ProbeResult::Unhealthy if self.answered_since_probe => Effect::NONE,
             ProbeResult::Unhealthy => self.down("health endpoint says no"),
             ProbeResult::Refused => self.down("health endpoint refuses connections"),
@@ -250,7 +254,7 @@
         }
     }
 
-    /// Takes in how a request ended.
+    /// Records how a request ended.
     pub fn on_exchange(&mut self, result: &ExchangeResult) -> Effect {
         match result {
             ExchangeResult::Answered(_) => {
@@ -271,7 +275,7 @@
         }
     }
 
-    /// Takes in that a request got no answer.
+    /// Records that a request got no answer, and requests a probe after several in a row.
     pub fn on_silence(&mut self) -> Effect {
         self.lost_in_a_row += 1;
         if self.lost_in_a_row >= LOST_IN_A_ROW && self.standing == Standing::Serving {
@@ -281,12 +285,12 @@
         Effect::NONE
     }
 
-    /// Asks for a look at the health endpoint.
+    /// Requests a health probe.
     pub fn ask(&mut self) {
         self.wants_probe = true;
     }
 
-    /// Does what is due.
+    /// Requests a health probe if the heartbeat timeout has passed.
     pub fn poll(&mut self, now: Instant) {
         let is_silent = now.saturating_since(self.heard_at) >= self.silence_limit;
         if self.standing == Standing::Serving && is_silent {
@@ -300,13 +304,13 @@
         (self.standing == Standing::Serving).then(|| self.heard_at + self.silence_limit)
     }
 
-    /// Returns whether the health endpoint is to be asked.
+    /// Returns whether a health probe should be sent now.
     pub fn wants_probe(&self) -> bool {
         let may_serve = self.standing != Standing::Leaving || self.announced.is_some();
         self.wants_probe && self.probing.is_none() && may_serve
     }
 
-    /// Begins a probe.
+    /// Creates the identifier of a new probe and marks it as pending.
     pub fn begin_probe(&mut self) -> ProbeId {
         self.wants_probe = false;
         self.next_probe += 1;
@@ -320,7 +324,8 @@
         let slots_changed = self.slots() != heartbeat.slots.max(1);
         self.current = Some(announcement(heartbeat));
         if self.standing != Standing::Serving {
-            // A live one that did not answer: only the health endpoint tells.
+            // A heartbeat does not return a back end to service: the health endpoint must confirm
+            // it.
             self.wants_probe = true;
             return Effect::NONE;
         }
@@ -342,7 +347,8 @@
             self.current = Some(announced);
         }
         if self.incarnation().is_none_or(|known| known.id != instance) {
-            // Neither the current nor the announced one: wait for its heartbeat.
+            // Neither the current nor the announced incarnation: its first heartbeat has not
+            // arrived yet.
             return self.down("health endpoint names another incarnation");
         }
         self.lost_in_a_row = 0;
--- a/crates/rillgap-forward/src/inbound/ending.rs
+++ b/crates/rillgap-forward/src/inbound/ending.rs
@@ -1,4 +1,4 @@
-//! How requests end at the node beside the back end, and what is said of them.
+//! Completes requests: records their outcomes and service times and sends the responses.
 
 use rillgap_core::code::ResultCode;
 use rillgap_core::time::Instant;
@@ -15,11 +15,12 @@
     ForwardResponse, ForwardResult, ForwardedRequest, LinkMessage, ServiceAdmissionLevel, Timing,
 };
 
-/// Status of a back end's own failure.
+/// Status that a back end sends for a failure of its own.
 pub(super) const SERVER_ERROR: u16 = 500;
 
 impl Inbound {
-    /// Gives up on requests whose time is over and whose answer has not come.
+    /// Cancels requests that got no answer by the end of the grace after their deadline, and
+    /// reports their outcome as unknown.
     pub(super) fn end_overdue(&mut self, now: Instant, out: &mut Actions) {
         while let Some((deadline, exchange)) = self.deadlines.first().copied() {
             if deadline + OVERTIME > now {
@@ -48,8 +49,9 @@
         }
     }
 
-    /// Stops a running request that nobody waits for. One that may run only once goes on: its
-    /// work is done or half done, and cutting it would leave that unknown to everybody.
+    /// Cancels a running request that nobody waits for. A request that is not idempotent keeps
+    /// running: its work may be partly or completely done, and after a cancellation nobody would
+    /// know which.
     pub(super) fn abandon(&mut self, now: Instant, exchange: ExchangeId, out: &mut Actions) {
         let Some(running) = self.running.get_mut(&exchange) else {
             return;
@@ -68,8 +70,8 @@
         out.push(Action::CancelExchange(exchange));
     }
 
-    /// Counts how long a request was at the back end. A back end ends its work with the request's time:
-    /// what is noticed long after that says nothing about the back end.
+    /// Records the service time of a request. A back end stops working on a request at its
+    /// deadline, so an end that is noticed long after the deadline says nothing about the back end.
     pub(super) fn record_time(&mut self, now: Instant, running: &Running) {
         if now > running.deadline + NOTICED_LATE {
             return;
@@ -78,7 +80,7 @@
         self.times.record(&running.request.route, elapsed);
     }
 
-    /// Counts whether the back end itself has failed a request.
+    /// Records whether the back end itself failed a request.
     pub(super) fn record_outcome(
         &mut self,
         now: Instant,
@@ -90,14 +92,14 @@
                 answer.status == SERVER_ERROR && running.is_own_fault()
             }
             ExchangeResult::NotExecuted | ExchangeResult::Lost => true,
-            // No word of the back end that is meant.
+            // The incarnation that the request was meant for did not receive it.
             ExchangeResult::WrongInstance | ExchangeResult::NotSent => return,
         };
         self.failures.record(now, is_failure);
     }
 
-    /// Brings the reported share of failures up to date; peers are told soon when the back end
-    /// begins or ceases to stand out.
+    /// Updates the reported failure rate. Triggers a load report to peers when the back end starts
+    /// or stops counting as failing.
     pub(super) fn update_failing(&mut self, now: Instant) {
         let stood_out = self.failing_permille >= FAILURE_THRESHOLD_PERMILLE;
         self.failing_permille = self.failures.permille(now);
@@ -105,7 +107,7 @@
         self.load_changed |= stood_out != stands_out;
     }
 
-    /// Refuses everything that waits.
+    /// Refuses all queued requests.
     pub(super) fn refuse_queued(&mut self, now: Instant, code: ResultCode, out: &mut Actions) {
         while let Some(arrival) = self.queue.pop().or_else(|| self.isolated_queue.pop()) {
             self.refuse(now, &arrival, code, out);
@@ -150,7 +152,7 @@
         respond(arrival.link, response, out);
     }
 
-    /// Answers a request that was at the back end.
+    /// Sends the response to a request that was started on the back end.
     pub(super) fn respond_running(
         &self,
         now: Instant,
--- a/crates/rillgap-forward/src/inbound/failure_share.rs
+++ b/crates/rillgap-forward/src/inbound/failure_share.rs
@@ -1,20 +1,21 @@
-//! Share of requests that the back end itself has failed of late.
+//! Measures the failure rate of the back end.
 //!
-//! A back end that loses answers, hangs or fails requests may look well to its health endpoint. The
-//! node beside it sees how requests end and reports the share, so that others send their requests
-//! to sounder back ends of the service.
+//! A back end that loses answers, hangs or fails requests may look healthy to its health endpoint.
+//! The node beside it observes how requests end and reports the failure rate, so that other nodes
+//! send their requests to healthier back ends of the service.
 
 use std::time::Duration;
 
 use rillgap_core::time::Instant;
 
-/// Time in which what was counted loses all but 1/e of its weight.
+/// Time constant of the exponential decay, after which a counted request has 1/e of its weight
+/// left.
 const MEMORY: Duration = Duration::from_millis(1_500);
-/// Requests that are taken to have gone well before any was counted, so that one failure of few
-/// does not condemn a back end.
+/// Successful requests that are added to those counted, so that one failure among few requests does
+/// not mark a back end as failing.
 const PRIOR: f64 = 5.0;
 
-/// Share of requests that the back end itself has failed of late.
+/// Exponentially decaying rate of the requests that the back end itself failed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FailureShare {
     failed: f64,
@@ -23,7 +24,7 @@
 }
 
 impl FailureShare {
-    /// Takes in how a request ended.
+    /// Records the outcome of a request.
     pub fn record(&mut self, now: Instant, is_failure: bool) {
         self.decay(now);
         self.ended += 1.0;
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Returns the share, in thousandths.
+    /// Returns the failure rate, in thousandths.
     pub fn permille(&mut self, now: Instant) -> u32 {
         self.decay(now);
         (self.failed * 1_000.0 / (self.ended + PRIOR)) as u32
--- a/crates/rillgap-forward/src/inbound/isolation.rs
+++ b/crates/rillgap-forward/src/inbound/isolation.rs
@@ -1,4 +1,4 @@
-//! What the node beside a back end does about requests under which back ends end.
+//! Isolates suspect requests and attributes crashes of the local back end to requests.
 
 use std::collections::BTreeSet;
 
@@ -15,12 +15,12 @@
 use crate::log_record::{LogRecord, LostRequest};
 use crate::message::{ForwardResult, ForwardedRequest};
 
-/// Longest body with which an answered request is remembered although no back end has ended: the fingerprint of a long one
-/// costs more than it is worth.
+/// Maximum body size, in bytes, of an answered request that is remembered while there is no crash
+/// evidence: the fingerprint of a longer one costs more than it is worth.
 const LONGEST_REMEMBERED_BODY: usize = 4_096;
 
 impl Inbound {
-    /// Returns the standing of what a request asks for.
+    /// Returns the suspicion against the content of a request.
     pub fn suspicion(&self, now: Instant, request: &ForwardedRequest) -> Suspicion {
         if self.crashes.is_empty() {
             return Suspicion::Clear;
@@ -28,7 +28,7 @@
         self.crashes.suspicion(now, request.content())
     }
 
-    /// Starts the next request that waits for isolation, if none runs.
+    /// Starts requests that wait for isolation while no isolated request runs.
     pub(super) fn start_isolated(&mut self, now: Instant, out: &mut Actions) {
         while self.isolated.is_none() && self.has_room() {
             let Some(arrival) = self.isolated_queue.pop() else {
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Starts a request that has waited for isolation long enough: it is not refused for what others may have done.
+    /// Starts a request whose wait for isolation has reached its cutoff. It is not refused for
+    /// crashes that other requests may have caused.
     pub(super) fn start_unisolated(&mut self, now: Instant, arrival: Arrival, out: &mut Actions) {
         if self.has_room() {
             self.start_or_refuse(now, arrival, out);
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Starts a request that has waited, by what is known of it now.
+    /// Starts a queued request, or refuses it if it was quarantined meanwhile or cannot meet its
+    /// deadline any more.
     pub(super) fn start_or_refuse(
         &mut self,
         now: Instant,
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Keeps a request whose answer was lost until it is known whether the back end has ended.
+    /// Holds a request whose answer was lost until it is known whether the back end has crashed.
     pub(super) fn hold_lost(&mut self, now: Instant, running: Running) {
         let incarnation = running.incarnation.clone();
         let lost = LostRequest {
@@ -75,7 +77,7 @@
         self.losses.push(now, incarnation, running, lost);
     }
 
-    /// Answers a request that has ended otherwise.
+    /// Answers a request whose result does not depend on whether the back end has crashed.
     pub(super) fn answer_ended(
         &mut self,
         now: Instant,
@@ -96,8 +98,9 @@
         }
     }
 
-    /// Takes in that the back end has answered a request whole and without a failure of its own: one that fails a part of its
-    /// requests, or is out of time, may not have come to what ends it.
+    /// Exonerates the content of a request that the back end answered completely and without a
+    /// server error. A back end that fails some of its requests, or runs out of time, may have
+    /// answered before it reached the code that crashes it.
     fn exonerate(&mut self, now: Instant, request: &ForwardedRequest) {
         let is_short = request.body.len() <= LONGEST_REMEMBERED_BODY;
         if is_short || !self.crashes.is_empty() {
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Asks the health endpoint if losses may mean that the back end has ended.
+    /// Requests a health probe if the losses may mean that the back end has crashed.
     pub(super) fn look_into_losses(&mut self, now: Instant) {
         let Some(began_at) = self.losses.began_at() else {
             return;
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Learns from an answer of the health endpoint what losses mean.
+    /// Determines from the result of a health probe whether the back end has crashed.
     pub(super) fn explain_losses(&mut self, now: Instant, result: &ProbeResult, out: &mut Actions) {
         let crash = match result {
             ProbeResult::Refused => self.losses.on_ended(None),
@@ -166,8 +169,8 @@
         }));
     }
 
-    /// Answers the lost requests of which it is known whether the back end has ended, or that have waited
-    /// for it long enough.
+    /// Answers the lost requests for which it is known whether the back end has crashed, or whose
+    /// hold timeout has passed.
     pub(crate) fn release_lost_requests(&mut self, now: Instant, out: &mut Actions) {
         let (code, released) = self.losses.take_released();
         for Held { running, lost } in released {
--- a/crates/rillgap-forward/src/inbound/losses.rs
+++ b/crates/rillgap-forward/src/inbound/losses.rs
@@ -1,8 +1,10 @@
-//! Requests whose answers were lost, until it is known whether the back end has ended.
+//! Holds requests whose answers were lost until it is known whether the back end has crashed.
 //!
-//! When a process ends, all its connections end within milliseconds and its address refuses new ones. An answer that is
-//! lost otherwise leaves the others under way. The health endpoint tells which it is; what is said of the lost requests waits
-//! for it for a moment, so that the peers hear of the crash before they decide what becomes of the requests.
+//! When a process ends, all its connections close within milliseconds and its address refuses new
+//! ones. When an answer is lost for another reason, other requests stay in flight. The health
+//! endpoint shows which case it is. The responses to lost requests are held until it has answered,
+//! for a short time at most, so that peers receive the crash evidence before they decide whether to
+//! retry the requests.
 
 use std::time::Duration;
 
@@ -14,41 +16,43 @@
 use crate::incarnation::Incarnation;
 use crate::log_record::LostRequest;
 
-/// Time in which all connections of a process that has ended are seen to end.
+/// Time within which all connections of a process that has ended are seen to close.
 const SETTLE: Duration = Duration::from_millis(5);
-/// Longest time for which the answers to lost requests wait for the health endpoint, which is on the same machine.
+/// Maximum time for which responses to lost requests are held until the health endpoint, which is
+/// on the same machine, answers.
 const PATIENCE: Duration = Duration::from_millis(60);
-/// Time between the first and the last loss of one crash.
+/// Maximum time between the first and the last loss of one crash.
 const SPREAD: Duration = Duration::from_millis(300);
-/// Time after which losses do not belong to a crash any more that is seen only when the next incarnation starts.
+/// Time after the first loss beyond which losses are not attributed to a crash that is detected
+/// only when the next incarnation starts.
 const MEMORY: Duration = Duration::from_secs(10);
 
-/// A back end that has ended unexpectedly.
+/// An unexpected end of a back end.
 #[derive(Clone, Debug)]
 pub(super) struct Crash {
-    /// Incarnation.
+    /// Incarnation that has ended.
     pub incarnation: Incarnation,
-    /// Requests that were under way.
+    /// Requests that were in flight.
     pub suspects: Vec<Suspect>,
 }
 
-/// A lost request.
+/// The loss of an answer.
 #[derive(Clone, Copy, Debug)]
 struct Lost {
     at: Instant,
     suspect: Suspect,
 }
 
-/// A lost request that is not answered yet.
+/// A request whose answer was lost and whose response is held.
 #[derive(Clone, Debug)]
 pub(super) struct Held {
     /// The request.
     pub running: Running,
-    /// What was lost, and where.
+    /// Incarnation and content of the request, for the log.
     pub lost: LostRequest,
 }
 
-/// Losses at one incarnation that are not explained yet.
+/// Losses at one incarnation whose cause is not known yet.
 #[derive(Clone, Debug)]
 struct Unexplained {
     incarnation: Incarnation,
@@ -59,12 +63,12 @@
     is_asked: bool,
 }
 
-/// What is to be done about losses.
+/// What the node must do about losses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Due {
-    /// Nothing.
+    /// No action.
     Nothing,
-    /// Ask the health endpoint.
+    /// Probe the health endpoint.
     Ask,
 }
 
@@ -73,19 +77,19 @@
 pub(super) struct Losses {
     unexplained: Option<Unexplained>,
     held: Vec<Held>,
-    /// Whether the held ones may be answered.
+    /// Whether the held requests may be answered.
     is_released: bool,
-    /// Whether they were lost because the back end has ended.
+    /// Whether the held requests were lost because the back end crashed.
     has_crashed: bool,
 }
 
 impl Losses {
-    /// Returns the requests that are not answered yet.
+    /// Returns the number of held requests.
     pub const fn held(&self) -> usize {
         self.held.len()
     }
 
-    /// Takes in a lost request.
+    /// Records a lost request, and holds it if its sender still waits.
     pub fn push(
         &mut self,
         now: Instant,
@@ -112,7 +116,8 @@
         }
     }
 
-    /// Takes in that an incarnation lives, or has ended as planned: losses are no sign of a crash.
+    /// Records that an incarnation is alive or has ended as planned, so that its losses are not
+    /// attributed to a crash.
     pub fn on_alive(&mut self, incarnation: &Incarnation) {
         if self.is_of(incarnation) {
             self.unexplained = None;
@@ -120,8 +125,9 @@
         }
     }
 
-    /// Takes in an answer of an incarnation. One that was under way when the process ended may be read after the
-    /// losses.
+    /// Records an answer of an incarnation, which shows that it is alive. An answer that was in
+    /// flight when the process ended may be read after the losses, so answers right after the last
+    /// loss do not count.
     pub fn on_answer(&mut self, now: Instant, incarnation: &Incarnation) {
         let last_loss = self.unexplained.as_ref().map(|losses| losses.last_at);
         if last_loss.is_some_and(|at| now > at + SETTLE) {
@@ -129,8 +135,8 @@
         }
     }
 
-    /// Takes in that the back end's address refuses connections, or that another incarnation (`successor`) has
-    /// it. Returns the crash, if losses show one.
+    /// Records that the back end's address refuses connections, or belongs to another incarnation
+    /// (`successor`). Returns the crash if there are unexplained losses.
     pub fn on_ended(&mut self, successor: Option<&Incarnation>) -> Option<Crash> {
         if successor.is_some_and(|incarnation| self.is_of(incarnation)) {
             return None;
@@ -147,7 +153,8 @@
         })
     }
 
-    /// Does what is due. `others_run` says whether requests still run that were started before the losses.
+    /// Advances the timers and returns the next action. `others_run` says whether requests that
+    /// were started before the losses still run.
     pub fn poll(&mut self, now: Instant, others_run: bool) -> Due {
         let Some(unexplained) = &mut self.unexplained else {
             return Due::Nothing;
@@ -174,12 +181,12 @@
         (!self.held.is_empty()).then(|| unexplained.began_at + PATIENCE)
     }
 
-    /// Returns when the losses began.
+    /// Returns the time of the first unexplained loss.
     pub fn began_at(&self) -> Option<Instant> {
         self.unexplained.as_ref().map(|losses| losses.began_at)
     }
 
-    /// Takes the requests that may be answered now, with the reason why their answers were lost.
+    /// Takes the held requests that may be answered now, with the result code for their loss.
     pub fn take_released(&mut self) -> (ResultCode, Vec<Held>) {
         let code = if std::mem::take(&mut self.has_crashed) {
             ResultCode::BackEndCrashed
--- a/crates/rillgap-forward/src/inbound/mod.rs
+++ b/crates/rillgap-forward/src/inbound/mod.rs
@@ -1,8 +1,8 @@
-//! The only way to the back end beside the node.
+//! Inbound side of a node: admits, queues and runs forwarded requests on the local back end.
 //!
-//! Everything that the back end gets passes here, so this side alone knows what runs, may say
-//! truthfully that something did not run, orders what waits, and enforces that a back end which
-//! leaves gets nothing new.
+//! Every request to the back end passes through this module. It therefore tracks which requests
+//! run, reports reliably that a request was not executed, orders the queue, and ensures that a back
+//! end that leaves service gets no new requests.
 
 mod admission;
 mod back_end;
@@ -42,38 +42,44 @@
 
 pub use running::{CallProgress, CallUpdate};
 
-/// Share of the slots that are used: back ends get slower when they are almost full.
+/// Fraction of the back end's slots that may be in use: back ends slow down when almost all are
+/// taken.
 const SLOT_SHARE: f64 = 0.95;
-/// Share of the limit up to which a request of a low rank runs although others wait.
+/// Fraction of the concurrency limit that is reserved for each rank. A rank that runs fewer
+/// requests may start one although requests of higher ranks wait.
 const RESERVED_SHARE: f64 = 0.2;
-/// Share of the expected time that must be left for a request to be started.
+/// Minimum time until the deadline for a request to be started, as a fraction of its expected
+/// service time.
 const NEEDED_SHARE: f64 = 0.7;
-/// Share of the limit that may run although it is not expected to end in time, so that an
-/// estimate that has become too long is corrected.
+/// Fraction of the concurrency limit below which requests are started although they are not
+/// expected to meet their deadline. Their samples correct an expected service time that has become
+/// too long.
 const PROBE_SHARE: f64 = 0.1;
-/// Time after the end of a request's time at which its connection is given up.
+/// Time after a request's deadline at which its exchange with the back end is cancelled.
 const OVERTIME: Duration = Duration::from_millis(250);
-/// Time after the end of a request's time beyond which its end was not noticed when it came: the node
-/// itself stood still or had no processor. Twice the time at which an overdue request is given up.
+/// Delay after a request's deadline beyond which its service time is not recorded: the end was
+/// noticed late because the node itself was stalled or had no processor time. Twice the grace after
+/// which an overdue request is cancelled.
 const NOTICED_LATE: Duration = Duration::from_millis(500);
-/// Shortest and longest time after which a refused caller is asked back, in milliseconds.
+/// Minimum and maximum time after which a refused request should be retried, in milliseconds.
 const RETRY_AFTER_MILLIS: (u64, u64) = (50, 2_000);
-/// Tuning of the published level. Calls may wait for several times as long as they run, so the queue may
-/// rest at nearly the limit.
+/// Tuning of the published admission level. The queue target is close to the limit because calls
+/// may wait several times as long as they run.
 const LEVEL_TUNING: Tuning = Tuning {
     queue_target: 0.8,
     demand_weight: 0.15,
 };
-/// Move of the published level at which peers are told soon: a tenth of a tier.
+/// Minimum change of the published level that triggers a load report to peers: a tenth of a tier.
 const LEVEL_MOVE: u32 = Level::PER_TIER / 10;
-/// Time before the end of a request's time from which a cancellation means that no answer came.
+/// Time before a request's deadline within which a cancellation counts as a missing answer.
 const CLOSE_TO_DEADLINE: Duration = Duration::from_millis(20);
-/// Share of failures of its own from which a back end stands out, in thousandths.
+/// Failure rate from which a back end counts as failing, in thousandths. A request counts as failed
+/// only if the back end itself caused the failure.
 pub const FAILURE_THRESHOLD_PERMILLE: u32 = 100;
-/// Longest queue.
+/// Maximum number of requests in the queue.
 const QUEUE_LENGTH: usize = 2_048;
 
-/// A request that has arrived.
+/// A request that has arrived and is not running yet.
 #[derive(Clone, Debug)]
 struct Arrival {
     link: LinkId,
@@ -81,27 +87,27 @@
     request: Arc<ForwardedRequest>,
     arrived: Instant,
     deadline: Instant,
-    /// Whether it runs beside no other request that back ends have ended under.
+    /// Whether the request is to run as the only suspect on the back end.
     is_isolated: bool,
 }
 
-/// Where a request is.
+/// State of a received request. Queued requests hold the ticket of their queue.
 #[derive(Clone, Copy, Debug)]
 enum Place {
     Queued(u64),
-    /// Waits until no other isolated request runs.
+    /// Waits for the running isolated request to end.
     QueuedForIsolation(u64),
     Running(ExchangeId),
 }
 
-/// The inbound side of a node.
+/// Inbound side of a node: the state of the local back end and the requests that run on it or wait.
 #[derive(Debug)]
 pub struct Inbound {
     back_end: BackEnd,
     queue: RankQueue<Arrival>,
-    /// Requests that wait until no other isolated one runs.
+    /// Suspect requests that wait for the running isolated request to end.
     isolated_queue: RankQueue<Arrival>,
-    /// The isolated request that runs.
+    /// The isolated request that is running, if any.
     isolated: Option<ExchangeId>,
     losses: Losses,
     crashes: CrashRegister,
@@ -112,19 +118,19 @@
     times: ServiceTimes,
     failures: FailureShare,
     failing_permille: u32,
-    /// Incarnation that the times and failures were measured of.
+    /// Incarnation from which the service times and the failure rate were measured.
     measured: Option<Incarnation>,
     next_exchange: u64,
     is_stopping: bool,
     status_changed: bool,
     load_changed: bool,
     threshold: Threshold,
-    /// Level that peers were told last.
+    /// Level at which the last load report was triggered by a level change.
     told_level: Level,
 }
 
 impl Inbound {
-    /// Creates the inbound side of a fresh node, which believes nothing of its back end.
+    /// Creates the inbound side of a new node. The state of the back end is unknown at first.
     pub fn new(settings: &ForwardSettings) -> Self {
         Self {
             back_end: BackEnd::new(settings.back_end_address, settings.heartbeat_interval),
@@ -150,7 +156,7 @@
         }
     }
 
-    /// Returns what other nodes are told of the back end.
+    /// Returns the status that is sent to peers.
     pub fn status(&self) -> Status {
         Status {
             service: self.back_end.service().to_owned(),
@@ -162,12 +168,12 @@
         }
     }
 
-    /// Returns the service of the back end; empty if it is not known.
+    /// Returns the service of the back end; empty if it is unknown.
     pub fn service(&self) -> &str {
         self.back_end.service()
     }
 
-    /// Returns whether the back end takes new requests.
+    /// Returns whether the back end accepts new requests.
     pub fn is_serving(&self) -> bool {
         self.back_end.is_serving()
     }
@@ -194,40 +200,41 @@
         queued
     }
 
-    /// Returns whether the load has changed so much that peers are to be told soon, and forgets it.
+    /// Returns whether the load has changed enough for an early report to peers, and resets the
+    /// flag.
     pub fn take_load_change(&mut self) -> bool {
         std::mem::take(&mut self.load_changed)
     }
 
-    /// Returns whether peers must be told of a change at once, and forgets it.
+    /// Returns whether a status change must be sent to peers at once, and resets the flag.
     pub fn take_status_change(&mut self) -> bool {
         std::mem::take(&mut self.status_changed)
     }
 
-    /// Returns the number of requests that run or wait.
+    /// Returns the number of requests that run, wait in a queue or are held after a lost answer.
     pub fn in_flight(&self) -> usize {
         let queued = self.queue.len() + self.isolated_queue.len();
         self.running.len() + queued + self.losses.held()
     }
 
-    /// Returns what is known of requests under which back ends end.
+    /// Returns the evidence about requests that crash back ends.
     pub const fn crashes(&self) -> &CrashRegister {
         &self.crashes
     }
 
-    /// Returns what is known of requests under which back ends end, to be changed.
+    /// Returns the evidence about requests that crash back ends, for modification.
     pub const fn crashes_mut(&mut self) -> &mut CrashRegister {
         &mut self.crashes
     }
 
-    /// Returns the request with this identifier that the back end works on.
+    /// Returns the running request with this identifier.
     pub fn running_request(&self, request_id: &str) -> Option<&ForwardedRequest> {
         let exchange = self.by_request_id.get(request_id)?;
         let running = self.running.get(exchange)?;
         Some(&running.request)
     }
 
-    /// Takes in what became of a call that the back end makes while it works on a request.
+    /// Records the progress of a call that the back end makes while it works on a request.
     pub fn on_call(&mut self, call: CallUpdate) {
         let exchange = self.by_request_id.get(&call.parent_id);
         let Some(running) = exchange.and_then(|exchange| self.running.get_mut(exchange)) else {
@@ -236,18 +243,19 @@
         running.on_call(call);
     }
 
-    /// Returns whether the back end has left service for good.
+    /// Returns whether the back end has announced that it leaves service, or has left.
     pub fn has_left(&self) -> bool {
         self.back_end.has_left()
     }
 
-    /// Begins a planned stop: peers are told to send nothing more.
+    /// Begins a planned stop. The next status tells peers to send no more requests.
     pub fn stop(&mut self) {
         self.is_stopping = true;
         self.status_changed = true;
     }
 
-    /// Takes in a heartbeat; returns whether it may be acknowledged.
+    /// Processes a heartbeat. Returns whether it may be acknowledged: only those of the local back
+    /// end are.
     pub fn on_heartbeat(
         &mut self,
         now: Instant,
@@ -264,7 +272,7 @@
         self.back_end.is_own(heartbeat)
     }
 
-    /// Takes in that a back end leaves.
+    /// Processes the announcement of a back end that it leaves service.
     pub fn on_leave(&mut self, now: Instant, incarnation: &Incarnation, out: &mut Actions) {
         let leaving = self.back_end.meant(incarnation);
         let effect = self.back_end.on_leave(incarnation);
@@ -272,7 +280,7 @@
         self.carry_out(now, effect, None, out);
     }
 
-    /// Takes in an answer of the health endpoint.
+    /// Processes the result of a health probe.
     pub fn on_probe(
         &mut self,
         now: Instant,
@@ -287,7 +295,7 @@
         self.carry_out(now, effect, None, out);
     }
 
-    /// Takes in a request.
+    /// Starts, queues or refuses a forwarded request.
     pub fn on_request(
         &mut self,
         now: Instant,
@@ -333,7 +341,7 @@
         self.enqueue(now, arrival, out);
     }
 
-    /// Takes in that nobody waits for a request any more.
+    /// Cancels a request for which nobody waits any more.
     pub fn on_cancel(&mut self, now: Instant, link: LinkId, sequence: Sequence, out: &mut Actions) {
         match self.places.remove(&(link, sequence)) {
             Some(Place::Queued(ticket)) => {
@@ -348,7 +356,7 @@
         self.start_queued(now, out);
     }
 
-    /// Takes in that a link has ended: nobody waits for its requests.
+    /// Cancels all requests that arrived on a closed link, since nobody waits for them any more.
     pub fn on_link_closed(&mut self, now: Instant, link: LinkId, out: &mut Actions) {
         let lost: Vec<Sequence> = self.requests_of(link).collect();
         for sequence in lost {
@@ -356,7 +364,7 @@
         }
     }
 
-    /// Returns whether requests that came on a link run or wait.
+    /// Returns whether requests that arrived on a link run or wait.
     pub fn has_requests_of(&self, link: LinkId) -> bool {
         self.requests_of(link).next().is_some()
     }
@@ -368,7 +376,7 @@
         places.map(|((_, sequence), _)| *sequence)
     }
 
-    /// Takes in that a request at the back end has ended.
+    /// Processes the end of an exchange with the back end.
     pub fn on_exchange(
         &mut self,
         now: Instant,
@@ -395,7 +403,7 @@
         self.start_queued(now, out);
     }
 
-    /// Does what is due.
+    /// Performs all work that is due at `now`.
     pub fn poll(&mut self, now: Instant, table: Option<&RouteTable>, out: &mut Actions) {
         self.back_end.poll(now);
         self.update_level(now);
--- a/crates/rillgap-forward/src/inbound/queue.rs
+++ b/crates/rillgap-forward/src/inbound/queue.rs
@@ -1,23 +1,23 @@
-//! Queue by rank, within a rank by place, within a place by arrival.
+//! Queue ordered by rank, then by position within the rank, then by arrival.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rillgap_core::time::Instant;
 
-/// Something that waits.
+/// A queued item.
 #[derive(Clone, Debug)]
 pub(super) struct Queued<T> {
     /// Rank; 0 is served first.
     pub rank: u8,
-    /// Place within the rank; 0 is served first.
+    /// Position within the rank; 0 is served first.
     pub place: u8,
-    /// Latest time at which it may still be started.
+    /// Latest time at which the item may be started.
     pub cutoff: Instant,
-    /// What waits.
+    /// The item.
     pub item: T,
 }
 
-/// Queue by rank, within a rank by place, within a place by arrival.
+/// Queue ordered by rank, then by position within the rank, then by arrival.
 #[derive(Clone, Debug)]
 pub(super) struct RankQueue<T> {
     ranks: BTreeMap<u8, BTreeMap<(u8, u64), Queued<T>>>,
@@ -38,12 +38,12 @@
 }
 
 impl<T> RankQueue<T> {
-    /// Returns how many wait.
+    /// Returns the number of queued items.
     pub fn len(&self) -> usize {
         self.positions.len()
     }
 
-    /// Returns how many are served before a new one of `rank` and `place`.
+    /// Returns the number of items that are served before a new one of this rank and position.
     pub fn ahead_of(&self, rank: u8, place: u8) -> usize {
         let higher = self.ranks.range(..rank);
         let higher: usize = higher.map(|(_, queue)| queue.len()).sum();
@@ -51,17 +51,17 @@
         higher + same.map_or(0, |queue| queue.range(..=(place, u64::MAX)).count())
     }
 
-    /// Returns the ranks that have something waiting, the first to be served first.
+    /// Returns the ranks with queued items, in the order of service.
     pub fn ranks(&self) -> impl DoubleEndedIterator<Item = u8> {
         self.ranks.keys().copied()
     }
 
-    /// Returns how many of each rank wait.
+    /// Returns the number of queued items of each rank.
     pub fn lengths(&self) -> impl Iterator<Item = (u8, usize)> {
         self.ranks.iter().map(|(rank, queue)| (*rank, queue.len()))
     }
 
-    /// Appends; returns a ticket.
+    /// Appends an item and returns its ticket.
     pub fn push(&mut self, queued: Queued<T>) -> u64 {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
@@ -74,7 +74,7 @@
         ticket
     }
 
-    /// Takes out by ticket.
+    /// Removes the item of a ticket.
     pub fn remove(&mut self, ticket: u64) -> Option<T> {
         let (rank, place) = self.positions.remove(&ticket)?;
         let queue = self.ranks.get_mut(&rank)?;
@@ -86,19 +86,19 @@
         Some(queued.item)
     }
 
-    /// Takes out what is served next.
+    /// Removes the item that is served next.
     pub fn pop(&mut self) -> Option<T> {
         let rank = self.ranks().next()?;
         self.pop_rank(rank)
     }
 
-    /// Takes out what is served next of a rank.
+    /// Removes the item of a rank that is served next.
     pub fn pop_rank(&mut self, rank: u8) -> Option<T> {
         let (_, ticket) = *self.ranks.get(&rank)?.first_key_value()?.0;
         self.remove(ticket)
     }
 
-    /// Takes out one whose cutoff has passed.
+    /// Removes an item whose cutoff has passed.
     pub fn pop_expired(&mut self, now: Instant) -> Option<T> {
         let (cutoff, ticket) = *self.cutoffs.first()?;
         if cutoff > now {
--- a/crates/rillgap-forward/src/inbound/renewal.rs
+++ b/crates/rillgap-forward/src/inbound/renewal.rs
@@ -1,4 +1,5 @@
-//! What ends when a new run of the back end takes the place of an earlier one.
+//! Handles the restart of a back end: ends the requests of its earlier incarnation and resets the
+//! measurements.
 
 use rillgap_core::time::Instant;
 
@@ -9,8 +10,9 @@
 use crate::id::ExchangeId;
 
 impl Inbound {
-    /// Ends the requests that an earlier run of the back end worked on: it has ended, and whether they ran to
-    /// their end is unknown. A connection that has died silently would hold them until their time is over.
+    /// Ends the requests that an earlier incarnation of the back end was working on. It has ended,
+    /// and whether it completed them is unknown. Connections that have died silently would hold
+    /// them until their deadlines.
     pub(super) fn end_earlier_runs(&mut self, now: Instant, out: &mut Actions) {
         let back_end = &self.back_end;
         let has_ended = |running: &Running| back_end.has_ended(&running.incarnation);
@@ -31,7 +33,7 @@
         self.deadlines.remove(&(running.deadline, exchange));
         self.places.remove(&(running.link, running.sequence));
         out.push(Action::CancelExchange(exchange));
-        // A run that has left as planned has not crashed.
+        // An incarnation that has left as planned has not crashed.
         if self.back_end.has_left_service(&running.incarnation) {
             self.answer_ended(now, running, ExchangeResult::Lost, out);
         } else {
@@ -39,8 +41,8 @@
         }
     }
 
-    /// Lets what is measured of a new run take the place of what was measured of the earlier one: it may be cold, or
-    /// sound.
+    /// Starts new measurements for a new incarnation. Those of the earlier one may not apply to it:
+    /// it may be cold, or no longer faulty.
     pub(super) fn begin_measurements(&mut self) {
         let serving = self.back_end.incarnation();
         if !self.back_end.is_serving() || self.measured.as_ref() == serving {
--- a/crates/rillgap-forward/src/inbound/running.rs
+++ b/crates/rillgap-forward/src/inbound/running.rs
@@ -1,4 +1,4 @@
-//! A request that runs at the back end, and the calls that are made for it.
+//! Tracks a request that runs on the back end and the calls that the back end makes for it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,59 +11,59 @@
 use crate::incarnation::Incarnation;
 use crate::message::{ForwardedRequest, ServiceAdmissionLevel, Timing};
 
-/// What became of a call that the back end makes while it works on a request.
+/// Progress of a call that the back end makes while it works on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallProgress {
-    /// It is under way.
+    /// The call is in flight.
     Started,
-    /// It was answered without a failure.
+    /// The call was answered without a failure.
     Succeeded,
-    /// It came to nothing.
+    /// The call failed.
     Failed,
 }
 
-/// What became of a call, with the levels of the services that it went to.
+/// Progress of a call, with the admission levels of the services that it involved.
 #[derive(Clone, Debug)]
 pub struct CallUpdate {
-    /// Identifier of the request that the call is made for.
+    /// Identifier of the parent, the request for which the call is made.
     pub parent_id: String,
-    /// What became of it.
+    /// Progress of the call.
     pub progress: CallProgress,
-    /// Levels of the services that it involved.
+    /// Admission levels of the services that the call involved.
     pub involved: Vec<ServiceAdmissionLevel>,
 }
 
-/// A request that runs.
+/// A request that runs on the back end.
 #[derive(Clone, Debug)]
 pub(super) struct Running {
-    /// Link that the request came on.
+    /// Link on which the request arrived.
     pub link: LinkId,
-    /// Its number on that link.
+    /// Number of the request on that link.
     pub sequence: Sequence,
-    /// Incarnation of the back end that works on it.
+    /// Incarnation of the back end that works on the request.
     pub incarnation: Incarnation,
     /// The request.
     pub request: Arc<ForwardedRequest>,
-    /// When it arrived at this node.
+    /// When the request arrived at this node.
     pub arrived: Instant,
-    /// When it was handed to the back end.
+    /// When the request was handed to the back end.
     pub started: Instant,
-    /// When its time is over.
+    /// Deadline of the request.
     pub deadline: Instant,
-    /// Whether it runs beside no other request that back ends have ended under.
+    /// Whether the request runs as the only suspect on the back end.
     pub is_isolated: bool,
-    /// Whether somebody still waits for the answer.
+    /// Whether the sender of the request still waits for the answer.
     pub is_awaited: bool,
-    /// The back end's own calls for the request that have no answer yet.
+    /// Calls that the back end makes for the request and that have no answer yet.
     open_calls: u32,
-    /// Whether one of those calls has failed.
+    /// Whether a call made for the request has failed.
     pub has_failed_call: bool,
-    /// Services that its calls went to, with their levels as last heard.
+    /// Services that the calls involved, with their last reported admission levels.
     pub involved: BTreeMap<String, Level>,
 }
 
 impl Running {
-    /// Takes over a request that is handed to the back end.
+    /// Creates the state of a request that is handed to the back end.
     pub fn new(now: Instant, arrival: Arrival, incarnation: Incarnation) -> Self {
         Self {
             incarnation,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes in what became of a call that the back end makes for the request.
+    /// Records the progress of a call that the back end makes for the request.
     pub fn on_call(&mut self, call: CallUpdate) {
         for involved in call.involved {
             self.involved.insert(involved.service, involved.level);
@@ -96,12 +96,13 @@
         }
     }
 
-    /// Returns whether the back end alone is to blame if the request fails.
+    /// Returns whether a failure of the request is caused by the back end itself, not by one of its
+    /// calls.
     pub fn is_own_fault(&self) -> bool {
         self.open_calls == 0 && !self.has_failed_call
     }
 
-    /// Returns where the time of the request has gone.
+    /// Returns the times that the request has spent in the queue and on the back end.
     pub fn timing(&self, now: Instant) -> Timing {
         Timing {
             queued_micros: elapsed_micros(self.started, self.arrived),
--- a/crates/rillgap-forward/src/inbound/service_time.rs
+++ b/crates/rillgap-forward/src/inbound/service_time.rs
@@ -1,4 +1,4 @@
-//! How long requests take at the back end, learned as moving means.
+//! Measures the service times of the back end as moving averages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,11 +6,11 @@
 /// Weight of the newest sample.
 const NEWEST: f64 = 0.05;
 
-/// Moving mean of one kind of time.
+/// Exponentially weighted moving average of service times.
 #[derive(Clone, Copy, Debug, Default)]
 struct Mean {
     micros: f64,
-    /// Whether it is of an earlier run of the back end: the first sample takes its place.
+    /// Whether the average is that of an earlier incarnation: the next sample replaces it.
     is_prior: bool,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Moving means of the time that requests take, by route and of all.
+/// Moving averages of the service times, by route and of all requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceTimes {
     all: Mean,
@@ -33,7 +33,7 @@
 }
 
 impl ServiceTimes {
-    /// Takes in how long a request took.
+    /// Records the service time of a request.
     pub fn record(&mut self, route: &str, elapsed: Duration) {
         let micros = elapsed.as_micros() as f64;
         self.all.record(micros);
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Takes in that another run of the back end begins. The means hold until its first answers: without any, the
-    /// queue would be taken for one that drains at once.
+    /// Marks the averages as those of an earlier incarnation. They are used until the first answers
+    /// of the new one arrive: with averages of zero, the queue would seem to drain at once.
     pub fn begin_run(&mut self) {
         self.all.is_prior = true;
         for mean in self.by_route.values_mut() {
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Returns how long a request of a route is expected to take; zero if unknown.
+    /// Returns the expected service time of a request on a route; zero if unknown.
     pub fn expected(&self, route: &str) -> Duration {
         let micros = self.by_route.get(route).map_or(0.0, |mean| mean.micros);
         Duration::from_micros(micros as u64)
     }
 
-    /// Returns the mean of all requests, in microseconds; zero if unknown.
+    /// Returns the average service time of all requests, in microseconds; zero if unknown.
     pub fn mean_micros(&self) -> u32 {
         self.all.micros as u32
     }
--- a/crates/rillgap-forward/tests/crash.rs
+++ b/crates/rillgap-forward/tests/crash.rs
@@ -1,4 +1,5 @@
-//! Requests under which back ends end: what counts as a crash, what exonerates, and what follows.
+//! Tests of requests that crash back ends: detection of crashes, exoneration, isolation and
+//! quarantine.
 
 mod support;
 
@@ -15,9 +16,10 @@
 
 use support::*;
 
-/// Milliseconds in which all connections of a process that has ended are seen to end.
+/// Time within which all connections of a process that has ended are seen to close, in
+/// milliseconds.
 const SETTLE: u64 = 5;
-/// Milliseconds for which the answers to lost requests wait for the health endpoint.
+/// Maximum time for which responses to lost requests are held, in milliseconds.
 const PATIENCE: u64 = 60;
 
 fn request(id: &str, target: &str) -> ForwardedRequest {
@@ -31,7 +33,7 @@
     request("any", target).content()
 }
 
-/// Runs a request for each target at once, and lets all of them be lost.
+/// Starts a request for each target at the same time and loses all their answers.
 fn lose(test: &mut TestNode, link: LinkId, targets: &[&str]) {
     let before = test.exchanges().len();
     for target in targets {
@@ -45,19 +47,19 @@
     test.pass(SETTLE);
 }
 
-/// Lets the health endpoint answer.
+/// Answers the pending health probe.
 fn probed(test: &mut TestNode, result: ProbeResult) {
     let probe = test.probe().expect("the health endpoint is asked");
     test.end_probe(probe, result);
 }
 
-/// Lets the next incarnation start.
+/// Starts the next incarnation and confirms it.
 fn start(test: &mut TestNode, instance: &str) {
     test.heartbeat_of(instance, 1, AnnouncedState::Ready);
     test.confirm(instance);
 }
 
-/// Evidence that a node heard of elsewhere.
+/// Returns the evidence about a target that a peer would send.
 fn evidence(target: &str, crashes: &[(&str, bool)]) -> ContentEvidence {
     let record = |(instance, was_alone): &(&str, bool)| CrashRecord {
         crash: CrashId::of(&Incarnation::without_start(instance)),
@@ -87,7 +89,7 @@
     register.suspicion(at(test.now), content(target))
 }
 
-/// Returns what was told on links, with the link.
+/// Returns the evidence that was sent, with the link of each message.
 fn told(test: &TestNode) -> Vec<(LinkId, Vec<ContentEvidence>)> {
     let tell = |action: &Action| match action {
         Action::SendOnLink {
@@ -127,7 +129,7 @@
     }
 }
 
-/// Runs a request and lets the back end answer it.
+/// Runs a request that the back end answers.
 fn run(test: &mut TestNode, link: LinkId, target: &str) {
     let number = test.exchanges().len() as u64 + 100;
     test.forward(link, number, request(&format!("r{number}"), target));
@@ -163,7 +165,8 @@
     expect_that!(is_told, eq(true));
 }
 
-/// A back end that fails a part of its requests, or is out of time, answers so without having come to what ends it.
+/// A back end that fails some of its requests, or runs out of time, may answer before it reaches
+/// the code that crashes it.
 #[gtest]
 fn failure_of_the_back_end_does_not_exonerate() {
     let mut test = TestNode::serving();
@@ -320,7 +323,8 @@
     expect_that!(suspicion(&test, "/other"), eq(Suspicion::Suspected));
 }
 
-/// Where back ends end also without a request, three crashes as the only suspect are asked for in place of two.
+/// While back ends also crash without a request, its quarantine takes three crashes as the only
+/// suspect instead of two.
 #[gtest]
 fn request_is_given_the_benefit_of_the_doubt_while_back_ends_end_without_it() {
     let mut test = TestNode::serving();
@@ -362,7 +366,7 @@
     expect_that!(suspicion(&test, "/b"), eq(Suspicion::Recurrent));
 }
 
-/// Target of callers on a route of the configuration.
+/// Target on a route of the configuration whose requests are quarantined.
 const GUILTY: &str = "/safe/guilty";
 
 fn test_with_quarantine() -> (TestNode, LinkId) {
@@ -475,8 +479,9 @@
     expect_that!(suspicion(&test, "/varied/4999"), eq(Suspicion::Suspected));
 }
 
-/// The same evidence, told again, was news without end where more crashes were heard of than are kept: nodes
-/// passed it to and fro until they had used 600 MB.
+/// Guards against evidence that counts as new whenever it is received again. That happened to a
+/// content with more crashes than a node keeps: nodes sent the evidence back and forth until they
+/// used 600 MB.
 #[gtest]
 fn evidence_that_was_heard_before_is_no_news_however_many_crashes_there_are() {
     let mut test = TestNode::serving();
@@ -521,7 +526,7 @@
     expect_that!(told(&test).len(), eq(0));
 }
 
-/// Fills all slots, lets a request wait behind them, and quarantines what it asks for meanwhile.
+/// Fills all slots, queues a request behind them, and quarantines its content while it waits.
 fn quarantine_while_it_waits(standing_before: Vec<ContentEvidence>) -> TestNode {
     let mut test = TestNode::serving();
     let link = test.accept(50);
--- a/crates/rillgap-forward/tests/inbound.rs
+++ b/crates/rillgap-forward/tests/inbound.rs
@@ -1,4 +1,4 @@
-//! The side beside the back end: what it believes, what it lets run and what it says.
+//! Tests of the inbound side: health of the back end, admission, queueing and results.
 
 mod support;
 
@@ -43,7 +43,8 @@
 #[gtest]
 fn restarted_node_does_not_take_a_leaving_back_end_for_a_serving_one() {
     let mut test = TestNode::configured(support::SERVICE);
-    // A late heartbeat from before the announcement, which this run has not heard.
+    // A heartbeat from before the announcement arrives late; the restarted node has no record of
+    // the announcement.
     test.heartbeat(3, AnnouncedState::Ready);
     let probe = test.probe().expect("a probe");
     test.end_probe(probe, ProbeResult::Unhealthy);
@@ -88,7 +89,7 @@
     for sequence in 0..20 {
         test.forward(link, sequence, forwarded(&format!("r{sequence}"), true));
     }
-    // Four slots, of which a few in a hundred are left free.
+    // Of the four slots, a small fraction is left free.
     expect_that!(test.exchanges().len(), eq(3));
 }
 
@@ -135,7 +136,7 @@
         .skip(3)
         .map(|exchange| exchange.request.request_id.clone())
         .collect();
-    // The reserve of the lower rank is empty, so it gets one place first.
+    // The lower rank uses none of its reserve, so its request is started first.
     expect_that!(ids, elements_are![eq("low"), eq("high")]);
 }
 
@@ -205,7 +206,8 @@
         test.forward(link, 1, forwarded("a", false));
         let exchange = test.exchanges()[0].id;
         test.end_exchange(exchange, result);
-        // What is said of a lost answer waits until the health endpoint has told whether the back end has ended.
+        // The response to a lost request is held until the health endpoint has answered or the hold
+        // timeout has passed.
         test.pass(60);
         let results = test.results();
         expect_that!(code_of(&results[0].1), some(eq(code)));
@@ -286,8 +288,8 @@
     expect_that!(test.node.inbound().load().limit, eq(95));
 }
 
-/// Sends 12 requests of the lowest priority each 50 ms, each of which is at the back end for as long:
-/// four times what its 3 usable slots carry.
+/// Sends 12 requests of priority 2 every 50 ms, each of which takes 50 ms on the back end: four
+/// times the capacity of its 3 usable slots.
 fn overload(test: &mut TestNode, link: LinkId, millis: u64) {
     let until = test.now + millis;
     let mut sequence = 0;
@@ -313,7 +315,7 @@
     overload(&mut test, link, 2_000);
     let level = test.node.inbound().load().level;
     expect_that!(priority_of(level), eq(2));
-    // A quarter of the priority fits, a little more while the queue is short.
+    // A quarter of the requests fits, slightly more while the queue is short.
     let shed = f64::from(level.0 % Level::PER_TIER) / f64::from(Level::PER_TIER);
     expect_that!(shed, all!(gt(0.5), lt(0.95)));
     for exchange in &test.exchanges() {
@@ -328,7 +330,7 @@
 fn requests_that_are_refused_count_as_demand() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    // Three requests take 50 ms each, so that the time that one takes is known.
+    // Requests that take 50 ms each give the node an expected service time.
     overload(&mut test, link, 400);
     for sequence in 10_000..10_400 {
         let mut request = forwarded(&format!("r{sequence}"), true);
@@ -344,7 +346,7 @@
     );
 }
 
-/// Hands so many requests to the back end, one after the other, which all end in this way.
+/// Runs `count` requests on the back end, one after the other, each of which ends with `result`.
 fn run_and_end(test: &mut TestNode, first: u64, count: u64, result: &ExchangeResult) {
     let link = test.accept(70);
     for number in first..first + count {
@@ -423,7 +425,7 @@
 #[gtest]
 fn wrong_health_answer_does_not_take_out_a_back_end_that_answers_requests() {
     let mut test = TestNode::serving();
-    // Three lost answers ask for a probe; the next request is answered.
+    // Three lost answers trigger a probe; the next request is answered.
     run_and_end(&mut test, 1, 3, &ExchangeResult::Lost);
     let probe = test.probe().expect("a probe");
     run_and_end(&mut test, 4, 1, &ExchangeResult::Answered(answer(200)));
@@ -434,7 +436,7 @@
 #[gtest]
 fn back_end_that_stops_answering_is_taken_out_at_the_first_bad_health_answer() {
     let mut test = TestNode::serving();
-    // It has answered just before; nothing has been answered since the probe began.
+    // A request is answered before the probe begins, and none after that.
     run_and_end(&mut test, 1, 1, &ExchangeResult::Answered(answer(200)));
     run_and_end(&mut test, 2, 3, &ExchangeResult::Lost);
     let probe = test.probe().expect("a probe");
@@ -447,7 +449,7 @@
 fn response_tells_where_the_time_went() {
     let mut test = TestNode::serving();
     let link = test.accept(70);
-    // The back end has four slots, of which three are used; the fourth request waits.
+    // The back end has four slots, of which three are usable; the fourth request waits.
     for number in 1..=4 {
         test.forward(link, number, forwarded(&format!("r{number}"), true));
     }
--- a/crates/rillgap-forward/tests/queue_order.rs
+++ b/crates/rillgap-forward/tests/queue_order.rs
@@ -1,4 +1,4 @@
-//! In which order requests of one priority are started.
+//! Tests of the order in which queued requests of one priority are started.
 
 mod support;
 
@@ -8,8 +8,9 @@
 use rillgap_forward::message::level_of;
 use support::{TestNode, answer, forwarded};
 
-/// A chain makes several calls, and one that is refused makes the work of all others worthless. Shed by the order of
-/// arrival, each chain loses a call now and then; shed by level, the same chains go through whole.
+/// A chain makes several calls, and a single refused call makes the work of all others worthless.
+/// If calls were shed in the order of arrival, each chain would lose some of them. Shed by level,
+/// the same chains always complete.
 #[gtest]
 fn requests_of_one_priority_wait_by_their_level() {
     let mut test = TestNode::serving();
--- a/crates/rillgap-forward/tests/reborn.rs
+++ b/crates/rillgap-forward/tests/reborn.rs
@@ -1,4 +1,4 @@
-//! Back ends that start again under the identifier that they had.
+//! Tests of back ends that restart under the same identifier.
 
 mod support;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A node whose back end serves since [`FIRST`], at its heartbeat 90.
+/// Returns a node whose back end was started at [`FIRST`], is serving and has sent heartbeat 90.
 fn serving() -> TestNode {
     let mut test = TestNode::configured(support::SERVICE);
     test.announce(beat(FIRST, 90, AnnouncedState::Ready));
@@ -64,7 +64,7 @@
     expect_that!(is_serving(&test), eq(true));
     test.announce(beat(FIRST, 96, AnnouncedState::Ready));
     expect_that!(is_serving(&test), eq(true));
-    // A heartbeat that lacks the start is of another writer, or older still.
+    // A heartbeat without a start time is of another writer, or even older.
     test.announce(heartbeat(INSTANCE, 97, AnnouncedState::Draining));
     expect_that!(is_serving(&test), eq(true));
 }
@@ -122,7 +122,7 @@
     expect_that!(code_of(&last), some(eq(ResultCode::Quarantined)));
 }
 
-/// Lets a request take so many milliseconds at the back end.
+/// Runs a request that the back end answers after `millis`.
 fn serve(test: &mut TestNode, sequence: u64, millis: u64) {
     let link = test.accept(500 + sequence);
     test.forward(link, sequence, forwarded(&format!("r{sequence}"), true));
--- a/crates/rillgap-forward/tests/service_time.rs
+++ b/crates/rillgap-forward/tests/service_time.rs
@@ -1,4 +1,4 @@
-//! What counts as the time that the back end takes.
+//! Tests of what is recorded as service time of the back end.
 
 mod support;
 
@@ -7,12 +7,12 @@
 use rillgap_forward::id::LinkId;
 use support::{TestNode, answer, forwarded};
 
-/// Time that the back end takes, in milliseconds.
+/// Usual service time of the back end, in milliseconds.
 const USUAL: u64 = 20;
-/// Time for which the node stands still, in milliseconds; a request has 800.
+/// Time for which the node is stalled, in milliseconds; requests have a deadline of 800 ms.
 const STAND_STILL: u64 = 5_000;
 
-/// A node whose back end has answered some requests in the usual time.
+/// Returns a node whose back end has answered some requests in the usual time.
 fn experienced() -> (TestNode, LinkId) {
     let mut test = TestNode::serving();
     let link = test.accept(50);
@@ -37,7 +37,7 @@
 fn answer_that_lay_unread_while_the_node_stood_still_does_not_make_the_back_end_slow() {
     let (mut test, link) = experienced();
     test.forward(link, 100, forwarded("held", true));
-    // No step of the node in between.
+    // The node processes no event meanwhile.
     test.now += STAND_STILL;
     answer_last(&mut test);
     expect_that!(mean_millis(&test), eq(USUAL as u32));
