--- a/crates/rillgap-forward/src/crash/evidence.rs
+++ b/crates/rillgap-forward/src/crash/evidence.rs
@@ -7,23 +7,23 @@
 use rillgap_core::time::{Instant, micros};
 
 use super::{
-    ContentEvidence, CrashId, CrashRecord, EvidenceStrength, QUARANTINE_CRASHES,
-    QUARANTINE_CRASHES_ALONE, QUARANTINE_CRASHES_DOUBTFUL,
+    ContentEvidence, CrashId, CrashRecord, EvidenceStrength, MIN_QUARANTINE_CRASHES,
+    MIN_QUARANTINE_SOLE_SUSPECT_CRASHES, MIN_QUARANTINE_STRONG_CRASHES,
 };
 
 /// Minimum number of crashes of a recurrent content.
-const RECURRENT_CRASHES: usize = 2;
+const MIN_RECURRENT_CRASHES: usize = 2;
 /// Maximum number of crashes that are kept of one content. Later ones are ignored until the content
 /// is evicted. If they replaced earlier ones, crashes that peers send again would count as new, and
 /// nodes would send them back and forth without end.
-const MOST_CRASHES: usize = 32;
+const MAX_CRASHES_PER_CONTENT: usize = 32;
 /// Duration of a quarantine from the last crash. After it, one run may crash one more back end.
-const QUARANTINE: Duration = Duration::from_secs(600);
+const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
 /// Time after the last crash at which a suspect or exonerated content is evicted. Callers stop
 /// retrying much earlier.
-const SUSPECT_LIFE: Duration = Duration::from_secs(60);
+const SUSPECT_TTL: Duration = Duration::from_secs(60);
 /// Time after the last crash at which a recurrent or quarantined content is evicted.
-const RECURRENT_LIFE: Duration = Duration::from_secs(3_600);
+const RECURRENT_TTL: Duration = Duration::from_secs(3_600);
 
 /// Suspicion that follows from the evidence against a content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -57,49 +57,49 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct CrashObservation {
     strength: EvidenceStrength,
     /// When the node recorded the crash.
-    learned_at: Instant,
+    observed_at: Instant,
     /// Age of the crash at that time. The crash may have happened before the node started.
-    age_then: Duration,
+    age_when_observed: Duration,
 }
 
-impl Seen {
+impl CrashObservation {
     fn age(&self, now: Instant) -> Duration {
-        self.age_then + now.saturating_since(self.learned_at)
+        self.age_when_observed + now.saturating_since(self.observed_at)
     }
 }
 
 /// Evidence against one content.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Evidence {
-    crashes: BTreeMap<CrashId, Seen>,
+    crashes: BTreeMap<CrashId, CrashObservation>,
     is_exonerated: bool,
 }
 
 impl Evidence {
     /// Records a crash. Returns whether the evidence has changed.
-    fn add(&mut self, now: Instant, record: &CrashRecord) -> bool {
+    fn record_crash(&mut self, now: Instant, record: &CrashRecord) -> bool {
         let CrashRecord {
             crash,
             strength,
             age_micros,
         } = *record;
-        if let Some(seen) = self.crashes.get_mut(&crash) {
-            let is_news = strength > seen.strength;
-            seen.strength = seen.strength.max(strength);
-            return is_news;
+        if let Some(observation) = self.crashes.get_mut(&crash) {
+            let has_changed = strength > observation.strength;
+            observation.strength = observation.strength.max(strength);
+            return has_changed;
         }
-        if self.is_exonerated || self.crashes.len() >= MOST_CRASHES {
+        if self.is_exonerated || self.crashes.len() >= MAX_CRASHES_PER_CONTENT {
             return false;
         }
-        let seen = Seen {
+        let observation = CrashObservation {
             strength,
-            learned_at: now,
-            age_then: Duration::from_micros(age_micros),
+            observed_at: now,
+            age_when_observed: Duration::from_micros(age_micros),
         };
-        self.crashes.insert(crash, seen);
+        self.crashes.insert(crash, observation);
         true
     }
 
@@ -110,7 +110,10 @@
 
     /// Returns the age of the last crash.
     pub fn age(&self, now: Instant) -> Duration {
-        let ages = self.crashes.values().map(|seen| seen.age(now));
+        let ages = self
+            .crashes
+            .values()
+            .map(|observation| observation.age(now));
         ages.min().unwrap_or(Duration::MAX)
     }
 
@@ -121,16 +124,18 @@
 
     /// Returns the number of crashes at which the content was the only suspect.
     pub fn crashes_as_only_suspect(&self) -> usize {
-        self.crashes_of(EvidenceStrength::Weak)
+        self.count_crashes(EvidenceStrength::Weak)
     }
 
-    fn crashes_of(&self, least: EvidenceStrength) -> usize {
+    fn count_crashes(&self, min_strength: EvidenceStrength) -> usize {
         let crashes = self.crashes.values();
-        crashes.filter(|seen| seen.strength >= least).count()
+        crashes
+            .filter(|observation| observation.strength >= min_strength)
+            .count()
     }
 
     /// Returns whether the content was in flight at a crash.
-    pub fn has(&self, crash: CrashId) -> bool {
+    pub fn was_in_flight_at(&self, crash: CrashId) -> bool {
         self.crashes.contains_key(&crash)
     }
 
@@ -140,13 +145,18 @@
         let recent = self
             .crashes
             .iter()
-            .filter(move |(_, seen)| seen.age(now) < age);
-        recent.map(|(crash, seen)| (*crash, seen.strength > EvidenceStrength::Inconclusive))
+            .filter(move |(_, observation)| observation.age(now) < age);
+        recent.map(|(crash, observation)| {
+            (
+                *crash,
+                observation.strength > EvidenceStrength::Inconclusive,
+            )
+        })
     }
 
     /// Returns whether the content was in flight at several crashes, even if it was exonerated.
-    pub fn is_of_several_crashes(&self) -> bool {
-        self.crashes.len() >= RECURRENT_CRASHES
+    pub fn has_several_crashes(&self) -> bool {
+        self.crashes.len() >= MIN_RECURRENT_CRASHES
     }
 
     /// Returns the suspicion that follows from the evidence.
@@ -154,57 +164,58 @@
         if self.is_exonerated || self.crashes.is_empty() {
             return Suspicion::Clear;
         }
-        if !self.is_of_several_crashes() {
+        if !self.has_several_crashes() {
             return Suspicion::Suspected;
         }
-        if self.is_guilty() && !self.quarantine_left(now).is_zero() {
+        if self.meets_quarantine_threshold() && !self.quarantine_remaining(now).is_zero() {
             Suspicion::Quarantined
         } else {
             Suspicion::Recurrent
         }
     }
 
-    fn is_guilty(&self) -> bool {
-        let is_proved = self.crashes_of(EvidenceStrength::Strong) >= QUARANTINE_CRASHES_ALONE
-            || self.crashes_as_only_suspect() >= QUARANTINE_CRASHES_DOUBTFUL;
-        is_proved && self.crashes() >= QUARANTINE_CRASHES
+    fn meets_quarantine_threshold(&self) -> bool {
+        let has_enough_crashes = self.count_crashes(EvidenceStrength::Strong)
+            >= MIN_QUARANTINE_STRONG_CRASHES
+            || self.crashes_as_only_suspect() >= MIN_QUARANTINE_SOLE_SUSPECT_CRASHES;
+        has_enough_crashes && self.crashes() >= MIN_QUARANTINE_CRASHES
     }
 
     /// Returns the time that is left of a quarantine that began with the last crash. It does not
     /// tell whether the content meets the quarantine threshold.
-    pub fn quarantine_left(&self, now: Instant) -> Duration {
-        QUARANTINE.saturating_sub(self.age(now))
+    pub fn quarantine_remaining(&self, now: Instant) -> Duration {
+        QUARANTINE_DURATION.saturating_sub(self.age(now))
     }
 
     /// Returns whether the evidence is old enough to be evicted.
-    pub fn is_over(&self, now: Instant) -> bool {
+    pub fn is_expired(&self, now: Instant) -> bool {
         let is_recurrent = self.suspicion(now) >= Suspicion::Recurrent;
-        let life = if is_recurrent {
-            RECURRENT_LIFE
+        let ttl = if is_recurrent {
+            RECURRENT_TTL
         } else {
-            SUSPECT_LIFE
+            SUSPECT_TTL
         };
-        self.age(now) >= life
+        self.age(now) >= ttl
     }
 
     /// Merges the evidence of a peer. Returns whether the evidence has changed.
-    pub fn merge(&mut self, now: Instant, told: &ContentEvidence) -> bool {
-        let mut is_news = false;
-        for record in &told.crashes {
-            is_news |= self.add(now, record);
+    pub fn merge(&mut self, now: Instant, message: &ContentEvidence) -> bool {
+        let mut has_changed = false;
+        for record in &message.crashes {
+            has_changed |= self.record_crash(now, record);
         }
-        if told.is_exonerated {
-            is_news |= self.exonerate();
+        if message.is_exonerated {
+            has_changed |= self.exonerate();
         }
-        is_news
+        has_changed
     }
 
     /// Returns the evidence as a message to peers.
-    pub fn tell(&self, now: Instant, content: Fingerprint) -> ContentEvidence {
-        let record = |(crash, seen): (&CrashId, &Seen)| CrashRecord {
+    pub fn to_message(&self, now: Instant, content: Fingerprint) -> ContentEvidence {
+        let record = |(crash, observation): (&CrashId, &CrashObservation)| CrashRecord {
             crash: *crash,
-            strength: seen.strength,
-            age_micros: micros(seen.age(now)),
+            strength: observation.strength,
+            age_micros: micros(observation.age(now)),
         };
         ContentEvidence {
             content,
@@ -214,9 +225,9 @@
     }
 
     /// Creates the evidence from the message of a peer.
-    pub fn heard(now: Instant, told: &ContentEvidence) -> Self {
+    pub fn from_message(now: Instant, message: &ContentEvidence) -> Self {
         let mut evidence = Self::default();
-        evidence.merge(now, told);
+        evidence.merge(now, message);
         evidence
     }
 }
--- a/crates/rillgap-forward/src/crash/mod.rs
+++ b/crates/rillgap-forward/src/crash/mod.rs
@@ -13,18 +13,18 @@
 //!   back ends, a suspect is not retried at once either.
 //! - After a second crash a request is *recurrent*: all nodes know about it, and none retries it at
 //!   once.
-//! - After [`QUARANTINE_CRASHES`] crashes, [`QUARANTINE_CRASHES_ALONE`] of them as the only suspect
-//!   ([`QUARANTINE_CRASHES_DOUBTFUL`] while back ends also crash without it), it is *quarantined*:
-//!   every node refuses it for a fixed time after the last crash. After that, one run decides
-//!   again.
+//! - After [`MIN_QUARANTINE_CRASHES`] crashes, [`MIN_QUARANTINE_STRONG_CRASHES`] of them as the
+//!   only suspect ([`MIN_QUARANTINE_SOLE_SUSPECT_CRASHES`] while back ends also crash without it),
+//!   it is *quarantined*: every node refuses it for a fixed time after the last crash. After that,
+//!   one run decides again.
 //! - An answer exonerates a request, even an answer from shortly before the first crash: a request
 //!   that crashes every back end is never answered.
 //!
 //! Evidence only grows, and an exoneration outweighs all crashes, so nodes may merge the evidence
 //! that they receive in any order and more than once.
 
-mod answered;
 mod evidence;
+mod recent_answers;
 mod register;
 
 use bitcode::{Decode, Encode};
@@ -34,17 +34,17 @@
 use crate::incarnation::Incarnation;
 
 pub use evidence::Suspicion;
-pub use register::{CrashRegister, EvidenceNews, SuspicionChange};
+pub use register::{CrashRegister, EvidenceUpdate, SuspicionChange};
 
 /// Minimum number of crashes for a quarantine. Requests that are retried together are in flight
 /// together at the first two crashes.
-pub const QUARANTINE_CRASHES: usize = 3;
+pub const MIN_QUARANTINE_CRASHES: usize = 3;
 /// Minimum number of these crashes at which the request was the only suspect on the back end and no
 /// doubt remains: a single one could be a coincidence.
-pub const QUARANTINE_CRASHES_ALONE: usize = 2;
+pub const MIN_QUARANTINE_STRONG_CRASHES: usize = 2;
 /// Minimum number of these crashes at which the request was the only suspect while back ends also
 /// crash without it, since it may then more often have been in flight by chance.
-pub const QUARANTINE_CRASHES_DOUBTFUL: usize = 3;
+pub const MIN_QUARANTINE_SOLE_SUSPECT_CRASHES: usize = 3;
 
 /// Identifies one crash of a back end by the incarnation that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
@@ -76,7 +76,7 @@
     /// Content of the request.
     pub content: Fingerprint,
     /// Whether the request was the only suspect on the back end.
-    pub was_alone: bool,
+    pub was_only_suspect: bool,
 }
 
 /// A crash at which requests with some content were in flight.
--- a/crates/rillgap-forward/src/crash/register.rs
+++ b/crates/rillgap-forward/src/crash/register.rs
@@ -7,24 +7,24 @@
 use rillgap_core::id::Fingerprint;
 use rillgap_core::time::Instant;
 
-use super::answered::RecentAnswers;
 use super::evidence::{Evidence, Suspicion};
+use super::recent_answers::RecentAnswers;
 use super::{ContentEvidence, CrashId, CrashRecord, EvidenceStrength, Suspect};
 use crate::incarnation::Incarnation;
 
 /// Maximum number of contents with evidence. They take 1 MB at most.
-const MOST_CONTENTS: usize = 4_096;
+const MAX_CONTENTS: usize = 4_096;
 
 /// Interval at which expired evidence is evicted.
-const CLEANING_INTERVAL: Duration = Duration::from_secs(5);
+const EVICTION_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Maximum age of crashes that count as one series.
-const SERIES: Duration = Duration::from_secs(10);
+const CRASH_SERIES_WINDOW: Duration = Duration::from_secs(10);
 /// Number of unexplained crashes in a series from which the evidence of a further crash is weak.
 /// Unexplained are crashes at which the request was not in flight and no other one was the only
 /// suspect; the request may have been at the others by chance. One or two may be the first crashes
 /// of another request that crashes back ends.
-const SERIES_CRASHES: usize = 3;
+const MIN_UNEXPLAINED_CRASHES: usize = 3;
 
 /// A content whose suspicion has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,13 +44,13 @@
 pub struct CrashRegister {
     contents: BTreeMap<Fingerprint, Evidence>,
     /// Contents that the back end beside the node has answered recently.
-    answered: RecentAnswers,
+    recent_answers: RecentAnswers,
     /// Contents that are recurrent or quarantined. Only these affect requests at their entry node.
-    watched: BTreeSet<Fingerprint>,
+    recurrent: BTreeSet<Fingerprint>,
     /// Contents whose evidence must be sent to peers.
-    news: BTreeSet<Fingerprint>,
+    changed: BTreeSet<Fingerprint>,
     changes: Vec<SuspicionChange>,
-    next_cleaning: Instant,
+    next_eviction: Instant,
 }
 
 impl CrashRegister {
@@ -62,13 +62,13 @@
     /// Returns whether there are recurrent or quarantined contents, which entry nodes treat
     /// differently.
     pub fn has_recurrent(&self) -> bool {
-        !self.watched.is_empty()
+        !self.recurrent.is_empty()
     }
 
     /// Returns the number of quarantined contents.
     pub fn quarantined(&self, now: Instant) -> usize {
-        let watched = self.watched.iter();
-        watched
+        let recurrent = self.recurrent.iter();
+        recurrent
             .filter(|content| self.suspicion(now, **content) == Suspicion::Quarantined)
             .count()
     }
@@ -83,7 +83,7 @@
     /// evidence.
     pub fn quarantine_remaining_millis(&self, now: Instant, content: Fingerprint) -> u32 {
         let evidence = self.contents.get(&content);
-        let left = evidence.map_or(Duration::ZERO, |known| known.quarantine_left(now));
+        let left = evidence.map_or(Duration::ZERO, |known| known.quarantine_remaining(now));
         u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
     }
 
@@ -93,7 +93,7 @@
         for suspect in suspects {
             let record = CrashRecord {
                 crash,
-                strength: self.strength(now, crash, suspect),
+                strength: self.evidence_strength(now, crash, suspect),
                 age_micros: 0,
             };
             let evidence = ContentEvidence {
@@ -105,41 +105,50 @@
         }
     }
 
-    fn strength(&self, now: Instant, crash: CrashId, suspect: &Suspect) -> EvidenceStrength {
-        if !suspect.was_alone {
+    fn evidence_strength(
+        &self,
+        now: Instant,
+        crash: CrashId,
+        suspect: &Suspect,
+    ) -> EvidenceStrength {
+        if !suspect.was_only_suspect {
             return EvidenceStrength::Inconclusive;
         }
-        if self.unexplained_crashes(now, crash, suspect.content) >= SERIES_CRASHES {
+        if self.unexplained_crashes(now, crash, suspect.content) >= MIN_UNEXPLAINED_CRASHES {
             EvidenceStrength::Weak
         } else {
             EvidenceStrength::Strong
         }
     }
 
-    /// Returns the number of recent crashes, not counting `this` one, at which a content was not in
+    /// Returns the number of recent crashes, not counting `current`, at which a content was not in
     /// flight and no other content was the only suspect.
-    fn unexplained_crashes(&self, now: Instant, this: CrashId, content: Fingerprint) -> usize {
+    fn unexplained_crashes(&self, now: Instant, current: CrashId, content: Fingerprint) -> usize {
         let mut explained: BTreeMap<CrashId, bool> = BTreeMap::new();
         for known in self.contents.values() {
-            for (crash, was_alone) in known.recent(now, SERIES) {
-                *explained.entry(crash).or_default() |= was_alone;
+            for (crash, was_only_suspect) in known.recent(now, CRASH_SERIES_WINDOW) {
+                *explained.entry(crash).or_default() |= was_only_suspect;
             }
         }
         let own = self.contents.get(&content);
-        let was_there = |crash: CrashId| crash == this || own.is_some_and(|known| known.has(crash));
+        let was_in_flight = |crash: CrashId| {
+            crash == current || own.is_some_and(|known| known.was_in_flight_at(crash))
+        };
         let unexplained = explained.iter().filter(|(_, is_explained)| !**is_explained);
-        unexplained.filter(|(crash, _)| !was_there(**crash)).count()
+        unexplained
+            .filter(|(crash, _)| !was_in_flight(**crash))
+            .count()
     }
 
     /// Records that a back end has answered a request completely.
     pub fn on_answer(&mut self, now: Instant, content: Fingerprint) {
-        self.answered.record(now, content);
+        self.recent_answers.record(now, content);
         let Some(evidence) = self.contents.get_mut(&content) else {
             return;
         };
         let before = evidence.suspicion(now);
         if evidence.exonerate() {
-            self.note(now, content, before);
+            self.record_change(now, content, before);
         }
     }
 
@@ -147,47 +156,47 @@
     /// peer has no record.
     pub fn merge(&mut self, now: Instant, evidence: &[ContentEvidence]) -> bool {
         let mut exonerates = false;
-        for told in evidence {
-            exonerates |= self.merge_one(now, told);
+        for message in evidence {
+            exonerates |= self.merge_one(now, message);
         }
         exonerates
     }
 
     /// Merges the evidence against one content. Returns whether this node has exonerated the
     /// content because of an earlier answer.
-    fn merge_one(&mut self, now: Instant, told: &ContentEvidence) -> bool {
-        let is_new = !self.contents.contains_key(&told.content);
+    fn merge_one(&mut self, now: Instant, message: &ContentEvidence) -> bool {
+        let is_new = !self.contents.contains_key(&message.content);
         if is_new {
-            if Evidence::heard(now, told).is_over(now) {
+            if Evidence::from_message(now, message).is_expired(now) {
                 return false;
             }
-            self.make_room(now);
+            self.evict_if_full(now);
         }
-        let evidence = self.contents.entry(told.content).or_default();
+        let evidence = self.contents.entry(message.content).or_default();
         let before = evidence.suspicion(now);
-        let is_news = evidence.merge(now, told);
-        let was_answered = is_new && self.answered.contains(now, told.content);
+        let has_changed = evidence.merge(now, message);
+        let was_answered = is_new && self.recent_answers.contains(now, message.content);
         let exonerates = was_answered && evidence.exonerate();
-        if is_news || exonerates {
-            self.note(now, told.content, before);
+        if has_changed || exonerates {
+            self.record_change(now, message.content, before);
         }
         exonerates
     }
 
     /// Records that the evidence against a content has changed.
-    fn note(&mut self, now: Instant, content: Fingerprint, before: Suspicion) {
+    fn record_change(&mut self, now: Instant, content: Fingerprint, before: Suspicion) {
         let Some(evidence) = self.contents.get(&content) else {
             return;
         };
-        self.news.insert(content);
+        self.changed.insert(content);
         let suspicion = evidence.suspicion(now);
         if suspicion >= Suspicion::Recurrent {
-            self.watched.insert(content);
+            self.recurrent.insert(content);
         } else {
-            self.watched.remove(&content);
+            self.recurrent.remove(&content);
         }
-        let matters = suspicion.max(before) >= Suspicion::Recurrent;
-        if suspicion != before && matters {
+        let is_relevant = suspicion.max(before) >= Suspicion::Recurrent;
+        if suspicion != before && is_relevant {
             self.changes.push(SuspicionChange {
                 content,
                 suspicion,
@@ -199,42 +208,45 @@
 
     /// Evicts the least important evidence if the register is full. Many contents of a single crash
     /// must not evict the evidence against those that were in flight at several.
-    fn make_room(&mut self, now: Instant) {
-        if self.contents.len() < MOST_CONTENTS {
+    fn evict_if_full(&mut self, now: Instant) {
+        if self.contents.len() < MAX_CONTENTS {
             return;
         }
         let weight = |known: &Evidence| (known.suspicion(now), Reverse(known.age(now)));
         let lightest = self.contents.iter().min_by_key(|(_, known)| weight(known));
         if let Some(content) = lightest.map(|(content, _)| *content) {
-            self.forget(content);
+            self.remove(content);
         }
     }
 
-    fn forget(&mut self, content: Fingerprint) {
+    fn remove(&mut self, content: Fingerprint) {
         self.contents.remove(&content);
-        self.watched.remove(&content);
-        self.news.remove(&content);
+        self.recurrent.remove(&content);
+        self.changed.remove(&content);
     }
 
     /// Evicts expired evidence.
-    pub fn forget_old(&mut self, now: Instant) {
-        if self.contents.is_empty() || now < self.next_cleaning {
+    pub fn evict_expired(&mut self, now: Instant) {
+        if self.contents.is_empty() || now < self.next_eviction {
             return;
         }
-        self.next_cleaning = now + CLEANING_INTERVAL;
-        let over = self.contents.iter().filter(|(_, known)| known.is_over(now));
-        let over: Vec<Fingerprint> = over.map(|(content, _)| *content).collect();
-        for content in over {
-            self.forget(content);
+        self.next_eviction = now + EVICTION_INTERVAL;
+        let expired = self
+            .contents
+            .iter()
+            .filter(|(_, known)| known.is_expired(now));
+        let expired: Vec<Fingerprint> = expired.map(|(content, _)| *content).collect();
+        for content in expired {
+            self.remove(content);
         }
     }
 
     /// Takes the evidence that has changed since the last call. Evidence of several crashes is sent
     /// to all nodes. The rest is sent only to nodes beside back ends of the same service, which
     /// need it to detect the second crash of a content.
-    pub fn take_updates(&mut self, now: Instant) -> EvidenceNews {
-        let news = std::mem::take(&mut self.news);
-        let changed = news.iter().filter_map(|content| {
+    pub fn take_updates(&mut self, now: Instant) -> EvidenceUpdate {
+        let contents = std::mem::take(&mut self.changed);
+        let changed = contents.iter().filter_map(|content| {
             let evidence = self.contents.get(content)?;
             Some((content, evidence))
         });
@@ -242,7 +254,7 @@
     }
 
     /// Returns all evidence, for a peer that may have none.
-    pub fn all_evidence(&self, now: Instant) -> EvidenceNews {
+    pub fn all_evidence(&self, now: Instant) -> EvidenceUpdate {
         sort_evidence(now, self.contents.iter())
     }
 
@@ -254,7 +266,7 @@
 
 /// Evidence to be sent to peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EvidenceNews {
+pub struct EvidenceUpdate {
     /// Evidence for all nodes.
     pub for_all: Vec<ContentEvidence>,
     /// Evidence only for nodes beside back ends of the same service.
@@ -265,14 +277,14 @@
 fn sort_evidence<'a>(
     now: Instant,
     evidence: impl Iterator<Item = (&'a Fingerprint, &'a Evidence)>,
-) -> EvidenceNews {
-    let mut sorted = EvidenceNews::default();
+) -> EvidenceUpdate {
+    let mut sorted = EvidenceUpdate::default();
     for (content, known) in evidence {
-        let told = known.tell(now, *content);
-        if known.is_of_several_crashes() {
-            sorted.for_all.push(told);
+        let message = known.to_message(now, *content);
+        if known.has_several_crashes() {
+            sorted.for_all.push(message);
         } else {
-            sorted.for_service.push(told);
+            sorted.for_service.push(message);
         }
     }
     sorted
--- a/crates/rillgap-forward/src/inbound/admission.rs
+++ b/crates/rillgap-forward/src/inbound/admission.rs
@@ -8,26 +8,27 @@
 
 use super::queue::Queued;
 use super::{
-    Arrival, Inbound, LEVEL_MOVE, NEEDED_SHARE, PROBE_SHARE, Place, QUEUE_LENGTH, RESERVED_SHARE,
-    RETRY_AFTER_MILLIS, SLOT_SHARE, count,
+    Arrival, ESTIMATE_PROBE_FRACTION, Inbound, MAX_QUEUE_LENGTH, MAX_SLOT_UTILIZATION,
+    MIN_REMAINING_TIME_FRACTION, MIN_REPORTED_LEVEL_CHANGE, RANK_RESERVE_FRACTION,
+    RETRY_AFTER_RANGE_MILLIS, RequestState, count,
 };
 use crate::action::Actions;
 use crate::message::ForwardedRequest;
 
 impl Inbound {
     pub(super) fn limit(&self) -> u32 {
-        let usable = f64::from(self.back_end.slots()) * SLOT_SHARE;
+        let usable = f64::from(self.back_end.slots()) * MAX_SLOT_UTILIZATION;
         (usable as u32).max(1)
     }
 
-    pub(super) fn has_room(&self) -> bool {
+    pub(super) fn has_capacity(&self) -> bool {
         count(self.running.len()) < self.limit()
     }
 
     /// Records a request as demand. If this node refuses it, the node that receives it next counts
     /// it too.
-    pub(super) fn count_demand(&mut self, request: &ForwardedRequest) {
-        let expected = self.times.expected(&request.route);
+    pub(super) fn record_demand(&mut self, request: &ForwardedRequest) {
+        let expected = self.service_times.expected(&request.route);
         let work_micros = expected.as_micros() as f64;
         self.threshold.record_arrival(request.level, work_micros);
     }
@@ -43,13 +44,13 @@
             .collect();
         let pressure = WindowLoad {
             limit: f64::from(self.limit()),
-            mean_service_micros: f64::from(self.times.mean_micros()),
+            mean_service_micros: f64::from(self.service_times.mean_micros()),
             queued,
         };
         self.threshold.update(now, &pressure);
         let level = self.threshold.level();
-        if level.0.abs_diff(self.told_level.0) >= LEVEL_MOVE {
-            self.told_level = level;
+        if level.0.abs_diff(self.reported_level.0) >= MIN_REPORTED_LEVEL_CHANGE {
+            self.reported_level = level;
             self.load_changed = true;
         }
     }
@@ -61,11 +62,11 @@
             .values()
             .filter(|running| running.request.rank() == rank)
             .count();
-        (running as f64) < f64::from(self.limit()) * RESERVED_SHARE
+        (running as f64) < f64::from(self.limit()) * RANK_RESERVE_FRACTION
     }
 
     /// Returns why the back end accepts no requests of this service; `None` if it accepts them.
-    pub(super) fn refusal_of_service(&self, request: &ForwardedRequest) -> Option<ResultCode> {
+    pub(super) fn service_refusal(&self, request: &ForwardedRequest) -> Option<ResultCode> {
         if self.is_stopping {
             return Some(ResultCode::NodeStopping);
         }
@@ -76,54 +77,55 @@
     }
 
     /// Returns whether a request is not expected to complete before its deadline.
-    pub(super) fn is_doomed(&self, now: Instant, arrival: &Arrival) -> bool {
+    pub(super) fn cannot_meet_deadline(&self, now: Instant, arrival: &Arrival) -> bool {
         let remaining = arrival.deadline.saturating_since(now);
-        let expected = self.times.expected(&arrival.request.route);
-        let probes = (f64::from(self.limit()) * PROBE_SHARE).max(1.0);
+        let expected = self.service_times.expected(&arrival.request.route);
+        let probes = (f64::from(self.limit()) * ESTIMATE_PROBE_FRACTION).max(1.0);
         remaining.is_zero()
-            || remaining < expected.mul_f64(NEEDED_SHARE) && self.running.len() as f64 >= probes
+            || remaining < expected.mul_f64(MIN_REMAINING_TIME_FRACTION)
+                && self.running.len() as f64 >= probes
     }
 
     pub(super) fn enqueue(&mut self, now: Instant, arrival: Arrival, out: &mut Actions) {
         let bound = Duration::from_micros(arrival.request.queue_limit_micros);
         let rank = arrival.request.rank();
-        let place = arrival.request.position_in_rank();
+        let position_in_rank = arrival.request.position_in_rank();
         // All queued requests of the rank count as ahead. If only those with an earlier position
         // counted, almost every request would be queued, and the queue would grow beyond its bound.
         let ahead = self.queue.ahead_of(rank, u8::MAX);
         let wait = self.drain_time(ahead + 1);
-        if wait > bound || self.queue.len() >= QUEUE_LENGTH {
+        if wait > bound || self.queue.len() >= MAX_QUEUE_LENGTH {
             self.refuse(now, &arrival, ResultCode::QueueFull, out);
             return;
         }
-        let expected = self.times.expected(&arrival.request.route);
-        let latest = arrival.deadline - expected.mul_f64(NEEDED_SHARE);
-        let of_request = (arrival.link, arrival.sequence);
+        let expected = self.service_times.expected(&arrival.request.route);
+        let latest = arrival.deadline - expected.mul_f64(MIN_REMAINING_TIME_FRACTION);
+        let request_key = (arrival.link, arrival.sequence);
         let is_isolated = arrival.is_isolated;
         let queued = Queued {
             rank,
-            place,
+            position_in_rank,
             cutoff: latest.min(now + bound),
             item: arrival,
         };
-        let queued_at = if is_isolated {
-            Place::QueuedForIsolation(self.isolated_queue.push(queued))
+        let state = if is_isolated {
+            RequestState::QueuedForIsolation(self.isolated_queue.push(queued))
         } else {
-            Place::Queued(self.queue.push(queued))
+            RequestState::Queued(self.queue.push(queued))
         };
-        self.places.insert(of_request, queued_at);
+        self.request_states.insert(request_key, state);
     }
 
     /// Returns the expected time until `count` queued requests have been started.
     pub(super) fn drain_time(&self, count: usize) -> Duration {
-        let mean = f64::from(self.times.mean_micros());
+        let mean = f64::from(self.service_times.mean_micros());
         let micros = count as f64 * mean / f64::from(self.limit());
         Duration::from_micros(micros as u64)
     }
 
     /// Returns the time after which a request refused with `code` should be retried, in
     /// milliseconds.
-    pub(super) fn retry_after_of(
+    pub(super) fn retry_after_millis_for(
         &self,
         now: Instant,
         code: ResultCode,
@@ -139,7 +141,7 @@
 
     pub(super) fn retry_after_millis(&self) -> u32 {
         let drain = self.drain_time(self.queue.len() + 1).as_millis();
-        let (shortest, longest) = RETRY_AFTER_MILLIS;
+        let (shortest, longest) = RETRY_AFTER_RANGE_MILLIS;
         let millis = u64::try_from(drain).unwrap_or(longest);
         u32::try_from(millis.clamp(shortest, longest)).unwrap_or(u32::MAX)
     }
--- a/crates/rillgap-forward/src/inbound/back_end.rs
+++ b/crates/rillgap-forward/src/inbound/back_end.rs
@@ -16,15 +16,15 @@
 use crate::incarnation::Incarnation;
 
 /// Heartbeat timeout, in heartbeat intervals. The back end is probed after it.
-const SILENT_INTERVALS: f64 = 3.2;
+const HEARTBEAT_TIMEOUT_INTERVALS: f64 = 3.2;
 /// Consecutive lost answers after which the back end is probed.
-const LOST_IN_A_ROW: u32 = 3;
+const MAX_CONSECUTIVE_LOSSES: u32 = 3;
 /// Maximum number of departed incarnations that are remembered.
-const MOST_LEFT: usize = 64;
+const MAX_DEPARTED_INCARNATIONS: usize = 64;
 
 /// Health of the current incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum BackEndHealth {
     /// Not confirmed by the health endpoint yet.
     Unknown,
     /// Confirmed by the health endpoint; accepts requests.
@@ -65,17 +65,17 @@
 #[derive(Clone, Debug)]
 pub(super) struct BackEnd {
     address: SocketAddr,
-    silence_limit: Duration,
-    standing: Standing,
+    heartbeat_timeout: Duration,
+    health: BackEndHealth,
     current: Option<Announcement>,
     announced: Option<Announcement>,
-    left: BTreeSet<Incarnation>,
-    heard_at: Instant,
+    departed: BTreeSet<Incarnation>,
+    last_contact_at: Instant,
     /// Whether a request was answered since the last probe began.
     answered_since_probe: bool,
-    lost_in_a_row: u32,
-    wants_probe: bool,
-    probing: Option<ProbeId>,
+    consecutive_losses: u32,
+    is_probe_requested: bool,
+    pending_probe: Option<ProbeId>,
     next_probe: u64,
 }
 
@@ -84,34 +84,34 @@
     pub fn new(address: SocketAddr, heartbeat_interval: Duration) -> Self {
         Self {
             address,
-            silence_limit: heartbeat_interval.mul_f64(SILENT_INTERVALS),
-            standing: Standing::Unknown,
+            heartbeat_timeout: heartbeat_interval.mul_f64(HEARTBEAT_TIMEOUT_INTERVALS),
+            health: BackEndHealth::Unknown,
             current: None,
             announced: None,
-            left: BTreeSet::new(),
-            heard_at: Instant::default(),
+            departed: BTreeSet::new(),
+            last_contact_at: Instant::default(),
             answered_since_probe: false,
-            lost_in_a_row: 0,
-            wants_probe: false,
-            probing: None,
+            consecutive_losses: 0,
+            is_probe_requested: false,
+            pending_probe: None,
             next_probe: 0,
         }
     }
 
     pub fn is_serving(&self) -> bool {
-        self.standing == Standing::Serving
+        self.health == BackEndHealth::Serving
     }
 
     pub fn has_left(&self) -> bool {
-        self.standing == Standing::Leaving
+        self.health == BackEndHealth::Leaving
     }
 
-    pub const fn standing_name(&self) -> &'static str {
-        match self.standing {
-            Standing::Unknown => "unknown",
-            Standing::Serving => "serving",
-            Standing::Leaving => "leaving",
-            Standing::Down => "down",
+    pub const fn health_name(&self) -> &'static str {
+        match self.health {
+            BackEndHealth::Unknown => "unknown",
+            BackEndHealth::Serving => "serving",
+            BackEndHealth::Leaving => "leaving",
+            BackEndHealth::Down => "down",
         }
     }
 
@@ -122,7 +122,7 @@
 
     /// Returns the log name of the current incarnation, or else of the announced one; empty if
     /// neither is known.
-    pub fn name(&self) -> String {
+    pub fn log_name(&self) -> String {
         let announced = self.announced.as_ref().map(|known| &known.incarnation);
         let known = self.incarnation().or(announced);
         known.map_or_else(String::new, Incarnation::to_string)
@@ -135,8 +135,8 @@
     }
 
     /// Returns whether an incarnation has announced that it leaves service.
-    pub fn has_left_service(&self, incarnation: &Incarnation) -> bool {
-        self.left.contains(incarnation)
+    pub fn has_departed(&self, incarnation: &Incarnation) -> bool {
+        self.departed.contains(incarnation)
     }
 
     pub fn service(&self) -> &str {
@@ -169,28 +169,28 @@
             return Effect::NONE;
         }
         if heartbeat.state == AnnouncedState::Draining {
-            return self.leave(incarnation.clone(), "announced draining");
+            return self.mark_leaving(incarnation.clone(), "announced draining");
         }
-        if self.left.contains(incarnation) {
+        if self.departed.contains(incarnation) {
             return Effect::NONE;
         }
         let is_current = self.incarnation() == Some(incarnation);
         if is_current && heartbeat.sequence <= self.sequence() {
             return Effect::NONE;
         }
-        self.heard_at = now;
+        self.last_contact_at = now;
         if is_current {
-            return self.refresh(heartbeat);
+            return self.apply_heartbeat(heartbeat);
         }
         self.announced = Some(announcement(heartbeat));
-        self.wants_probe = true;
-        self.end_predecessor(incarnation)
+        self.is_probe_requested = true;
+        self.retire_predecessor(incarnation)
     }
 
     /// Drops the current incarnation if it is an earlier run under the identifier of `successor`.
     /// The health endpoint reports only identifiers, so its next answer would otherwise confirm the
     /// earlier run.
-    fn end_predecessor(&mut self, successor: &Incarnation) -> Effect {
+    fn retire_predecessor(&mut self, successor: &Incarnation) -> Effect {
         if !self
             .incarnation()
             .is_some_and(|known| known.precedes(successor))
@@ -198,8 +198,8 @@
             return Effect::NONE;
         }
         self.current = None;
-        let was_serving = self.standing == Standing::Serving;
-        self.standing = Standing::Unknown;
+        let was_serving = self.health == BackEndHealth::Serving;
+        self.health = BackEndHealth::Unknown;
         if was_serving {
             return Effect::changed("started again under its identifier");
         }
@@ -210,29 +210,29 @@
     /// are stale then.
     fn is_superseded(&self, incarnation: &Incarnation) -> bool {
         let announced = self.announced.iter().map(|known| &known.incarnation);
-        let mut known = announced.chain(self.incarnation()).chain(&self.left);
+        let mut known = announced.chain(self.incarnation()).chain(&self.departed);
         known.any(|known| incarnation.precedes(known))
     }
 
     /// Returns the latest known incarnation with an identifier.
     fn latest(&self, id: &str) -> Option<&Incarnation> {
         let announced = self.announced.iter().map(|known| &known.incarnation);
-        let known = announced.chain(self.incarnation()).chain(&self.left);
+        let known = announced.chain(self.incarnation()).chain(&self.departed);
         known.filter(|known| known.id == id).max()
     }
 
     /// Processes the announcement of an incarnation that it leaves service.
     pub fn on_leave(&mut self, incarnation: &Incarnation) -> Effect {
-        let leaving = self.meant(incarnation);
+        let leaving = self.resolve_incarnation(incarnation);
         if self.is_superseded(&leaving) {
             return Effect::NONE;
         }
-        self.leave(leaving, "left")
+        self.mark_leaving(leaving, "left")
     }
 
     /// Resolves an incarnation without a start time to the latest known one with its identifier.
     /// Returns any other incarnation unchanged.
-    pub fn meant(&self, incarnation: &Incarnation) -> Incarnation {
+    pub fn resolve_incarnation(&self, incarnation: &Incarnation) -> Incarnation {
         let latest = self.latest(&incarnation.id);
         let known = latest.filter(|_| incarnation.started_at_millis.is_none());
         known.unwrap_or(incarnation).clone()
@@ -240,17 +240,17 @@
 
     /// Processes the result of a health probe.
     pub fn on_probe(&mut self, now: Instant, probe: ProbeId, result: &ProbeResult) -> Effect {
-        if self.probing != Some(probe) {
+        if self.pending_probe != Some(probe) {
             return Effect::NONE;
         }
-        self.probing = None;
+        self.pending_probe = None;
         match result {
             ProbeResult::Healthy { instance } => self.confirm(now, instance),
             // The health endpoint may be wrong: a request that was answered meanwhile outweighs it.
             ProbeResult::Unhealthy if self.answered_since_probe => Effect::NONE,
-            ProbeResult::Unhealthy => self.down("health endpoint says no"),
-            ProbeResult::Refused => self.down("health endpoint refuses connections"),
-            ProbeResult::Unreachable => self.down("health endpoint unreachable"),
+            ProbeResult::Unhealthy => self.mark_down("health endpoint says no"),
+            ProbeResult::Refused => self.mark_down("health endpoint refuses connections"),
+            ProbeResult::Unreachable => self.mark_down("health endpoint unreachable"),
         }
     }
 
@@ -259,16 +259,16 @@
         match result {
             ExchangeResult::Answered(_) => {
                 self.answered_since_probe = true;
-                self.lost_in_a_row = 0;
+                self.consecutive_losses = 0;
                 Effect::NONE
             }
             ExchangeResult::NotExecuted => {
-                self.lost_in_a_row = 0;
+                self.consecutive_losses = 0;
                 Effect::NONE
             }
-            ExchangeResult::Lost => self.on_silence(),
+            ExchangeResult::Lost => self.on_missing_answer(),
             ExchangeResult::NotSent => {
-                self.wants_probe |= self.standing == Standing::Serving;
+                self.is_probe_requested |= self.health == BackEndHealth::Serving;
                 Effect::NONE
             }
             ExchangeResult::WrongInstance => self.on_wrong_instance(),
@@ -276,57 +276,60 @@
     }
 
     /// Records that a request got no answer, and requests a probe after several in a row.
-    pub fn on_silence(&mut self) -> Effect {
-        self.lost_in_a_row += 1;
-        if self.lost_in_a_row >= LOST_IN_A_ROW && self.standing == Standing::Serving {
-            self.lost_in_a_row = 0;
-            self.wants_probe = true;
+    pub fn on_missing_answer(&mut self) -> Effect {
+        self.consecutive_losses += 1;
+        if self.consecutive_losses >= MAX_CONSECUTIVE_LOSSES
+            && self.health == BackEndHealth::Serving
+        {
+            self.consecutive_losses = 0;
+            self.is_probe_requested = true;
         }
         Effect::NONE
     }
 
     /// Requests a health probe.
-    pub fn ask(&mut self) {
-        self.wants_probe = true;
+    pub fn request_probe(&mut self) {
+        self.is_probe_requested = true;
     }
 
     /// Requests a health probe if the heartbeat timeout has passed.
     pub fn poll(&mut self, now: Instant) {
-        let is_silent = now.saturating_since(self.heard_at) >= self.silence_limit;
-        if self.standing == Standing::Serving && is_silent {
-            self.heard_at = now;
-            self.wants_probe = true;
+        let has_timed_out = now.saturating_since(self.last_contact_at) >= self.heartbeat_timeout;
+        if self.health == BackEndHealth::Serving && has_timed_out {
+            self.last_contact_at = now;
+            self.is_probe_requested = true;
         }
     }
 
     /// Returns when [`Self::poll`] must be called next.
     pub fn next_wake(&self) -> Option<Instant> {
-        (self.standing == Standing::Serving).then(|| self.heard_at + self.silence_limit)
+        (self.health == BackEndHealth::Serving)
+            .then(|| self.last_contact_at + self.heartbeat_timeout)
     }
 
     /// Returns whether a health probe should be sent now.
-    pub fn wants_probe(&self) -> bool {
-        let may_serve = self.standing != Standing::Leaving || self.announced.is_some();
-        self.wants_probe && self.probing.is_none() && may_serve
+    pub fn should_probe(&self) -> bool {
+        let may_serve = self.health != BackEndHealth::Leaving || self.announced.is_some();
+        self.is_probe_requested && self.pending_probe.is_none() && may_serve
     }
 
     /// Creates the identifier of a new probe and marks it as pending.
     pub fn begin_probe(&mut self) -> ProbeId {
-        self.wants_probe = false;
+        self.is_probe_requested = false;
         self.next_probe += 1;
         let probe = ProbeId(self.next_probe);
-        self.probing = Some(probe);
+        self.pending_probe = Some(probe);
         self.answered_since_probe = false;
         probe
     }
 
-    fn refresh(&mut self, heartbeat: &Heartbeat) -> Effect {
+    fn apply_heartbeat(&mut self, heartbeat: &Heartbeat) -> Effect {
         let slots_changed = self.slots() != heartbeat.slots.max(1);
         self.current = Some(announcement(heartbeat));
-        if self.standing != Standing::Serving {
+        if self.health != BackEndHealth::Serving {
             // A heartbeat does not return a back end to service: the health endpoint must confirm
             // it.
-            self.wants_probe = true;
+            self.is_probe_requested = true;
             return Effect::NONE;
         }
         if slots_changed {
@@ -337,7 +340,7 @@
 
     fn confirm(&mut self, now: Instant, instance: &str) -> Effect {
         let latest = self.latest(instance);
-        if latest.is_some_and(|latest| self.left.contains(latest)) {
+        if latest.is_some_and(|latest| self.departed.contains(latest)) {
             return Effect::NONE;
         }
         if let Some(announced) = self
@@ -349,45 +352,45 @@
         if self.incarnation().is_none_or(|known| known.id != instance) {
             // Neither the current nor the announced incarnation: its first heartbeat has not
             // arrived yet.
-            return self.down("health endpoint names another incarnation");
+            return self.mark_down("health endpoint names another incarnation");
         }
-        self.lost_in_a_row = 0;
-        if self.standing == Standing::Serving {
+        self.consecutive_losses = 0;
+        if self.health == BackEndHealth::Serving {
             return Effect::NONE;
         }
-        self.standing = Standing::Serving;
-        self.heard_at = now;
+        self.health = BackEndHealth::Serving;
+        self.last_contact_at = now;
         Effect::changed("confirmed by the health endpoint")
     }
 
-    fn down(&mut self, cause: &'static str) -> Effect {
-        if self.standing != Standing::Serving {
+    fn mark_down(&mut self, cause: &'static str) -> Effect {
+        if self.health != BackEndHealth::Serving {
             return Effect::NONE;
         }
-        self.standing = Standing::Down;
+        self.health = BackEndHealth::Down;
         Effect::changed(cause)
     }
 
     fn on_wrong_instance(&mut self) -> Effect {
-        if self.standing != Standing::Serving {
+        if self.health != BackEndHealth::Serving {
             return Effect::NONE;
         }
-        self.standing = Standing::Down;
-        self.wants_probe = true;
+        self.health = BackEndHealth::Down;
+        self.is_probe_requested = true;
         Effect::changed("another incarnation answers")
     }
 
-    fn leave(&mut self, leaving: Incarnation, cause: &'static str) -> Effect {
-        if self.left.len() >= MOST_LEFT {
-            self.left.pop_first();
+    fn mark_leaving(&mut self, leaving: Incarnation, cause: &'static str) -> Effect {
+        if self.departed.len() >= MAX_DEPARTED_INCARNATIONS {
+            self.departed.pop_first();
         }
         self.announced.take_if(|known| known.incarnation == leaving);
         let is_current = self.incarnation() == Some(&leaving);
-        self.left.insert(leaving);
-        if !is_current || self.standing == Standing::Leaving {
+        self.departed.insert(leaving);
+        if !is_current || self.health == BackEndHealth::Leaving {
             return Effect::NONE;
         }
-        self.standing = Standing::Leaving;
+        self.health = BackEndHealth::Leaving;
         Effect::changed(cause)
     }
 }
--- a/crates/rillgap-forward/src/inbound/ending.rs
+++ b/crates/rillgap-forward/src/inbound/completion.rs
@@ -4,8 +4,8 @@
 use rillgap_core::time::Instant;
 
 use super::{
-    Arrival, CLOSE_TO_DEADLINE, FAILURE_THRESHOLD_PERMILLE, Inbound, NOTICED_LATE, OVERTIME,
-    Running, count, elapsed_micros,
+    Arrival, CANCELLATION_DEADLINE_MARGIN, DEADLINE_GRACE, FAILURE_THRESHOLD_PERMILLE, Inbound,
+    MAX_SAMPLE_DELAY, Running, count, elapsed_micros,
 };
 use crate::action::{Action, Actions};
 use crate::event::ExchangeResult;
@@ -16,49 +16,50 @@
 };
 
 /// Status that a back end sends for a failure of its own.
-pub(super) const SERVER_ERROR: u16 = 500;
+pub(super) const INTERNAL_SERVER_ERROR: u16 = 500;
 
 impl Inbound {
     /// Cancels requests that got no answer by the end of the grace after their deadline, and
     /// reports their outcome as unknown.
-    pub(super) fn end_overdue(&mut self, now: Instant, out: &mut Actions) {
+    pub(super) fn time_out_overdue(&mut self, now: Instant, out: &mut Actions) {
         while let Some((deadline, exchange)) = self.deadlines.first().copied() {
-            if deadline + OVERTIME > now {
+            if deadline + DEADLINE_GRACE > now {
                 return;
             }
             self.deadlines.pop_first();
             let Some(running) = self.take_running(exchange) else {
                 continue;
             };
-            self.places.remove(&(running.link, running.sequence));
+            self.request_states
+                .remove(&(running.link, running.sequence));
             out.push(Action::CancelExchange(exchange));
-            self.record_time(now, &running);
+            self.record_service_time(now, &running);
             if running.is_awaited {
                 let result = ForwardResult::Unknown {
                     code: ResultCode::AnswerTimeout,
                 };
-                self.note_failure(now, &running, &result, out);
-                let is_own_fault = running.is_own_fault();
+                self.log_failure(now, &running, &result, out);
+                let is_back_end_fault = running.is_back_end_fault();
                 self.respond_running(now, running, result, out);
-                self.failures.record(now, is_own_fault);
+                self.failure_rate.record(now, is_back_end_fault);
             } else {
-                self.failures.record(now, running.is_own_fault());
+                self.failure_rate.record(now, running.is_back_end_fault());
             }
-            let effect = self.back_end.on_silence();
-            self.carry_out(now, effect, None, out);
+            let effect = self.back_end.on_missing_answer();
+            self.apply_effect(now, effect, None, out);
         }
     }
 
     /// Cancels a running request that nobody waits for. A request that is not idempotent keeps
     /// running: its work may be partly or completely done, and after a cancellation nobody would
     /// know which.
-    pub(super) fn abandon(&mut self, now: Instant, exchange: ExchangeId, out: &mut Actions) {
+    pub(super) fn cancel_running(&mut self, now: Instant, exchange: ExchangeId, out: &mut Actions) {
         let Some(running) = self.running.get_mut(&exchange) else {
             return;
         };
-        if now + CLOSE_TO_DEADLINE >= running.deadline {
-            let is_failure = running.is_own_fault();
-            self.failures.record(now, is_failure);
+        if now + CANCELLATION_DEADLINE_MARGIN >= running.deadline {
+            let is_failure = running.is_back_end_fault();
+            self.failure_rate.record(now, is_failure);
         }
         if !running.request.is_idempotent {
             running.is_awaited = false;
@@ -72,12 +73,12 @@
 
     /// Records the service time of a request. A back end stops working on a request at its
     /// deadline, so an end that is noticed long after the deadline says nothing about the back end.
-    pub(super) fn record_time(&mut self, now: Instant, running: &Running) {
-        if now > running.deadline + NOTICED_LATE {
+    pub(super) fn record_service_time(&mut self, now: Instant, running: &Running) {
+        if now > running.deadline + MAX_SAMPLE_DELAY {
             return;
         }
         let elapsed = now.saturating_since(running.started);
-        self.times.record(&running.request.route, elapsed);
+        self.service_times.record(&running.request.route, elapsed);
     }
 
     /// Records whether the back end itself failed a request.
@@ -89,22 +90,22 @@
     ) {
         let is_failure = match result {
             ExchangeResult::Answered(answer) => {
-                answer.status == SERVER_ERROR && running.is_own_fault()
+                answer.status == INTERNAL_SERVER_ERROR && running.is_back_end_fault()
             }
             ExchangeResult::NotExecuted | ExchangeResult::Lost => true,
             // The incarnation that the request was meant for did not receive it.
             ExchangeResult::WrongInstance | ExchangeResult::NotSent => return,
         };
-        self.failures.record(now, is_failure);
+        self.failure_rate.record(now, is_failure);
     }
 
     /// Updates the reported failure rate. Triggers a load report to peers when the back end starts
     /// or stops counting as failing.
-    pub(super) fn update_failing(&mut self, now: Instant) {
-        let stood_out = self.failing_permille >= FAILURE_THRESHOLD_PERMILLE;
-        self.failing_permille = self.failures.permille(now);
-        let stands_out = self.failing_permille >= FAILURE_THRESHOLD_PERMILLE;
-        self.load_changed |= stood_out != stands_out;
+    pub(super) fn update_failure_rate(&mut self, now: Instant) {
+        let was_failing = self.failing_permille >= FAILURE_THRESHOLD_PERMILLE;
+        self.failing_permille = self.failure_rate.permille(now);
+        let is_failing = self.failing_permille >= FAILURE_THRESHOLD_PERMILLE;
+        self.load_changed |= was_failing != is_failing;
     }
 
     /// Refuses all queued requests.
@@ -130,12 +131,13 @@
         code: ResultCode,
         out: &mut Actions,
     ) {
-        self.places.remove(&(arrival.link, arrival.sequence));
-        self.note_not_answered(now, &arrival.request, arrival.arrived, code, None, out);
+        self.request_states
+            .remove(&(arrival.link, arrival.sequence));
+        self.log_not_answered(now, &arrival.request, arrival.arrived, code, None, out);
         let result = ForwardResult::NotRun {
             code,
             arrived: false,
-            retry_after_millis: self.retry_after_of(now, code, &arrival.request),
+            retry_after_millis: self.retry_after_millis_for(now, code, &arrival.request),
         };
         let timing = Timing {
             queued_micros: elapsed_micros(now, arrival.arrived),
@@ -196,7 +198,7 @@
         }
     }
 
-    pub(super) fn note_failure(
+    pub(super) fn log_failure(
         &self,
         now: Instant,
         running: &Running,
@@ -206,10 +208,10 @@
         let (ForwardResult::NotRun { code, .. } | ForwardResult::Unknown { code }) = result else {
             return;
         };
-        self.note_not_answered(now, &running.request, running.arrived, *code, None, out);
+        self.log_not_answered(now, &running.request, running.arrived, *code, None, out);
     }
 
-    pub(super) fn note_not_answered(
+    pub(super) fn log_not_answered(
         &self,
         now: Instant,
         request: &ForwardedRequest,
--- a/crates/rillgap-forward/src/inbound/failure_share.rs
+++ b/crates/rillgap-forward/src/inbound/failure_rate.rs
@@ -10,20 +10,20 @@
 
 /// Time constant of the exponential decay, after which a counted request has 1/e of its weight
 /// left.
-const MEMORY: Duration = Duration::from_millis(1_500);
+const DECAY_TIME_CONSTANT: Duration = Duration::from_millis(1_500);
 /// Successful requests that are added to those counted, so that one failure among few requests does
 /// not mark a back end as failing.
-const PRIOR: f64 = 5.0;
+const PRIOR_SUCCESSES: f64 = 5.0;
 
 /// Exponentially decaying rate of the requests that the back end itself failed.
 #[derive(Clone, Debug, Default)]
-pub(super) struct FailureShare {
+pub(super) struct FailureRate {
     failed: f64,
     ended: f64,
     decayed_at: Instant,
 }
 
-impl FailureShare {
+impl FailureRate {
     /// Records the outcome of a request.
     pub fn record(&mut self, now: Instant, is_failure: bool) {
         self.decay(now);
@@ -36,13 +36,13 @@
     /// Returns the failure rate, in thousandths.
     pub fn permille(&mut self, now: Instant) -> u32 {
         self.decay(now);
-        (self.failed * 1_000.0 / (self.ended + PRIOR)) as u32
+        (self.failed * 1_000.0 / (self.ended + PRIOR_SUCCESSES)) as u32
     }
 
     fn decay(&mut self, now: Instant) {
         let elapsed = now.saturating_since(self.decayed_at).as_secs_f64();
         self.decayed_at = now;
-        let kept = (-elapsed / MEMORY.as_secs_f64()).exp();
+        let kept = (-elapsed / DECAY_TIME_CONSTANT.as_secs_f64()).exp();
         self.failed *= kept;
         self.ended *= kept;
     }
--- a/crates/rillgap-forward/src/inbound/isolation.rs
+++ b/crates/rillgap-forward/src/inbound/isolation.rs
@@ -5,8 +5,8 @@
 use rillgap_core::code::ResultCode;
 use rillgap_core::time::Instant;
 
-use super::ending::SERVER_ERROR;
-use super::losses::{Crash, Due, Held};
+use super::completion::INTERNAL_SERVER_ERROR;
+use super::lost_requests::{Crash, HeldRequest, LossAction};
 use super::{Arrival, Inbound, Running};
 use crate::action::{Action, Actions};
 use crate::crash::{Suspect, Suspicion};
@@ -17,7 +17,7 @@
 
 /// Maximum body size, in bytes, of an answered request that is remembered while there is no crash
 /// evidence: the fingerprint of a longer one costs more than it is worth.
-const LONGEST_REMEMBERED_BODY: usize = 4_096;
+const MAX_REMEMBERED_BODY_BYTES: usize = 4_096;
 
 impl Inbound {
     /// Returns the suspicion against the content of a request.
@@ -30,7 +30,7 @@
 
     /// Starts requests that wait for isolation while no isolated request runs.
     pub(super) fn start_isolated(&mut self, now: Instant, out: &mut Actions) {
-        while self.isolated.is_none() && self.has_room() {
+        while self.isolated.is_none() && self.has_capacity() {
             let Some(arrival) = self.isolated_queue.pop() else {
                 return;
             };
@@ -41,7 +41,7 @@
     /// Starts a request whose wait for isolation has reached its cutoff. It is not refused for
     /// crashes that other requests may have caused.
     pub(super) fn start_unisolated(&mut self, now: Instant, arrival: Arrival, out: &mut Actions) {
-        if self.has_room() {
+        if self.has_capacity() {
             self.start_or_refuse(now, arrival, out);
         } else {
             self.refuse(now, &arrival, ResultCode::QueueFull, out);
@@ -59,7 +59,7 @@
         let suspicion = self.suspicion(now, &arrival.request);
         if suspicion == Suspicion::Quarantined {
             self.refuse(now, &arrival, ResultCode::Quarantined, out);
-        } else if self.is_doomed(now, &arrival) {
+        } else if self.cannot_meet_deadline(now, &arrival) {
             self.refuse(now, &arrival, ResultCode::DeadlineUnmet, out);
         } else {
             arrival.is_isolated = suspicion.is_isolated() && self.isolated.is_none();
@@ -68,17 +68,17 @@
     }
 
     /// Holds a request whose answer was lost until it is known whether the back end has crashed.
-    pub(super) fn hold_lost(&mut self, now: Instant, running: Running) {
+    pub(super) fn hold_lost_request(&mut self, now: Instant, running: Running) {
         let incarnation = running.incarnation.clone();
         let lost = LostRequest {
             instance: incarnation.to_string(),
             content: running.request.content(),
         };
-        self.losses.push(now, incarnation, running, lost);
+        self.lost_requests.push(now, incarnation, running, lost);
     }
 
     /// Answers a request whose result does not depend on whether the back end has crashed.
-    pub(super) fn answer_ended(
+    pub(super) fn answer_completed(
         &mut self,
         now: Instant,
         running: Running,
@@ -86,14 +86,14 @@
         out: &mut Actions,
     ) {
         if let ExchangeResult::Answered(answer) = &result {
-            self.losses.on_answer(now, &running.incarnation);
-            if answer.status < SERVER_ERROR {
+            self.lost_requests.on_answer(now, &running.incarnation);
+            if answer.status < INTERNAL_SERVER_ERROR {
                 self.exonerate(now, &running.request);
             }
         }
         let result = self.forward_result(result);
         if running.is_awaited {
-            self.note_failure(now, &running, &result, out);
+            self.log_failure(now, &running, &result, out);
             self.respond_running(now, running, result, out);
         }
     }
@@ -102,39 +102,41 @@
     /// server error. A back end that fails some of its requests, or runs out of time, may have
     /// answered before it reached the code that crashes it.
     fn exonerate(&mut self, now: Instant, request: &ForwardedRequest) {
-        let is_short = request.body.len() <= LONGEST_REMEMBERED_BODY;
+        let is_short = request.body.len() <= MAX_REMEMBERED_BODY_BYTES;
         if is_short || !self.crashes.is_empty() {
             self.crashes.on_answer(now, request.content());
         }
     }
 
     /// Requests a health probe if the losses may mean that the back end has crashed.
-    pub(super) fn look_into_losses(&mut self, now: Instant) {
-        let Some(began_at) = self.losses.began_at() else {
+    pub(super) fn poll_lost_requests(&mut self, now: Instant) {
+        let Some(began_at) = self.lost_requests.began_at() else {
             return;
         };
         let others_run = self
             .running
             .values()
             .any(|running| running.started < began_at);
-        if self.losses.poll(now, others_run) == Due::Ask {
-            self.back_end.ask();
+        if self.lost_requests.poll(now, others_run) == LossAction::Probe {
+            self.back_end.request_probe();
         }
     }
 
     /// Determines from the result of a health probe whether the back end has crashed.
-    pub(super) fn explain_losses(&mut self, now: Instant, result: &ProbeResult, out: &mut Actions) {
+    pub(super) fn resolve_losses(&mut self, now: Instant, result: &ProbeResult, out: &mut Actions) {
         let crash = match result {
-            ProbeResult::Refused => self.losses.on_ended(None),
+            ProbeResult::Refused => self.lost_requests.on_process_ended(None),
             ProbeResult::Healthy { instance } => {
-                let named = self.back_end.meant(&Incarnation::without_start(instance));
-                let crash = self.losses.on_ended(Some(&named));
-                self.losses.on_alive(&named);
+                let named = self
+                    .back_end
+                    .resolve_incarnation(&Incarnation::without_start(instance));
+                let crash = self.lost_requests.on_process_ended(Some(&named));
+                self.lost_requests.on_alive(&named);
                 crash
             }
             ProbeResult::Unhealthy => {
                 if let Some(incarnation) = self.back_end.incarnation() {
-                    self.losses.on_alive(incarnation);
+                    self.lost_requests.on_alive(incarnation);
                 }
                 None
             }
@@ -157,7 +159,7 @@
             .suspects
             .iter()
             .map(|suspect| Suspect {
-                was_alone: suspect.was_alone && is_only_one,
+                was_only_suspect: suspect.was_only_suspect && is_only_one,
                 ..*suspect
             })
             .collect();
@@ -172,12 +174,12 @@
     /// Answers the lost requests for which it is known whether the back end has crashed, or whose
     /// hold timeout has passed.
     pub(crate) fn release_lost_requests(&mut self, now: Instant, out: &mut Actions) {
-        let (code, released) = self.losses.take_released();
-        for Held { running, lost } in released {
+        let (code, released) = self.lost_requests.take_released();
+        for HeldRequest { running, lost } in released {
             let Running {
                 request, arrived, ..
             } = &running;
-            self.note_not_answered(now, request, *arrived, code, Some(lost), out);
+            self.log_not_answered(now, request, *arrived, code, Some(lost), out);
             let result = ForwardResult::Unknown { code };
             self.respond_running(now, running, result, out);
         }
--- a/crates/rillgap-forward/src/inbound/losses.rs
+++ b/crates/rillgap-forward/src/inbound/lost_requests.rs
@@ -17,15 +17,15 @@
 use crate::log_record::LostRequest;
 
 /// Time within which all connections of a process that has ended are seen to close.
-const SETTLE: Duration = Duration::from_millis(5);
+const CONNECTION_CLOSE_WINDOW: Duration = Duration::from_millis(5);
 /// Maximum time for which responses to lost requests are held until the health endpoint, which is
 /// on the same machine, answers.
-const PATIENCE: Duration = Duration::from_millis(60);
+const HOLD_TIMEOUT: Duration = Duration::from_millis(60);
 /// Maximum time between the first and the last loss of one crash.
-const SPREAD: Duration = Duration::from_millis(300);
+const CRASH_LOSS_WINDOW: Duration = Duration::from_millis(300);
 /// Time after the first loss beyond which losses are not attributed to a crash that is detected
 /// only when the next incarnation starts.
-const MEMORY: Duration = Duration::from_secs(10);
+const UNEXPLAINED_LOSS_TTL: Duration = Duration::from_secs(10);
 
 /// An unexpected end of a back end.
 #[derive(Clone, Debug)]
@@ -38,14 +38,14 @@
 
 /// The loss of an answer.
 #[derive(Clone, Copy, Debug)]
-struct Lost {
+struct Loss {
     at: Instant,
     suspect: Suspect,
 }
 
 /// A request whose answer was lost and whose response is held.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct HeldRequest {
     /// The request.
     pub running: Running,
     /// Incarnation and content of the request, for the log.
@@ -54,36 +54,36 @@
 
 /// Losses at one incarnation whose cause is not known yet.
 #[derive(Clone, Debug)]
-struct Unexplained {
+struct UnexplainedLosses {
     incarnation: Incarnation,
     began_at: Instant,
     last_at: Instant,
-    lost: Vec<Lost>,
-    has_settled: bool,
-    is_asked: bool,
+    lost: Vec<Loss>,
+    is_close_window_over: bool,
+    is_probe_requested: bool,
 }
 
 /// What the node must do about losses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Due {
+pub(super) enum LossAction {
     /// No action.
     Nothing,
     /// Probe the health endpoint.
-    Ask,
+    Probe,
 }
 
 /// Requests whose answers were lost.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Losses {
-    unexplained: Option<Unexplained>,
-    held: Vec<Held>,
+pub(super) struct LostRequests {
+    unexplained: Option<UnexplainedLosses>,
+    held: Vec<HeldRequest>,
     /// Whether the held requests may be answered.
     is_released: bool,
     /// Whether the held requests were lost because the back end crashed.
     has_crashed: bool,
 }
 
-impl Losses {
+impl LostRequests {
     /// Returns the number of held requests.
     pub const fn held(&self) -> usize {
         self.held.len()
@@ -99,27 +99,27 @@
     ) {
         let suspect = Suspect {
             content: lost.content,
-            was_alone: running.is_isolated,
+            was_only_suspect: running.is_isolated,
         };
-        let unexplained = self.unexplained.get_or_insert_with(|| Unexplained {
+        let unexplained = self.unexplained.get_or_insert_with(|| UnexplainedLosses {
             incarnation,
             began_at: now,
             last_at: now,
             lost: Vec::new(),
-            has_settled: false,
-            is_asked: false,
+            is_close_window_over: false,
+            is_probe_requested: false,
         });
         unexplained.last_at = now;
-        unexplained.lost.push(Lost { at: now, suspect });
+        unexplained.lost.push(Loss { at: now, suspect });
         if running.is_awaited {
-            self.held.push(Held { running, lost });
+            self.held.push(HeldRequest { running, lost });
         }
     }
 
     /// Records that an incarnation is alive or has ended as planned, so that its losses are not
     /// attributed to a crash.
     pub fn on_alive(&mut self, incarnation: &Incarnation) {
-        if self.is_of(incarnation) {
+        if self.are_losses_of(incarnation) {
             self.unexplained = None;
             self.is_released = true;
         }
@@ -130,22 +130,22 @@
     /// loss do not count.
     pub fn on_answer(&mut self, now: Instant, incarnation: &Incarnation) {
         let last_loss = self.unexplained.as_ref().map(|losses| losses.last_at);
-        if last_loss.is_some_and(|at| now > at + SETTLE) {
+        if last_loss.is_some_and(|at| now > at + CONNECTION_CLOSE_WINDOW) {
             self.on_alive(incarnation);
         }
     }
 
     /// Records that the back end's address refuses connections, or belongs to another incarnation
     /// (`successor`). Returns the crash if there are unexplained losses.
-    pub fn on_ended(&mut self, successor: Option<&Incarnation>) -> Option<Crash> {
-        if successor.is_some_and(|incarnation| self.is_of(incarnation)) {
+    pub fn on_process_ended(&mut self, successor: Option<&Incarnation>) -> Option<Crash> {
+        if successor.is_some_and(|incarnation| self.are_losses_of(incarnation)) {
             return None;
         }
         let unexplained = self.unexplained.take()?;
         self.is_released = true;
         self.has_crashed = true;
         let last_at = unexplained.last_at;
-        let belongs = |lost: &&Lost| last_at.saturating_since(lost.at) <= SPREAD;
+        let belongs = |lost: &&Loss| last_at.saturating_since(lost.at) <= CRASH_LOSS_WINDOW;
         let suspects = unexplained.lost.iter().filter(belongs);
         Some(Crash {
             suspects: suspects.map(|lost| lost.suspect).collect(),
@@ -155,30 +155,35 @@
 
     /// Advances the timers and returns the next action. `others_run` says whether requests that
     /// were started before the losses still run.
-    pub fn poll(&mut self, now: Instant, others_run: bool) -> Due {
+    pub fn poll(&mut self, now: Instant, others_run: bool) -> LossAction {
         let Some(unexplained) = &mut self.unexplained else {
-            return Due::Nothing;
+            return LossAction::Nothing;
         };
         let since = now.saturating_since(unexplained.began_at);
-        if since >= MEMORY {
+        if since >= UNEXPLAINED_LOSS_TTL {
             self.unexplained = None;
             self.is_released = true;
-            return Due::Nothing;
+            return LossAction::Nothing;
+        }
+        unexplained.is_close_window_over = since >= CONNECTION_CLOSE_WINDOW;
+        self.is_released |= unexplained.is_close_window_over && others_run || since >= HOLD_TIMEOUT;
+        let is_due =
+            unexplained.is_close_window_over && !others_run && !unexplained.is_probe_requested;
+        unexplained.is_probe_requested |= is_due;
+        if is_due {
+            LossAction::Probe
+        } else {
+            LossAction::Nothing
         }
-        unexplained.has_settled = since >= SETTLE;
-        self.is_released |= unexplained.has_settled && others_run || since >= PATIENCE;
-        let is_due = unexplained.has_settled && !others_run && !unexplained.is_asked;
-        unexplained.is_asked |= is_due;
-        if is_due { Due::Ask } else { Due::Nothing }
     }
 
     /// Returns when [`Self::poll`] must be called next.
     pub fn next_wake(&self) -> Option<Instant> {
         let unexplained = self.unexplained.as_ref()?;
-        if !unexplained.has_settled {
-            return Some(unexplained.began_at + SETTLE);
+        if !unexplained.is_close_window_over {
+            return Some(unexplained.began_at + CONNECTION_CLOSE_WINDOW);
         }
-        (!self.held.is_empty()).then(|| unexplained.began_at + PATIENCE)
+        (!self.held.is_empty()).then(|| unexplained.began_at + HOLD_TIMEOUT)
     }
 
     /// Returns the time of the first unexplained loss.
@@ -187,7 +192,7 @@
     }
 
     /// Takes the held requests that may be answered now, with the result code for their loss.
-    pub fn take_released(&mut self) -> (ResultCode, Vec<Held>) {
+    pub fn take_released(&mut self) -> (ResultCode, Vec<HeldRequest>) {
         let code = if std::mem::take(&mut self.has_crashed) {
             ResultCode::BackEndCrashed
         } else {
@@ -199,7 +204,7 @@
         (code, std::mem::take(&mut self.held))
     }
 
-    fn is_of(&self, incarnation: &Incarnation) -> bool {
+    fn are_losses_of(&self, incarnation: &Incarnation) -> bool {
         let unexplained = self.unexplained.as_ref();
         unexplained.is_some_and(|losses| losses.incarnation == *incarnation)
     }
--- a/crates/rillgap-forward/src/inbound/mod.rs
+++ b/crates/rillgap-forward/src/inbound/mod.rs
@@ -6,12 +6,12 @@
 
 mod admission;
 mod back_end;
-mod ending;
-mod failure_share;
+mod completion;
+mod failure_rate;
 mod isolation;
-mod losses;
+mod lost_requests;
 mod queue;
-mod renewal;
+mod restart;
 mod running;
 mod service_time;
 
@@ -34,8 +34,8 @@
 use crate::settings::ForwardSettings;
 
 use back_end::{BackEnd, Effect};
-use failure_share::FailureShare;
-use losses::Losses;
+use failure_rate::FailureRate;
+use lost_requests::LostRequests;
 use queue::RankQueue;
 use running::Running;
 use service_time::ServiceTimes;
@@ -44,25 +44,25 @@
 
 /// Fraction of the back end's slots that may be in use: back ends slow down when almost all are
 /// taken.
-const SLOT_SHARE: f64 = 0.95;
+const MAX_SLOT_UTILIZATION: f64 = 0.95;
 /// Fraction of the concurrency limit that is reserved for each rank. A rank that runs fewer
 /// requests may start one although requests of higher ranks wait.
-const RESERVED_SHARE: f64 = 0.2;
+const RANK_RESERVE_FRACTION: f64 = 0.2;
 /// Minimum time until the deadline for a request to be started, as a fraction of its expected
 /// service time.
-const NEEDED_SHARE: f64 = 0.7;
+const MIN_REMAINING_TIME_FRACTION: f64 = 0.7;
 /// Fraction of the concurrency limit below which requests are started although they are not
 /// expected to meet their deadline. Their samples correct an expected service time that has become
 /// too long.
-const PROBE_SHARE: f64 = 0.1;
+const ESTIMATE_PROBE_FRACTION: f64 = 0.1;
 /// Time after a request's deadline at which its exchange with the back end is cancelled.
-const OVERTIME: Duration = Duration::from_millis(250);
+const DEADLINE_GRACE: Duration = Duration::from_millis(250);
 /// Delay after a request's deadline beyond which its service time is not recorded: the end was
 /// noticed late because the node itself was stalled or had no processor time. Twice the grace after
 /// which an overdue request is cancelled.
-const NOTICED_LATE: Duration = Duration::from_millis(500);
+const MAX_SAMPLE_DELAY: Duration = Duration::from_millis(500);
 /// Minimum and maximum time after which a refused request should be retried, in milliseconds.
-const RETRY_AFTER_MILLIS: (u64, u64) = (50, 2_000);
+const RETRY_AFTER_RANGE_MILLIS: (u64, u64) = (50, 2_000);
 /// Tuning of the published admission level. The queue target is close to the limit because calls
 /// may wait several times as long as they run.
 const LEVEL_TUNING: Tuning = Tuning {
@@ -70,14 +70,14 @@
     demand_weight: 0.15,
 };
 /// Minimum change of the published level that triggers a load report to peers: a tenth of a tier.
-const LEVEL_MOVE: u32 = Level::PER_TIER / 10;
+const MIN_REPORTED_LEVEL_CHANGE: u32 = Level::PER_TIER / 10;
 /// Time before a request's deadline within which a cancellation counts as a missing answer.
-const CLOSE_TO_DEADLINE: Duration = Duration::from_millis(20);
+const CANCELLATION_DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 /// Failure rate from which a back end counts as failing, in thousandths. A request counts as failed
 /// only if the back end itself caused the failure.
 pub const FAILURE_THRESHOLD_PERMILLE: u32 = 100;
 /// Maximum number of requests in the queue.
-const QUEUE_LENGTH: usize = 2_048;
+const MAX_QUEUE_LENGTH: usize = 2_048;
 
 /// A request that has arrived and is not running yet.
 #[derive(Clone, Debug)]
@@ -93,7 +93,7 @@
 
 /// State of a received request. Queued requests hold the ticket of their queue.
 #[derive(Clone, Copy, Debug)]
-enum Place {
+enum RequestState {
     Queued(u64),
     /// Waits for the running isolated request to end.
     QueuedForIsolation(u64),
@@ -109,24 +109,24 @@
     isolated_queue: RankQueue<Arrival>,
     /// The isolated request that is running, if any.
     isolated: Option<ExchangeId>,
-    losses: Losses,
+    lost_requests: LostRequests,
     crashes: CrashRegister,
     running: BTreeMap<ExchangeId, Running>,
     deadlines: BTreeSet<(Instant, ExchangeId)>,
-    places: BTreeMap<(LinkId, Sequence), Place>,
+    request_states: BTreeMap<(LinkId, Sequence), RequestState>,
     by_request_id: BTreeMap<String, ExchangeId>,
-    times: ServiceTimes,
-    failures: FailureShare,
+    service_times: ServiceTimes,
+    failure_rate: FailureRate,
     failing_permille: u32,
     /// Incarnation from which the service times and the failure rate were measured.
-    measured: Option<Incarnation>,
+    measured_incarnation: Option<Incarnation>,
     next_exchange: u64,
     is_stopping: bool,
     status_changed: bool,
     load_changed: bool,
     threshold: Threshold,
     /// Level at which the last load report was triggered by a level change.
-    told_level: Level,
+    reported_level: Level,
 }
 
 impl Inbound {
@@ -137,22 +137,22 @@
             queue: RankQueue::default(),
             isolated_queue: RankQueue::default(),
             isolated: None,
-            losses: Losses::default(),
+            lost_requests: LostRequests::default(),
             crashes: CrashRegister::default(),
             running: BTreeMap::new(),
             deadlines: BTreeSet::new(),
-            places: BTreeMap::new(),
+            request_states: BTreeMap::new(),
             by_request_id: BTreeMap::new(),
-            times: ServiceTimes::default(),
-            failures: FailureShare::default(),
+            service_times: ServiceTimes::default(),
+            failure_rate: FailureRate::default(),
             failing_permille: 0,
-            measured: None,
+            measured_incarnation: None,
             next_exchange: 0,
             is_stopping: false,
             status_changed: false,
             load_changed: false,
             threshold: Threshold::new(LEVEL_TUNING),
-            told_level: Level(0),
+            reported_level: Level(0),
         }
     }
 
@@ -184,7 +184,7 @@
             limit: self.limit(),
             running: count(self.running.len()),
             queued: self.queued_by_tier(),
-            mean_micros: self.times.mean_micros(),
+            mean_micros: self.service_times.mean_micros(),
             level: self.threshold.level(),
             failing_permille: self.failing_permille,
         }
@@ -214,7 +214,7 @@
     /// Returns the number of requests that run, wait in a queue or are held after a lost answer.
     pub fn in_flight(&self) -> usize {
         let queued = self.queue.len() + self.isolated_queue.len();
-        self.running.len() + queued + self.losses.held()
+        self.running.len() + queued + self.lost_requests.held()
     }
 
     /// Returns the evidence about requests that crash back ends.
@@ -264,20 +264,20 @@
         out: &mut Actions,
     ) -> bool {
         let effect = self.back_end.on_heartbeat(now, heartbeat);
-        self.end_earlier_runs(now, out);
+        self.end_requests_of_earlier_runs(now, out);
         if heartbeat.state == AnnouncedState::Draining {
-            self.losses.on_alive(&heartbeat.incarnation);
+            self.lost_requests.on_alive(&heartbeat.incarnation);
         }
-        self.carry_out(now, effect, table, out);
+        self.apply_effect(now, effect, table, out);
         self.back_end.is_own(heartbeat)
     }
 
     /// Processes the announcement of a back end that it leaves service.
     pub fn on_leave(&mut self, now: Instant, incarnation: &Incarnation, out: &mut Actions) {
-        let leaving = self.back_end.meant(incarnation);
+        let leaving = self.back_end.resolve_incarnation(incarnation);
         let effect = self.back_end.on_leave(incarnation);
-        self.losses.on_alive(&leaving);
-        self.carry_out(now, effect, None, out);
+        self.lost_requests.on_alive(&leaving);
+        self.apply_effect(now, effect, None, out);
     }
 
     /// Processes the result of a health probe.
@@ -289,10 +289,10 @@
         out: &mut Actions,
     ) {
         let effect = self.back_end.on_probe(now, probe, result);
-        self.end_earlier_runs(now, out);
-        self.begin_measurements();
-        self.explain_losses(now, result, out);
-        self.carry_out(now, effect, None, out);
+        self.end_requests_of_earlier_runs(now, out);
+        self.reset_measurements();
+        self.resolve_losses(now, result, out);
+        self.apply_effect(now, effect, None, out);
     }
 
     /// Starts, queues or refuses a forwarded request.
@@ -314,7 +314,7 @@
             deadline,
             is_isolated: suspicion.is_isolated(),
         };
-        if let Some(code) = self.refusal_of_service(&arrival.request) {
+        if let Some(code) = self.service_refusal(&arrival.request) {
             self.refuse(now, &arrival, code, out);
             return;
         }
@@ -322,19 +322,19 @@
             self.refuse(now, &arrival, ResultCode::Quarantined, out);
             return;
         }
-        if self.is_doomed(now, &arrival) {
+        if self.cannot_meet_deadline(now, &arrival) {
             self.refuse(now, &arrival, ResultCode::DeadlineUnmet, out);
             return;
         }
-        self.count_demand(&arrival.request);
+        self.record_demand(&arrival.request);
         if arrival.is_isolated && self.isolated.is_some() {
             self.enqueue(now, arrival, out);
             return;
         }
         let rank = arrival.request.rank();
-        let place = arrival.request.position_in_rank();
-        let nobody_ahead = self.queue.ahead_of(rank, place) == 0;
-        if self.has_room() && (nobody_ahead || self.is_within_reserve(rank)) {
+        let position_in_rank = arrival.request.position_in_rank();
+        let none_ahead = self.queue.ahead_of(rank, position_in_rank) == 0;
+        if self.has_capacity() && (none_ahead || self.is_within_reserve(rank)) {
             self.start(now, arrival, out);
             return;
         }
@@ -343,14 +343,14 @@
 
     /// Cancels a request for which nobody waits any more.
     pub fn on_cancel(&mut self, now: Instant, link: LinkId, sequence: Sequence, out: &mut Actions) {
-        match self.places.remove(&(link, sequence)) {
-            Some(Place::Queued(ticket)) => {
+        match self.request_states.remove(&(link, sequence)) {
+            Some(RequestState::Queued(ticket)) => {
                 self.queue.remove(ticket);
             }
-            Some(Place::QueuedForIsolation(ticket)) => {
+            Some(RequestState::QueuedForIsolation(ticket)) => {
                 self.isolated_queue.remove(ticket);
             }
-            Some(Place::Running(exchange)) => self.abandon(now, exchange, out),
+            Some(RequestState::Running(exchange)) => self.cancel_running(now, exchange, out),
             None => {}
         }
         self.start_queued(now, out);
@@ -358,8 +358,8 @@
 
     /// Cancels all requests that arrived on a closed link, since nobody waits for them any more.
     pub fn on_link_closed(&mut self, now: Instant, link: LinkId, out: &mut Actions) {
-        let lost: Vec<Sequence> = self.requests_of(link).collect();
-        for sequence in lost {
+        let sequences: Vec<Sequence> = self.requests_of(link).collect();
+        for sequence in sequences {
             self.on_cancel(now, link, sequence, out);
         }
     }
@@ -372,8 +372,8 @@
     fn requests_of(&self, link: LinkId) -> impl Iterator<Item = Sequence> {
         let first = (link, Sequence(0));
         let last = (link, Sequence(u64::MAX));
-        let places = self.places.range(first..=last);
-        places.map(|((_, sequence), _)| *sequence)
+        let request_states = self.request_states.range(first..=last);
+        request_states.map(|((_, sequence), _)| *sequence)
     }
 
     /// Processes the end of an exchange with the back end.
@@ -389,17 +389,18 @@
             return;
         };
         self.deadlines.remove(&(running.deadline, exchange));
-        self.places.remove(&(running.link, running.sequence));
+        self.request_states
+            .remove(&(running.link, running.sequence));
         if matches!(result, ExchangeResult::Answered(_)) {
-            self.record_time(now, &running);
+            self.record_service_time(now, &running);
         }
         self.record_outcome(now, &running, &result);
         let effect = self.back_end.on_exchange(&result);
         match result {
-            ExchangeResult::Lost => self.hold_lost(now, running),
-            result => self.answer_ended(now, running, result, out),
+            ExchangeResult::Lost => self.hold_lost_request(now, running),
+            result => self.answer_completed(now, running, result, out),
         }
-        self.carry_out(now, effect, table, out);
+        self.apply_effect(now, effect, table, out);
         self.start_queued(now, out);
     }
 
@@ -407,23 +408,23 @@
     pub fn poll(&mut self, now: Instant, table: Option<&RouteTable>, out: &mut Actions) {
         self.back_end.poll(now);
         self.update_level(now);
-        self.update_failing(now);
-        self.look_into_losses(now);
-        self.crashes.forget_old(now);
-        self.carry_out(now, Effect::default(), table, out);
+        self.update_failure_rate(now);
+        self.poll_lost_requests(now);
+        self.crashes.evict_expired(now);
+        self.apply_effect(now, Effect::default(), table, out);
         self.refuse_expired(now, out);
-        self.end_overdue(now, out);
+        self.time_out_overdue(now, out);
         self.start_queued(now, out);
     }
 
     /// Returns when [`Self::poll`] must be called next.
     pub fn next_wake(&self) -> Option<Instant> {
-        let overdue = self.deadlines.first().map(|(at, _)| *at + OVERTIME);
+        let overdue = self.deadlines.first().map(|(at, _)| *at + DEADLINE_GRACE);
         let cutoff = self.queue.next_cutoff();
         let isolated_cutoff = self.isolated_queue.next_cutoff();
         let back_end = self.back_end.next_wake();
-        let losses = self.losses.next_wake();
-        [overdue, cutoff, isolated_cutoff, back_end, losses]
+        let lost_requests = self.lost_requests.next_wake();
+        [overdue, cutoff, isolated_cutoff, back_end, lost_requests]
             .into_iter()
             .flatten()
             .min()
@@ -436,8 +437,8 @@
         };
         self.next_exchange += 1;
         let id = ExchangeId(self.next_exchange);
-        self.places
-            .insert((arrival.link, arrival.sequence), Place::Running(id));
+        self.request_states
+            .insert((arrival.link, arrival.sequence), RequestState::Running(id));
         self.deadlines.insert((arrival.deadline, id));
         self.by_request_id
             .insert(arrival.request.request_id.clone(), id);
@@ -466,7 +467,7 @@
 
     fn start_queued(&mut self, now: Instant, out: &mut Actions) {
         self.start_isolated(now, out);
-        while self.has_room() {
+        while self.has_capacity() {
             let reserve = self
                 .queue
                 .ranks()
@@ -483,7 +484,7 @@
         }
     }
 
-    fn carry_out(
+    fn apply_effect(
         &mut self,
         now: Instant,
         effect: Effect,
@@ -493,8 +494,8 @@
         if let Some(change) = effect.change {
             self.status_changed = true;
             out.push(Action::Log(LogRecord::BackEnd {
-                instance: self.back_end.name(),
-                health: self.back_end.standing_name(),
+                instance: self.back_end.log_name(),
+                health: self.back_end.health_name(),
                 cause: change,
                 sequence: self.back_end.sequence(),
             }));
@@ -502,7 +503,7 @@
                 self.refuse_queued(now, ResultCode::BackEndLeaving, out);
             }
         }
-        if !self.back_end.wants_probe() {
+        if !self.back_end.should_probe() {
             return;
         }
         let service = table.and_then(|table| table.service(self.back_end.service()));
--- a/crates/rillgap-forward/src/inbound/queue.rs
+++ b/crates/rillgap-forward/src/inbound/queue.rs
@@ -10,7 +10,7 @@
     /// Rank; 0 is served first.
     pub rank: u8,
     /// Position within the rank; 0 is served first.
-    pub place: u8,
+    pub position_in_rank: u8,
     /// Latest time at which the item may be started.
     pub cutoff: Instant,
     /// The item.
@@ -44,11 +44,14 @@
     }
 
     /// Returns the number of items that are served before a new one of this rank and position.
-    pub fn ahead_of(&self, rank: u8, place: u8) -> usize {
+    pub fn ahead_of(&self, rank: u8, position_in_rank: u8) -> usize {
         let higher = self.ranks.range(..rank);
         let higher: usize = higher.map(|(_, queue)| queue.len()).sum();
         let same = self.ranks.get(&rank);
-        higher + same.map_or(0, |queue| queue.range(..=(place, u64::MAX)).count())
+        higher
+            + same.map_or(0, |queue| {
+                queue.range(..=(position_in_rank, u64::MAX)).count()
+            })
     }
 
     /// Returns the ranks with queued items, in the order of service.
@@ -65,20 +68,21 @@
     pub fn push(&mut self, queued: Queued<T>) -> u64 {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        self.positions.insert(ticket, (queued.rank, queued.place));
+        self.positions
+            .insert(ticket, (queued.rank, queued.position_in_rank));
         self.cutoffs.insert((queued.cutoff, ticket));
         self.ranks
             .entry(queued.rank)
             .or_default()
-            .insert((queued.place, ticket), queued);
+            .insert((queued.position_in_rank, ticket), queued);
         ticket
     }
 
     /// Removes the item of a ticket.
     pub fn remove(&mut self, ticket: u64) -> Option<T> {
-        let (rank, place) = self.positions.remove(&ticket)?;
+        let (rank, position_in_rank) = self.positions.remove(&ticket)?;
         let queue = self.ranks.get_mut(&rank)?;
-        let queued = queue.remove(&(place, ticket))?;
+        let queued = queue.remove(&(position_in_rank, ticket))?;
         if queue.is_empty() {
             self.ranks.remove(&rank);
         }
--- a/crates/rillgap-forward/src/inbound/running.rs
+++ b/crates/rillgap-forward/src/inbound/running.rs
@@ -55,7 +55,7 @@
     /// Whether the sender of the request still waits for the answer.
     pub is_awaited: bool,
     /// Calls that the back end makes for the request and that have no answer yet.
-    open_calls: u32,
+    pending_calls: u32,
     /// Whether a call made for the request has failed.
     pub has_failed_call: bool,
     /// Services that the calls involved, with their last reported admission levels.
@@ -75,7 +75,7 @@
             deadline: arrival.deadline,
             is_isolated: arrival.is_isolated,
             is_awaited: true,
-            open_calls: 0,
+            pending_calls: 0,
             has_failed_call: false,
             involved: BTreeMap::new(),
         }
@@ -87,10 +87,10 @@
             self.involved.insert(involved.service, involved.level);
         }
         match call.progress {
-            CallProgress::Started => self.open_calls += 1,
-            CallProgress::Succeeded => self.open_calls = self.open_calls.saturating_sub(1),
+            CallProgress::Started => self.pending_calls += 1,
+            CallProgress::Succeeded => self.pending_calls = self.pending_calls.saturating_sub(1),
             CallProgress::Failed => {
-                self.open_calls = self.open_calls.saturating_sub(1);
+                self.pending_calls = self.pending_calls.saturating_sub(1);
                 self.has_failed_call = true;
             }
         }
@@ -98,8 +98,8 @@
 
     /// Returns whether a failure of the request is caused by the back end itself, not by one of its
     /// calls.
-    pub fn is_own_fault(&self) -> bool {
-        self.open_calls == 0 && !self.has_failed_call
+    pub fn is_back_end_fault(&self) -> bool {
+        self.pending_calls == 0 && !self.has_failed_call
     }
 
     /// Returns the times that the request has spent in the queue and on the back end.
--- a/crates/rillgap-forward/src/inbound/service_time.rs
+++ b/crates/rillgap-forward/src/inbound/service_time.rs
@@ -4,23 +4,23 @@
 use std::time::Duration;
 
 /// Weight of the newest sample.
-const NEWEST: f64 = 0.05;
+const EWMA_WEIGHT: f64 = 0.05;
 
 /// Exponentially weighted moving average of service times.
 #[derive(Clone, Copy, Debug, Default)]
-struct Mean {
+struct MovingAverage {
     micros: f64,
     /// Whether the average is that of an earlier incarnation: the next sample replaces it.
-    is_prior: bool,
+    is_from_earlier_run: bool,
 }
 
-impl Mean {
+impl MovingAverage {
     fn record(&mut self, micros: f64) {
-        if self.micros == 0.0 || self.is_prior {
+        if self.micros == 0.0 || self.is_from_earlier_run {
             self.micros = micros;
-            self.is_prior = false;
+            self.is_from_earlier_run = false;
         } else {
-            self.micros += (micros - self.micros) * NEWEST;
+            self.micros += (micros - self.micros) * EWMA_WEIGHT;
         }
     }
 }
@@ -28,8 +28,8 @@
 /// Moving averages of the service times, by route and of all requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceTimes {
-    all: Mean,
-    by_route: BTreeMap<String, Mean>,
+    all: MovingAverage,
+    by_route: BTreeMap<String, MovingAverage>,
 }
 
 impl ServiceTimes {
@@ -40,7 +40,7 @@
         match self.by_route.get_mut(route) {
             Some(mean) => mean.record(micros),
             None => {
-                let mut mean = Mean::default();
+                let mut mean = MovingAverage::default();
                 mean.record(micros);
                 self.by_route.insert(route.to_owned(), mean);
             }
@@ -49,10 +49,10 @@
 
     /// Marks the averages as those of an earlier incarnation. They are used until the first answers
     /// of the new one arrive: with averages of zero, the queue would seem to drain at once.
-    pub fn begin_run(&mut self) {
-        self.all.is_prior = true;
+    pub fn on_restart(&mut self) {
+        self.all.is_from_earlier_run = true;
         for mean in self.by_route.values_mut() {
-            mean.is_prior = true;
+            mean.is_from_earlier_run = true;
         }
     }
 
--- a/crates/rillgap-forward/tests/reborn.rs
+++ b/crates/rillgap-forward/tests/back_end_restart.rs
@@ -10,10 +10,10 @@
 use rillgap_forward::message::ForwardResult;
 use support::{INSTANCE, TestNode, answer, code_of, forwarded, heartbeat};
 
-const FIRST: u64 = 1_000;
-const SECOND: u64 = 2_000;
+const FIRST_START_MILLIS: u64 = 1_000;
+const SECOND_START_MILLIS: u64 = 2_000;
 
-fn beat(started_at: u64, sequence: u64, state: AnnouncedState) -> Heartbeat {
+fn run_heartbeat(started_at: u64, sequence: u64, state: AnnouncedState) -> Heartbeat {
     Heartbeat {
         incarnation: Incarnation {
             id: INSTANCE.to_owned(),
@@ -23,10 +23,11 @@
     }
 }
 
-/// Returns a node whose back end was started at [`FIRST`], is serving and has sent heartbeat 90.
+/// Returns a node whose back end was started at [`FIRST_START_MILLIS`], is serving and has sent
+/// heartbeat 90.
 fn serving() -> TestNode {
     let mut test = TestNode::configured(support::SERVICE);
-    test.announce(beat(FIRST, 90, AnnouncedState::Ready));
+    test.announce(run_heartbeat(FIRST_START_MILLIS, 90, AnnouncedState::Ready));
     test.confirm(INSTANCE);
     test.actions.clear();
     test
@@ -37,32 +38,40 @@
 }
 
 #[gtest]
-fn later_run_is_confirmed_although_its_count_of_heartbeats_begins_anew() {
+fn later_run_is_confirmed_although_its_heartbeat_sequence_starts_again() {
     let mut test = serving();
-    test.announce(beat(SECOND, 1, AnnouncedState::Ready));
+    test.announce(run_heartbeat(SECOND_START_MILLIS, 1, AnnouncedState::Ready));
     expect_that!(is_serving(&test), eq(false));
     test.confirm(INSTANCE);
     expect_that!(is_serving(&test), eq(true));
 }
 
 #[gtest]
-fn departure_of_an_earlier_run_does_not_hold_for_the_later_one() {
+fn departure_of_an_earlier_run_does_not_apply_to_the_later_one() {
     let mut test = serving();
-    test.announce(beat(FIRST, 91, AnnouncedState::Draining));
+    test.announce(run_heartbeat(
+        FIRST_START_MILLIS,
+        91,
+        AnnouncedState::Draining,
+    ));
     expect_that!(is_serving(&test), eq(false));
-    test.announce(beat(SECOND, 1, AnnouncedState::Ready));
+    test.announce(run_heartbeat(SECOND_START_MILLIS, 1, AnnouncedState::Ready));
     test.confirm(INSTANCE);
     expect_that!(is_serving(&test), eq(true));
 }
 
 #[gtest]
-fn late_news_of_the_earlier_run_changes_nothing() {
+fn late_heartbeats_of_the_earlier_run_change_nothing() {
     let mut test = serving();
-    test.announce(beat(SECOND, 1, AnnouncedState::Ready));
+    test.announce(run_heartbeat(SECOND_START_MILLIS, 1, AnnouncedState::Ready));
     test.confirm(INSTANCE);
-    test.announce(beat(FIRST, 95, AnnouncedState::Draining));
+    test.announce(run_heartbeat(
+        FIRST_START_MILLIS,
+        95,
+        AnnouncedState::Draining,
+    ));
     expect_that!(is_serving(&test), eq(true));
-    test.announce(beat(FIRST, 96, AnnouncedState::Ready));
+    test.announce(run_heartbeat(FIRST_START_MILLIS, 96, AnnouncedState::Ready));
     expect_that!(is_serving(&test), eq(true));
     // A heartbeat without a start time is of another writer, or even older.
     test.announce(heartbeat(INSTANCE, 97, AnnouncedState::Draining));
@@ -70,33 +79,33 @@
 }
 
 #[gtest]
-fn departure_that_does_not_tell_the_start_is_of_the_run_that_is_known() {
+fn departure_without_a_start_time_applies_to_the_known_run() {
     let mut test = serving();
     test.leave(INSTANCE);
     expect_that!(is_serving(&test), eq(false));
-    test.announce(beat(FIRST, 98, AnnouncedState::Ready));
+    test.announce(run_heartbeat(FIRST_START_MILLIS, 98, AnnouncedState::Ready));
     expect_that!(test.probe(), none());
 }
 
 #[gtest]
-fn departure_of_the_earlier_run_comes_late() {
+fn late_departure_of_the_earlier_run_is_ignored() {
     let mut test = serving();
-    test.announce(beat(SECOND, 1, AnnouncedState::Ready));
+    test.announce(run_heartbeat(SECOND_START_MILLIS, 1, AnnouncedState::Ready));
     test.confirm(INSTANCE);
     test.event(Event::BackEndLeft {
         announcement: AnnouncementId(0),
-        incarnation: beat(FIRST, 1, AnnouncedState::Ready).incarnation,
+        incarnation: run_heartbeat(FIRST_START_MILLIS, 1, AnnouncedState::Ready).incarnation,
     });
     expect_that!(is_serving(&test), eq(true));
 }
 
 #[gtest]
-fn request_at_the_earlier_run_is_unknown_at_once_and_not_called_not_run() {
+fn request_of_the_earlier_run_is_unknown_at_once_and_never_not_run() {
     let mut test = serving();
     let link = test.accept(500);
     test.forward(link, 1, forwarded("r1", false));
     let exchange = test.exchanges()[0].id;
-    test.announce(beat(SECOND, 1, AnnouncedState::Ready));
+    test.announce(run_heartbeat(SECOND_START_MILLIS, 1, AnnouncedState::Ready));
     expect_that!(test.has_cancelled(exchange), eq(true));
     test.confirm(INSTANCE);
     let results = test.results();
@@ -108,13 +117,17 @@
 }
 
 #[gtest]
-fn each_run_that_ends_under_a_request_is_a_crash_of_its_own() {
+fn each_run_that_ends_with_a_request_in_flight_is_a_separate_crash() {
     let mut test = serving();
     let link = test.accept(500);
     for run in 1..=3 {
         test.forward(link, run, forwarded(&format!("r{run}"), true));
         test.pass(300);
-        test.announce(beat(FIRST + run, 1, AnnouncedState::Ready));
+        test.announce(run_heartbeat(
+            FIRST_START_MILLIS + run,
+            1,
+            AnnouncedState::Ready,
+        ));
         test.confirm(INSTANCE);
     }
     test.forward(link, 4, forwarded("r4", true));
@@ -123,29 +136,33 @@
 }
 
 /// Runs a request that the back end answers after `millis`.
-fn serve(test: &mut TestNode, sequence: u64, millis: u64) {
+fn answer_after(test: &mut TestNode, sequence: u64, millis: u64) {
     let link = test.accept(500 + sequence);
     test.forward(link, sequence, forwarded(&format!("r{sequence}"), true));
-    let exchange = test.exchanges().pop().expect("a request that runs").id;
+    let exchange = test.exchanges().pop().expect("a running request").id;
     test.pass(millis);
     test.end_exchange(exchange, ExchangeResult::Answered(answer(200)));
 }
 
 #[gtest]
-fn first_answer_of_a_run_takes_the_place_of_what_was_measured_before() {
+fn first_answer_of_a_run_replaces_earlier_measurements() {
     let mut test = serving();
-    serve(&mut test, 1, 300);
+    answer_after(&mut test, 1, 300);
     expect_that!(test.node.inbound().load().mean_micros, eq(300_000));
-    test.announce(beat(SECOND, 1, AnnouncedState::Ready));
+    test.announce(run_heartbeat(SECOND_START_MILLIS, 1, AnnouncedState::Ready));
     test.confirm(INSTANCE);
-    serve(&mut test, 2, 20);
+    answer_after(&mut test, 2, 20);
     expect_that!(test.node.inbound().load().mean_micros, eq(20_000));
 }
 
 #[gtest]
-fn health_endpoint_that_names_the_identifier_of_a_run_that_has_left_confirms_nothing() {
+fn probe_that_names_the_identifier_of_a_departed_run_confirms_nothing() {
     let mut test = serving();
-    test.announce(beat(FIRST, 91, AnnouncedState::Draining));
+    test.announce(run_heartbeat(
+        FIRST_START_MILLIS,
+        91,
+        AnnouncedState::Draining,
+    ));
     let probe = test.probe();
     if let Some(probe) = probe {
         let instance = INSTANCE.to_owned();
--- a/crates/rillgap-forward/tests/crash.rs
+++ b/crates/rillgap-forward/tests/crash.rs
@@ -18,9 +18,9 @@
 
 /// Time within which all connections of a process that has ended are seen to close, in
 /// milliseconds.
-const SETTLE: u64 = 5;
+const CONNECTION_CLOSE_WINDOW: u64 = 5;
 /// Maximum time for which responses to lost requests are held, in milliseconds.
-const PATIENCE: u64 = 60;
+const HOLD_TIMEOUT: u64 = 60;
 
 fn request(id: &str, target: &str) -> ForwardedRequest {
     ForwardedRequest {
@@ -34,7 +34,7 @@
 }
 
 /// Starts a request for each target at the same time and loses all their answers.
-fn lose(test: &mut TestNode, link: LinkId, targets: &[&str]) {
+fn lose_requests(test: &mut TestNode, link: LinkId, targets: &[&str]) {
     let before = test.exchanges().len();
     for target in targets {
         let number = test.exchanges().len() as u64 + 100;
@@ -44,26 +44,26 @@
     for exchange in started {
         test.end_exchange(exchange.id, ExchangeResult::Lost);
     }
-    test.pass(SETTLE);
+    test.pass(CONNECTION_CLOSE_WINDOW);
 }
 
 /// Answers the pending health probe.
-fn probed(test: &mut TestNode, result: ProbeResult) {
-    let probe = test.probe().expect("the health endpoint is asked");
+fn answer_probe(test: &mut TestNode, result: ProbeResult) {
+    let probe = test.probe().expect("a pending health probe");
     test.end_probe(probe, result);
 }
 
 /// Starts the next incarnation and confirms it.
-fn start(test: &mut TestNode, instance: &str) {
+fn start_incarnation(test: &mut TestNode, instance: &str) {
     test.heartbeat_of(instance, 1, AnnouncedState::Ready);
     test.confirm(instance);
 }
 
 /// Returns the evidence about a target that a peer would send.
 fn evidence(target: &str, crashes: &[(&str, bool)]) -> ContentEvidence {
-    let record = |(instance, was_alone): &(&str, bool)| CrashRecord {
+    let record = |(instance, was_only_suspect): &(&str, bool)| CrashRecord {
         crash: CrashId::of(&Incarnation::without_start(instance)),
-        strength: if *was_alone {
+        strength: if *was_only_suspect {
             EvidenceStrength::Strong
         } else {
             EvidenceStrength::Inconclusive
@@ -77,7 +77,7 @@
     }
 }
 
-fn hear(test: &mut TestNode, link: LinkId, evidence: Vec<ContentEvidence>) {
+fn receive_evidence(test: &mut TestNode, link: LinkId, evidence: Vec<ContentEvidence>) {
     test.event(Event::Link {
         link,
         message: LinkMessage::CrashEvidence(evidence),
@@ -90,7 +90,7 @@
 }
 
 /// Returns the evidence that was sent, with the link of each message.
-fn told(test: &TestNode) -> Vec<(LinkId, Vec<ContentEvidence>)> {
+fn sent_evidence(test: &TestNode) -> Vec<(LinkId, Vec<ContentEvidence>)> {
     let tell = |action: &Action| match action {
         Action::SendOnLink {
             link,
@@ -102,17 +102,17 @@
 }
 
 #[gtest]
-fn requests_that_are_lost_with_the_process_are_suspects() {
+fn requests_lost_in_a_crash_become_suspects() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    lose(&mut test, link, &["/a", "/b"]);
-    probed(&mut test, ProbeResult::Refused);
+    lose_requests(&mut test, link, &["/a", "/b"]);
+    answer_probe(&mut test, ProbeResult::Refused);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Suspected));
     expect_that!(suspicion(&test, "/b"), eq(Suspicion::Suspected));
 }
 
 #[gtest]
-fn answer_that_is_lost_by_a_process_that_lives_makes_no_suspect() {
+fn answer_lost_by_a_live_process_makes_no_suspect() {
     for result in [
         ProbeResult::Healthy {
             instance: "i-1".to_owned(),
@@ -121,16 +121,16 @@
     ] {
         let mut test = TestNode::serving();
         let link = test.accept(50);
-        lose(&mut test, link, &["/a"]);
-        probed(&mut test, result);
-        test.pass(PATIENCE);
-        start(&mut test, "i-2");
+        lose_requests(&mut test, link, &["/a"]);
+        answer_probe(&mut test, result);
+        test.pass(HOLD_TIMEOUT);
+        start_incarnation(&mut test, "i-2");
         expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
     }
 }
 
 /// Runs a request that the back end answers.
-fn run(test: &mut TestNode, link: LinkId, target: &str) {
+fn run_and_answer(test: &mut TestNode, link: LinkId, target: &str) {
     let number = test.exchanges().len() as u64 + 100;
     test.forward(link, number, request(&format!("r{number}"), target));
     let exchange = test.exchanges().pop().expect("a started request");
@@ -141,9 +141,9 @@
 fn request_that_was_answered_shortly_before_a_crash_is_no_suspect() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    run(&mut test, link, "/a");
-    lose(&mut test, link, &["/a", "/b"]);
-    probed(&mut test, ProbeResult::Refused);
+    run_and_answer(&mut test, link, "/a");
+    lose_requests(&mut test, link, &["/a", "/b"]);
+    answer_probe(&mut test, ProbeResult::Refused);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
     expect_that!(suspicion(&test, "/b"), eq(Suspicion::Suspected));
 }
@@ -153,11 +153,11 @@
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let peer = test.connect("peer-a", 2, SERVICE);
-    run(&mut test, link, "/a");
+    run_and_answer(&mut test, link, "/a");
     test.actions.clear();
-    hear(&mut test, peer, vec![evidence("/a", &[("i-7", false)])]);
+    receive_evidence(&mut test, peer, vec![evidence("/a", &[("i-7", false)])]);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
-    let exonerations = told(&test);
+    let exonerations = sent_evidence(&test);
     let is_told = exonerations
         .iter()
         .flat_map(|(_, evidence)| evidence)
@@ -168,10 +168,10 @@
 /// A back end that fails some of its requests, or runs out of time, may answer before it reaches
 /// the code that crashes it.
 #[gtest]
-fn failure_of_the_back_end_does_not_exonerate() {
+fn answer_with_a_server_error_does_not_exonerate() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    hear(&mut test, link, vec![evidence("/a", &[("i-7", false)])]);
+    receive_evidence(&mut test, link, vec![evidence("/a", &[("i-7", false)])]);
     test.forward(link, 1, request("r1", "/a"));
     let exchange = test.exchanges().pop().expect("a started request");
     test.end_exchange(exchange.id, ExchangeResult::Answered(answer(500)));
@@ -179,25 +179,25 @@
 }
 
 #[gtest]
-fn answer_of_long_ago_does_not_exonerate() {
+fn old_answer_does_not_exonerate() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    run(&mut test, link, "/a");
+    run_and_answer(&mut test, link, "/a");
     for _ in 0..3 {
         test.pass(31_000);
-        run(&mut test, link, "/other");
+        run_and_answer(&mut test, link, "/other");
     }
-    hear(&mut test, link, vec![evidence("/a", &[("i-7", false)])]);
+    receive_evidence(&mut test, link, vec![evidence("/a", &[("i-7", false)])]);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Suspected));
 }
 
 #[gtest]
-fn answers_that_are_lost_while_others_go_on_do_not_cost_a_probe() {
+fn answers_lost_while_earlier_requests_run_trigger_no_probe() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.forward(link, 1, request("r1", "/other"));
     test.pass(1);
-    lose(&mut test, link, &["/a"]);
+    lose_requests(&mut test, link, &["/a"]);
     expect_that!(test.probe(), none());
     let results = test.results();
     expect_that!(results.len(), eq(1));
@@ -207,29 +207,29 @@
 fn back_end_that_leaves_as_planned_has_not_crashed() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    lose(&mut test, link, &["/a"]);
+    lose_requests(&mut test, link, &["/a"]);
     test.leave("i-1");
-    probed(&mut test, ProbeResult::Refused);
+    answer_probe(&mut test, ProbeResult::Refused);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
 }
 
 #[gtest]
-fn crash_that_no_probe_has_seen_is_told_by_the_next_incarnation() {
+fn crash_without_a_conclusive_probe_is_detected_when_the_next_incarnation_starts() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    lose(&mut test, link, &["/a"]);
-    probed(&mut test, ProbeResult::Unreachable);
+    lose_requests(&mut test, link, &["/a"]);
+    answer_probe(&mut test, ProbeResult::Unreachable);
     test.pass(3_000);
-    start(&mut test, "i-2");
+    start_incarnation(&mut test, "i-2");
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Suspected));
 }
 
 #[gtest]
-fn log_names_the_incarnation_that_had_a_lost_request() {
+fn log_record_of_a_lost_request_names_its_incarnation() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    lose(&mut test, link, &["/a"]);
-    start(&mut test, "i-2");
+    lose_requests(&mut test, link, &["/a"]);
+    start_incarnation(&mut test, "i-2");
     let lost = test.notes().into_iter().find_map(|note| match note {
         LogRecord::NotAnswered { lost, .. } => lost,
         _ => None,
@@ -240,14 +240,14 @@
 }
 
 #[gtest]
-fn peers_hear_of_a_crash_before_they_hear_what_became_of_its_requests() {
+fn crash_evidence_is_sent_before_the_responses_to_lost_requests() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    hear(&mut test, link, vec![evidence("/a", &[("i-8", false)])]);
+    receive_evidence(&mut test, link, vec![evidence("/a", &[("i-8", false)])]);
     test.actions.clear();
-    lose(&mut test, link, &["/a"]);
+    lose_requests(&mut test, link, &["/a"]);
     expect_that!(test.results().len(), eq(0));
-    probed(&mut test, ProbeResult::Refused);
+    answer_probe(&mut test, ProbeResult::Refused);
     let kinds: Vec<&str> = test
         .actions
         .iter()
@@ -264,11 +264,11 @@
 }
 
 #[gtest]
-fn lost_requests_are_answered_although_the_health_endpoint_says_nothing() {
+fn lost_requests_are_answered_after_the_hold_timeout_without_a_probe_result() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    lose(&mut test, link, &["/a"]);
-    test.pass(PATIENCE);
+    lose_requests(&mut test, link, &["/a"]);
+    test.pass(HOLD_TIMEOUT);
     let results = test.results();
     expect_that!(
         results[0].1,
@@ -283,7 +283,7 @@
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let twice = [("i-8", false), ("i-9", false)];
-    hear(
+    receive_evidence(
         &mut test,
         link,
         vec![evidence("/a", &twice), evidence("/b", &twice)],
@@ -308,17 +308,17 @@
 }
 
 #[gtest]
-fn request_is_quarantined_after_two_crashes_as_the_only_recurrent_one() {
+fn request_is_quarantined_after_two_crashes_as_the_only_suspect() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let twice = [("i-8", false), ("i-9", false)];
-    hear(&mut test, link, vec![evidence("/a", &twice)]);
-    lose(&mut test, link, &["/a", "/other"]);
-    probed(&mut test, ProbeResult::Refused);
+    receive_evidence(&mut test, link, vec![evidence("/a", &twice)]);
+    lose_requests(&mut test, link, &["/a", "/other"]);
+    answer_probe(&mut test, ProbeResult::Refused);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Recurrent));
-    start(&mut test, "i-2");
-    lose(&mut test, link, &["/a"]);
-    probed(&mut test, ProbeResult::Refused);
+    start_incarnation(&mut test, "i-2");
+    lose_requests(&mut test, link, &["/a"]);
+    answer_probe(&mut test, ProbeResult::Refused);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Quarantined));
     expect_that!(suspicion(&test, "/other"), eq(Suspicion::Suspected));
 }
@@ -326,33 +326,33 @@
 /// While back ends also crash without a request, its quarantine takes three crashes as the only
 /// suspect instead of two.
 #[gtest]
-fn request_is_given_the_benefit_of_the_doubt_while_back_ends_end_without_it() {
+fn quarantine_takes_more_crashes_while_back_ends_also_crash_without_the_request() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let unrelated = ["i-11", "i-12", "i-13"];
     let unrelated = unrelated.map(|instance| evidence(instance, &[(instance, false)]));
-    hear(&mut test, link, unrelated.to_vec());
-    hear(&mut test, link, vec![evidence("/a", &[("i-7", false)])]);
+    receive_evidence(&mut test, link, unrelated.to_vec());
+    receive_evidence(&mut test, link, vec![evidence("/a", &[("i-7", false)])]);
     for (incarnation, expected) in [
         ("i-2", Suspicion::Recurrent),
         ("i-3", Suspicion::Recurrent),
         ("i-4", Suspicion::Quarantined),
     ] {
-        lose(&mut test, link, &["/a"]);
-        probed(&mut test, ProbeResult::Refused);
+        lose_requests(&mut test, link, &["/a"]);
+        answer_probe(&mut test, ProbeResult::Refused);
         expect_that!(suspicion(&test, "/a"), eq(expected), "before {incarnation}");
-        start(&mut test, incarnation);
+        start_incarnation(&mut test, incarnation);
     }
 }
 
 #[gtest]
-fn two_recurrent_requests_at_one_crash_are_no_proof_against_either() {
+fn crash_with_two_recurrent_requests_is_inconclusive_for_both() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.forward(link, 1, request("r1", "/a"));
     test.forward(link, 2, request("r2", "/b"));
     let twice = [("i-8", false), ("i-9", true)];
-    hear(
+    receive_evidence(
         &mut test,
         link,
         vec![evidence("/a", &twice), evidence("/b", &twice)],
@@ -360,29 +360,33 @@
     for exchange in test.exchanges() {
         test.end_exchange(exchange.id, ExchangeResult::Lost);
     }
-    test.pass(SETTLE);
-    probed(&mut test, ProbeResult::Refused);
+    test.pass(CONNECTION_CLOSE_WINDOW);
+    answer_probe(&mut test, ProbeResult::Refused);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Recurrent));
     expect_that!(suspicion(&test, "/b"), eq(Suspicion::Recurrent));
 }
 
 /// Target on a route of the configuration whose requests are quarantined.
-const GUILTY: &str = "/safe/guilty";
+const QUARANTINED_TARGET: &str = "/safe/quarantined";
 
-fn test_with_quarantine() -> (TestNode, LinkId) {
+fn node_with_quarantined_target() -> (TestNode, LinkId) {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    let guilty = [("i-7", false), ("i-8", true), ("i-9", true)];
-    hear(&mut test, link, vec![evidence(GUILTY, &guilty)]);
+    let quarantine_crashes = [("i-7", false), ("i-8", true), ("i-9", true)];
+    receive_evidence(
+        &mut test,
+        link,
+        vec![evidence(QUARANTINED_TARGET, &quarantine_crashes)],
+    );
     (test, link)
 }
 
 #[gtest]
-fn quarantined_request_is_refused_at_the_entry_with_the_time_that_is_left() {
-    let (mut test, _) = test_with_quarantine();
+fn quarantined_request_is_refused_at_the_entry_node_with_the_remaining_time() {
+    let (mut test, _) = node_with_quarantined_target();
     test.pass(10_000);
-    test.request(1, caller_request("c1", GUILTY));
-    test.request(2, caller_request("c2", "/safe/innocent"));
+    test.request(1, caller_request("c1", QUARANTINED_TARGET));
+    test.request(2, caller_request("c2", "/safe/other"));
     let answers = test.answers();
     expect_that!(answers.len(), eq(1));
     expect_that!(answers[0].status, eq(503));
@@ -397,9 +401,9 @@
 }
 
 #[gtest]
-fn quarantined_request_is_refused_beside_the_back_end_if_the_entry_does_not_know() {
-    let (mut test, link) = test_with_quarantine();
-    test.forward(link, 1, request("r1", GUILTY));
+fn quarantined_request_is_refused_beside_the_back_end_if_the_entry_node_has_no_evidence() {
+    let (mut test, link) = node_with_quarantined_target();
+    test.forward(link, 1, request("r1", QUARANTINED_TARGET));
     expect_that!(test.exchanges().len(), eq(0));
     let results = test.results();
     let is_refused = matches!(
@@ -411,11 +415,11 @@
 }
 
 #[gtest]
-fn answer_exonerates_for_good_and_peers_are_told() {
+fn answer_exonerates_permanently_and_peers_receive_the_exoneration() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let other = test.accept(51);
-    hear(
+    receive_evidence(
         &mut test,
         link,
         vec![evidence("/a", &[("i-8", false), ("i-9", true)])],
@@ -426,9 +430,9 @@
     let exchange = test.exchanges()[0].id;
     test.end_exchange(exchange, ExchangeResult::Answered(answer(404)));
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
-    let links: Vec<LinkId> = told(&test).iter().map(|(link, _)| *link).collect();
+    let links: Vec<LinkId> = sent_evidence(&test).iter().map(|(link, _)| *link).collect();
     expect_that!(links, unordered_elements_are![eq(&link), eq(&other)]);
-    hear(
+    receive_evidence(
         &mut test,
         link,
         vec![evidence("/a", &[("i-6", true), ("i-7", true)])],
@@ -437,42 +441,42 @@
 }
 
 #[gtest]
-fn quarantine_ends_with_one_more_run() {
+fn quarantine_ends_after_its_duration_and_resumes_with_the_next_crash() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    let guilty = [("i-7", false), ("i-8", true), ("i-9", true)];
-    hear(&mut test, link, vec![evidence("/a", &guilty)]);
+    let quarantine_crashes = [("i-7", false), ("i-8", true), ("i-9", true)];
+    receive_evidence(&mut test, link, vec![evidence("/a", &quarantine_crashes)]);
     test.pass(600_000);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Recurrent));
-    hear(&mut test, link, vec![evidence("/a", &[("i-10", true)])]);
+    receive_evidence(&mut test, link, vec![evidence("/a", &[("i-10", true)])]);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Quarantined));
 }
 
 #[gtest]
-fn evidence_is_passed_on_once_and_not_back() {
+fn evidence_is_forwarded_once_and_not_to_its_source() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let other = test.accept(51);
     test.actions.clear();
     let twice = vec![evidence("/a", &[("i-8", false), ("i-9", false)])];
-    hear(&mut test, link, twice.clone());
-    hear(&mut test, other, twice);
-    let links: Vec<LinkId> = told(&test).iter().map(|(link, _)| *link).collect();
+    receive_evidence(&mut test, link, twice.clone());
+    receive_evidence(&mut test, other, twice);
+    let links: Vec<LinkId> = sent_evidence(&test).iter().map(|(link, _)| *link).collect();
     expect_that!(links, elements_are![eq(&other)]);
 }
 
 #[gtest]
-fn many_contents_at_one_crash_do_not_push_out_a_quarantine() {
+fn many_contents_at_one_crash_do_not_evict_a_quarantined_one() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    let guilty = [("i-7", false), ("i-8", true), ("i-9", true)];
-    hear(&mut test, link, vec![evidence("/a", &guilty)]);
+    let quarantine_crashes = [("i-7", false), ("i-8", true), ("i-9", true)];
+    receive_evidence(&mut test, link, vec![evidence("/a", &quarantine_crashes)]);
     for number in 0..5_000 {
         if number == 1_000 {
             test.pass(1);
         }
         let target = format!("/varied/{number}");
-        hear(&mut test, link, vec![evidence(&target, &[("i-6", false)])]);
+        receive_evidence(&mut test, link, vec![evidence(&target, &[("i-6", false)])]);
     }
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Quarantined));
     expect_that!(suspicion(&test, "/varied/0"), eq(Suspicion::Clear));
@@ -483,24 +487,24 @@
 /// content with more crashes than a node keeps: nodes sent the evidence back and forth until they
 /// used 600 MB.
 #[gtest]
-fn evidence_that_was_heard_before_is_no_news_however_many_crashes_there_are() {
+fn known_evidence_is_not_forwarded_again_with_more_crashes_than_are_kept() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.accept(51);
     let names: Vec<String> = (0..60).map(|number| format!("i-{number}")).collect();
     for name in &names {
-        hear(&mut test, link, vec![evidence("/a", &[(name, false)])]);
+        receive_evidence(&mut test, link, vec![evidence("/a", &[(name, false)])]);
         test.pass(1);
     }
     test.actions.clear();
     for name in &names {
-        hear(&mut test, link, vec![evidence("/a", &[(name, false)])]);
+        receive_evidence(&mut test, link, vec![evidence("/a", &[(name, false)])]);
     }
-    expect_that!(told(&test).len(), eq(0));
+    expect_that!(sent_evidence(&test).len(), eq(0));
 }
 
 #[gtest]
-fn evidence_that_is_too_old_is_no_news() {
+fn expired_evidence_is_not_forwarded() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.accept(51);
@@ -508,42 +512,42 @@
     let mut old = evidence("/a", &[("i-8", false)]);
     old.crashes[0].age_micros = 61_000_000;
     test.actions.clear();
-    hear(&mut test, link, vec![old]);
-    expect_that!(told(&test).len(), eq(0));
+    receive_evidence(&mut test, link, vec![old]);
+    expect_that!(sent_evidence(&test).len(), eq(0));
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
 }
 
 #[gtest]
-fn crashes_of_what_was_exonerated_are_no_news() {
+fn crashes_of_an_exonerated_content_are_not_forwarded() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.accept(51);
-    let mut innocent = evidence("/a", &[("i-7", false), ("i-8", false)]);
-    innocent.is_exonerated = true;
-    hear(&mut test, link, vec![innocent]);
+    let mut exonerated = evidence("/a", &[("i-7", false), ("i-8", false)]);
+    exonerated.is_exonerated = true;
+    receive_evidence(&mut test, link, vec![exonerated]);
     test.actions.clear();
-    hear(&mut test, link, vec![evidence("/a", &[("i-9", false)])]);
-    expect_that!(told(&test).len(), eq(0));
+    receive_evidence(&mut test, link, vec![evidence("/a", &[("i-9", false)])]);
+    expect_that!(sent_evidence(&test).len(), eq(0));
 }
 
 /// Fills all slots, queues a request behind them, and quarantines its content while it waits.
-fn quarantine_while_it_waits(standing_before: Vec<ContentEvidence>) -> TestNode {
+fn quarantine_while_queued(evidence_before: Vec<ContentEvidence>) -> TestNode {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    hear(&mut test, link, standing_before);
+    receive_evidence(&mut test, link, evidence_before);
     test.forward(link, 1, request("r1", "/b"));
     test.forward(link, 2, request("r2", "/other"));
     test.forward(link, 3, request("r3", "/other"));
     test.forward(link, 4, request("r4", "/a"));
     expect_that!(test.exchanges().len(), eq(3));
-    let guilty = [("i-7", false), ("i-8", true), ("i-9", true)];
-    hear(&mut test, link, vec![evidence("/a", &guilty)]);
+    let quarantine_crashes = [("i-7", false), ("i-8", true), ("i-9", true)];
+    receive_evidence(&mut test, link, vec![evidence("/a", &quarantine_crashes)]);
     test
 }
 
 #[gtest]
-fn request_that_is_quarantined_while_it_waits_is_not_started() {
-    let mut test = quarantine_while_it_waits(Vec::new());
+fn request_quarantined_while_queued_is_not_started() {
+    let mut test = quarantine_while_queued(Vec::new());
     let first = test.exchanges()[0].id;
     test.end_exchange(first, ExchangeResult::Answered(answer(200)));
     expect_that!(test.exchanges().len(), eq(3));
@@ -556,10 +560,10 @@
 }
 
 #[gtest]
-fn request_that_is_quarantined_while_it_waits_for_isolation_is_not_started() {
+fn request_quarantined_while_queued_for_isolation_is_not_started() {
     let twice = [("i-8", false), ("i-9", false)];
     let before = vec![evidence("/a", &twice), evidence("/b", &twice)];
-    let mut test = quarantine_while_it_waits(before);
+    let mut test = quarantine_while_queued(before);
     let second = test.exchanges()[1].id;
     test.end_exchange(second, ExchangeResult::Answered(answer(200)));
     test.pass(700);
--- a/crates/rillgap-forward/tests/inbound.rs
+++ b/crates/rillgap-forward/tests/inbound.rs
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn fresh_node_believes_a_heartbeat_only_after_the_health_endpoint() {
+fn new_node_considers_a_back_end_serving_only_after_the_health_endpoint_confirms_it() {
     let mut test = TestNode::configured(support::SERVICE);
     expect_that!(test.heartbeat(1, AnnouncedState::Ready), eq(true));
     expect_that!(test.node.inbound().status().is_serving, eq(false));
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn late_ready_does_not_revive_what_announced_draining() {
+fn late_ready_heartbeat_does_not_return_a_draining_back_end_to_service() {
     let mut test = TestNode::serving();
     expect_that!(test.heartbeat(5, AnnouncedState::Draining), eq(true));
     expect_that!(test.heartbeat(4, AnnouncedState::Ready), eq(true));
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn restarted_node_does_not_take_a_leaving_back_end_for_a_serving_one() {
+fn restarted_node_does_not_consider_a_leaving_back_end_serving() {
     let mut test = TestNode::configured(support::SERVICE);
     // A heartbeat from before the announcement arrives late; the restarted node has no record of
     // the announcement.
@@ -52,7 +52,7 @@
 }
 
 #[gtest]
-fn back_end_that_leaves_without_draining_gets_nothing_more() {
+fn back_end_that_leaves_without_draining_gets_no_more_requests() {
     let mut test = TestNode::serving();
     test.leave(INSTANCE);
     let link = test.accept(50);
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn next_incarnation_is_believed_after_the_first_has_left() {
+fn next_incarnation_serves_after_the_first_has_left() {
     let mut test = TestNode::serving();
     test.heartbeat(9, AnnouncedState::Draining);
     test.heartbeat_of("i-2", 1, AnnouncedState::Ready);
@@ -83,7 +83,7 @@
 }
 
 #[gtest]
-fn never_more_run_than_the_back_end_has_slots() {
+fn running_requests_never_exceed_the_usable_slots() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     for sequence in 0..20 {
@@ -94,7 +94,7 @@
 }
 
 #[gtest]
-fn draining_refuses_at_once_what_waits_and_lets_finish_what_runs() {
+fn draining_refuses_queued_requests_at_once_and_completes_running_ones() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     for sequence in 0..5 {
@@ -141,7 +141,7 @@
 }
 
 #[gtest]
-fn cancelled_request_frees_its_place_unless_it_may_run_only_once() {
+fn cancelled_request_frees_its_slot_unless_it_is_not_idempotent() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.forward(link, 1, forwarded("safe", true));
@@ -157,7 +157,7 @@
 }
 
 #[gtest]
-fn end_of_a_link_cancels_its_requests_only() {
+fn closed_link_cancels_only_its_own_requests() {
     let mut test = TestNode::serving();
     let first = test.accept(50);
     let second = test.accept(51);
@@ -170,7 +170,7 @@
 }
 
 #[gtest]
-fn silence_ends_as_unknown_after_the_deadline_and_never_as_not_run() {
+fn missing_answer_is_unknown_after_the_deadline_and_never_not_run() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.forward(link, 1, forwarded("a", false));
@@ -185,7 +185,7 @@
 }
 
 #[gtest]
-fn what_cannot_be_proved_is_unknown_and_what_can_is_not_run() {
+fn result_is_not_run_only_if_execution_is_ruled_out() {
     let cases = [
         (ExchangeResult::Lost, ResultCode::AnswerLost, false),
         (
@@ -211,13 +211,13 @@
         test.pass(60);
         let results = test.results();
         expect_that!(code_of(&results[0].1), some(eq(code)));
-        let said = matches!(results[0].1, ForwardResult::NotRun { .. });
-        expect_that!(said, eq(is_not_run));
+        let is_reported_not_run = matches!(results[0].1, ForwardResult::NotRun { .. });
+        expect_that!(is_reported_not_run, eq(is_not_run));
     }
 }
 
 #[gtest]
-fn stopping_node_gives_its_back_end_requests_for_a_quarter_of_the_grace_and_then_refuses() {
+fn stopping_node_starts_requests_for_a_quarter_of_the_grace_and_then_refuses_them() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.event(Event::Stop);
@@ -235,7 +235,7 @@
 }
 
 #[gtest]
-fn queue_that_is_too_long_refuses_at_once_with_a_time_to_come_back() {
+fn overlong_queue_refuses_at_once_with_a_retry_after() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.forward(link, 0, forwarded("warm", true));
@@ -263,7 +263,7 @@
 }
 
 #[gtest]
-fn silent_back_end_is_probed_and_taken_out_if_it_does_not_answer() {
+fn back_end_without_heartbeats_is_probed_and_taken_out_of_service_if_it_does_not_answer() {
     let mut test = TestNode::serving();
     test.pass(4_900);
     let probe = test.probe().expect("a probe after missed heartbeats");
@@ -309,7 +309,7 @@
 }
 
 #[gtest]
-fn overload_raises_the_level_within_the_lowest_priority_until_it_has_passed() {
+fn overload_raises_the_level_within_the_lowest_priority_until_it_ends() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     overload(&mut test, link, 2_000);
@@ -327,7 +327,7 @@
 }
 
 #[gtest]
-fn requests_that_are_refused_count_as_demand() {
+fn refused_requests_count_as_demand() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     // Requests that take 50 ms each give the node an expected service time.
@@ -357,7 +357,7 @@
 }
 
 #[gtest]
-fn back_end_that_loses_answers_stands_out_until_it_has_been_spared_for_a_while() {
+fn back_end_that_loses_answers_counts_as_failing_until_its_rate_has_decayed() {
     let mut test = TestNode::serving();
     run_and_end(&mut test, 1, 20, &ExchangeResult::Lost);
     test.event(Event::Wake);
@@ -367,7 +367,7 @@
 }
 
 #[gtest]
-fn few_failures_among_many_successes_do_not_stand_out() {
+fn few_failures_among_many_successes_do_not_count_as_failing() {
     let mut test = TestNode::serving();
     run_and_end(&mut test, 1, 1, &ExchangeResult::Lost);
     run_and_end(&mut test, 2, 30, &ExchangeResult::Answered(answer(200)));
@@ -376,7 +376,7 @@
 }
 
 #[gtest]
-fn failure_of_a_call_is_not_blamed_on_the_back_end_that_made_it() {
+fn failure_of_a_call_does_not_count_against_the_back_end_that_made_it() {
     let mut test = TestNode::fresh(SERVICE);
     let mut table = configuration(1);
     let other = route("/other/", "other", Repeatability::Idempotent);
@@ -400,7 +400,7 @@
 }
 
 #[gtest]
-fn failure_without_a_failed_call_is_the_back_ends_own() {
+fn failure_without_a_failed_call_counts_against_the_back_end() {
     let mut test = TestNode::serving();
     run_and_end(&mut test, 1, 20, &ExchangeResult::Answered(answer(500)));
     test.event(Event::Wake);
@@ -408,7 +408,7 @@
 }
 
 #[gtest]
-fn cancellation_at_the_deadline_counts_as_no_answer() {
+fn cancellation_at_the_deadline_counts_as_a_missing_answer() {
     let mut test = TestNode::serving();
     let link = test.accept(70);
     for number in 1..=4 {
@@ -423,7 +423,7 @@
 }
 
 #[gtest]
-fn wrong_health_answer_does_not_take_out_a_back_end_that_answers_requests() {
+fn unhealthy_probe_does_not_take_a_back_end_that_answers_requests_out_of_service() {
     let mut test = TestNode::serving();
     // Three lost answers trigger a probe; the next request is answered.
     run_and_end(&mut test, 1, 3, &ExchangeResult::Lost);
@@ -434,7 +434,7 @@
 }
 
 #[gtest]
-fn back_end_that_stops_answering_is_taken_out_at_the_first_bad_health_answer() {
+fn back_end_that_stops_answering_is_taken_out_of_service_by_the_first_unhealthy_probe() {
     let mut test = TestNode::serving();
     // A request is answered before the probe begins, and none after that.
     run_and_end(&mut test, 1, 1, &ExchangeResult::Answered(answer(200)));
@@ -446,7 +446,7 @@
 }
 
 #[gtest]
-fn response_tells_where_the_time_went() {
+fn response_contains_the_queue_time_and_the_back_end_time() {
     let mut test = TestNode::serving();
     let link = test.accept(70);
     // The back end has four slots, of which three are usable; the fourth request waits.
--- a/crates/rillgap-forward/tests/queue_order.rs
+++ b/crates/rillgap-forward/tests/queue_order.rs
@@ -12,7 +12,7 @@
 /// If calls were shed in the order of arrival, each chain would lose some of them. Shed by level,
 /// the same chains always complete.
 #[gtest]
-fn requests_of_one_priority_wait_by_their_level() {
+fn requests_of_one_priority_are_started_in_the_order_of_their_levels() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     for sequence in 1..4 {
--- a/crates/rillgap-forward/tests/service_time.rs
+++ b/crates/rillgap-forward/tests/service_time.rs
@@ -8,17 +8,17 @@
 use support::{TestNode, answer, forwarded};
 
 /// Usual service time of the back end, in milliseconds.
-const USUAL: u64 = 20;
+const USUAL_MILLIS: u64 = 20;
 /// Time for which the node is stalled, in milliseconds; requests have a deadline of 800 ms.
-const STAND_STILL: u64 = 5_000;
+const STALL_MILLIS: u64 = 5_000;
 
 /// Returns a node whose back end has answered some requests in the usual time.
-fn experienced() -> (TestNode, LinkId) {
+fn node_with_samples() -> (TestNode, LinkId) {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     for sequence in 0..20 {
         test.forward(link, sequence, forwarded(&format!("r{sequence}"), true));
-        test.pass(USUAL);
+        test.pass(USUAL_MILLIS);
         answer_last(&mut test);
     }
     (test, link)
@@ -34,28 +34,28 @@
 }
 
 #[gtest]
-fn answer_that_lay_unread_while_the_node_stood_still_does_not_make_the_back_end_slow() {
-    let (mut test, link) = experienced();
+fn answer_read_late_after_a_stall_of_the_node_is_not_a_sample() {
+    let (mut test, link) = node_with_samples();
     test.forward(link, 100, forwarded("held", true));
     // The node processes no event meanwhile.
-    test.now += STAND_STILL;
+    test.now += STALL_MILLIS;
     answer_last(&mut test);
-    expect_that!(mean_millis(&test), eq(USUAL as u32));
+    expect_that!(mean_millis(&test), eq(USUAL_MILLIS as u32));
 }
 
 #[gtest]
-fn answer_that_is_missed_long_after_its_time_does_not_make_the_back_end_slow() {
-    let (mut test, link) = experienced();
+fn missing_answer_noticed_late_after_a_stall_of_the_node_is_not_a_sample() {
+    let (mut test, link) = node_with_samples();
     test.forward(link, 100, forwarded("held", true));
-    test.now += STAND_STILL;
+    test.now += STALL_MILLIS;
     test.event(Event::Wake);
-    expect_that!(mean_millis(&test), eq(USUAL as u32));
+    expect_that!(mean_millis(&test), eq(USUAL_MILLIS as u32));
 }
 
 #[gtest]
-fn silence_up_to_the_end_of_the_requests_time_makes_the_back_end_slow() {
-    let (mut test, link) = experienced();
+fn missing_answer_noticed_in_time_raises_the_service_time() {
+    let (mut test, link) = node_with_samples();
     test.forward(link, 100, forwarded("held", true));
     test.pass(1_100);
-    expect_that!(mean_millis(&test), gt(USUAL as u32));
+    expect_that!(mean_millis(&test), gt(USUAL_MILLIS as u32));
 }
