--- a/crates/rillgap-forward/src/crash/mod.rs
+++ b/crates/rillgap-forward/src/crash/mod.rs
@@ -16,7 +16,7 @@
 //! - After [`MIN_QUARANTINE_CRASHES`] crashes, [`MIN_QUARANTINE_STRONG_CRASHES`] of them as the
 //!   only suspect ([`MIN_QUARANTINE_SOLE_SUSPECT_CRASHES`] while back ends also crash without it),
 //!   it is *quarantined*: every node refuses it for a fixed time after the last crash. After that,
-//!   one run decides again.
+//!   the next run decides again whether it stays refused.
 //! - An answer exonerates a request, even an answer from shortly before the first crash: a request
 //!   that crashes every back end is never answered.
 //!
@@ -37,13 +37,14 @@
 pub use register::{CrashRegister, EvidenceUpdate, SuspicionChange};
 
 /// Minimum number of crashes for a quarantine. Requests that are retried together are in flight
-/// together at the first two crashes.
+/// together at the first two crashes, so fewer would not single one out.
 pub const MIN_QUARANTINE_CRASHES: usize = 3;
-/// Minimum number of these crashes at which the request was the only suspect on the back end and no
-/// doubt remains: a single one could be a coincidence.
+/// Minimum number of these crashes with strong evidence, at which the request was the only suspect
+/// on the back end: a single one could be a coincidence.
 pub const MIN_QUARANTINE_STRONG_CRASHES: usize = 2;
-/// Minimum number of these crashes at which the request was the only suspect while back ends also
-/// crash without it, since it may then more often have been in flight by chance.
+/// Minimum number of these crashes at which the request was the only suspect, whether the evidence
+/// is weak or strong. It applies while back ends also crash without the request, which may then
+/// more often have been in flight by chance.
 pub const MIN_QUARANTINE_SOLE_SUSPECT_CRASHES: usize = 3;
 
 /// Identifies one crash of a back end by the incarnation that has ended.
@@ -82,7 +83,7 @@
 /// A crash at which requests with some content were in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CrashRecord {
-    /// The crash.
+    /// Identifier of the crash.
     pub crash: CrashId,
     /// Strength of the evidence against the content.
     pub strength: EvidenceStrength,
@@ -93,7 +94,7 @@
 /// Evidence about the requests with one content.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ContentEvidence {
-    /// The content.
+    /// Content of the requests.
     pub content: Fingerprint,
     /// Crashes at which such a request was in flight.
     pub crashes: Vec<CrashRecord>,
--- a/crates/rillgap-forward/src/crash/register.rs
+++ b/crates/rillgap-forward/src/crash/register.rs
@@ -20,10 +20,10 @@
 
 /// Maximum age of crashes that count as one series.
 const CRASH_SERIES_WINDOW: Duration = Duration::from_secs(10);
-/// Number of unexplained crashes in a series from which the evidence of a further crash is weak.
-/// Unexplained are crashes at which the request was not in flight and no other one was the only
-/// suspect; the request may have been at the others by chance. One or two may be the first crashes
-/// of another request that crashes back ends.
+/// Number of unexplained crashes in one series from which the evidence against a request is weak. A
+/// crash is unexplained if the request was not in flight and no other one was the only suspect:
+/// with so many of them, the request may have been in flight at other crashes by chance. One or two
+/// may be the first crashes of another request that crashes back ends.
 const MIN_UNEXPLAINED_CRASHES: usize = 3;
 
 /// A content whose suspicion has changed.
@@ -59,8 +59,8 @@
         self.contents.is_empty()
     }
 
-    /// Returns whether there are recurrent or quarantined contents, which entry nodes treat
-    /// differently.
+    /// Returns whether there are recurrent or quarantined contents, which entry nodes must check
+    /// for.
     pub fn has_recurrent(&self) -> bool {
         !self.recurrent.is_empty()
     }
--- a/crates/rillgap-forward/src/inbound/admission.rs
+++ b/crates/rillgap-forward/src/inbound/admission.rs
@@ -42,12 +42,12 @@
             .zip(self.queued_by_tier())
             .map(|(tier, queued)| (tier, usize::from(queued)))
             .collect();
-        let pressure = WindowLoad {
+        let window_load = WindowLoad {
             limit: f64::from(self.limit()),
             mean_service_micros: f64::from(self.service_times.mean_micros()),
             queued,
         };
-        self.threshold.update(now, &pressure);
+        self.threshold.update(now, &window_load);
         let level = self.threshold.level();
         if level.0.abs_diff(self.reported_level.0) >= MIN_REPORTED_LEVEL_CHANGE {
             self.reported_level = level;
--- a/crates/rillgap-forward/src/inbound/back_end.rs
+++ b/crates/rillgap-forward/src/inbound/back_end.rs
@@ -187,9 +187,9 @@
         self.retire_predecessor(incarnation)
     }
 
-    /// Drops the current incarnation if it is an earlier run under the identifier of `successor`.
+    /// Drops the current incarnation if it is an earlier one with the identifier of `successor`.
     /// The health endpoint reports only identifiers, so its next answer would otherwise confirm the
-    /// earlier run.
+    /// earlier one.
     fn retire_predecessor(&mut self, successor: &Incarnation) -> Effect {
         if !self
             .incarnation()
@@ -206,8 +206,8 @@
         Effect::NONE
     }
 
-    /// Returns whether a later run under the same identifier is known. Messages of the earlier one
-    /// are stale then.
+    /// Returns whether a later incarnation with the same identifier is known. Messages of the
+    /// earlier one are stale then.
     fn is_superseded(&self, incarnation: &Incarnation) -> bool {
         let announced = self.announced.iter().map(|known| &known.incarnation);
         let mut known = announced.chain(self.incarnation()).chain(&self.departed);
--- a/crates/rillgap-forward/src/inbound/completion.rs
+++ b/crates/rillgap-forward/src/inbound/completion.rs
@@ -51,8 +51,8 @@
     }
 
     /// Cancels a running request that nobody waits for. A request that is not idempotent keeps
-    /// running: its work may be partly or completely done, and after a cancellation nobody would
-    /// know which.
+    /// running: its work may be partly or completely done, and after a cancellation it would be
+    /// unknown how much was.
     pub(super) fn cancel_running(&mut self, now: Instant, exchange: ExchangeId, out: &mut Actions) {
         let Some(running) = self.running.get_mut(&exchange) else {
             return;
@@ -164,7 +164,7 @@
     ) {
         let timing = running.timing(now);
         let downstream_levels = running
-            .involved
+            .downstream_levels
             .into_iter()
             .map(|(service, level)| ServiceAdmissionLevel { service, level })
             .collect();
--- a/crates/rillgap-forward/src/inbound/lost_requests.rs
+++ b/crates/rillgap-forward/src/inbound/lost_requests.rs
@@ -153,8 +153,8 @@
         })
     }
 
-    /// Advances the timers and returns the next action. `others_run` says whether requests that
-    /// were started before the losses still run.
+    /// Releases the held requests or drops the losses when their time is over, and returns the next
+    /// action. `others_run` says whether requests that were started before the losses still run.
     pub fn poll(&mut self, now: Instant, others_run: bool) -> LossAction {
         let Some(unexplained) = &mut self.unexplained else {
             return LossAction::Nothing;
--- a/crates/rillgap-forward/src/inbound/mod.rs
+++ b/crates/rillgap-forward/src/inbound/mod.rs
@@ -51,9 +51,9 @@
 /// Minimum time until the deadline for a request to be started, as a fraction of its expected
 /// service time.
 const MIN_REMAINING_TIME_FRACTION: f64 = 0.7;
-/// Fraction of the concurrency limit below which requests are started although they are not
-/// expected to meet their deadline. Their samples correct an expected service time that has become
-/// too long.
+/// Fraction of the concurrency limit. While fewer requests run, requests are started even if they
+/// are not expected to meet their deadline. Their samples correct an expected service time that has
+/// become too long.
 const ESTIMATE_PROBE_FRACTION: f64 = 0.1;
 /// Time after a request's deadline at which its exchange with the back end is cancelled.
 const DEADLINE_GRACE: Duration = Duration::from_millis(250);
--- a/crates/rillgap-forward/src/inbound/running.rs
+++ b/crates/rillgap-forward/src/inbound/running.rs
@@ -59,7 +59,7 @@
     /// Whether a call made for the request has failed.
     pub has_failed_call: bool,
     /// Services that the calls involved, with their last reported admission levels.
-    pub involved: BTreeMap<String, Level>,
+    pub downstream_levels: BTreeMap<String, Level>,
 }
 
 impl Running {
@@ -77,14 +77,15 @@
             is_awaited: true,
             pending_calls: 0,
             has_failed_call: false,
-            involved: BTreeMap::new(),
+            downstream_levels: BTreeMap::new(),
         }
     }
 
     /// Records the progress of a call that the back end makes for the request.
     pub fn on_call(&mut self, call: CallUpdate) {
         for involved in call.involved {
-            self.involved.insert(involved.service, involved.level);
+            self.downstream_levels
+                .insert(involved.service, involved.level);
         }
         match call.progress {
             CallProgress::Started => self.pending_calls += 1,
--- a/crates/rillgap-forward/tests/back_end_restart.rs
+++ b/crates/rillgap-forward/tests/back_end_restart.rs
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn later_run_is_confirmed_although_its_heartbeat_sequence_starts_again() {
+fn later_incarnation_is_confirmed_although_its_heartbeat_sequence_starts_again() {
     let mut test = serving();
     test.announce(run_heartbeat(SECOND_START_MILLIS, 1, AnnouncedState::Ready));
     expect_that!(is_serving(&test), eq(false));
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn departure_of_an_earlier_run_does_not_apply_to_the_later_one() {
+fn departure_of_an_earlier_incarnation_does_not_apply_to_the_later_one() {
     let mut test = serving();
     test.announce(run_heartbeat(
         FIRST_START_MILLIS,
@@ -61,7 +61,7 @@
 }
 
 #[gtest]
-fn late_heartbeats_of_the_earlier_run_change_nothing() {
+fn late_heartbeats_of_the_earlier_incarnation_change_nothing() {
     let mut test = serving();
     test.announce(run_heartbeat(SECOND_START_MILLIS, 1, AnnouncedState::Ready));
     test.confirm(INSTANCE);
@@ -73,13 +73,13 @@
     expect_that!(is_serving(&test), eq(true));
     test.announce(run_heartbeat(FIRST_START_MILLIS, 96, AnnouncedState::Ready));
     expect_that!(is_serving(&test), eq(true));
-    // A heartbeat without a start time is of another writer, or even older.
+    // A heartbeat without a start time comes from another writer, or is even older.
     test.announce(heartbeat(INSTANCE, 97, AnnouncedState::Draining));
     expect_that!(is_serving(&test), eq(true));
 }
 
 #[gtest]
-fn departure_without_a_start_time_applies_to_the_known_run() {
+fn departure_without_a_start_time_applies_to_the_known_incarnation() {
     let mut test = serving();
     test.leave(INSTANCE);
     expect_that!(is_serving(&test), eq(false));
@@ -88,7 +88,7 @@
 }
 
 #[gtest]
-fn late_departure_of_the_earlier_run_is_ignored() {
+fn late_departure_of_the_earlier_incarnation_is_ignored() {
     let mut test = serving();
     test.announce(run_heartbeat(SECOND_START_MILLIS, 1, AnnouncedState::Ready));
     test.confirm(INSTANCE);
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn request_of_the_earlier_run_is_unknown_at_once_and_never_not_run() {
+fn request_of_the_earlier_incarnation_is_unknown_at_once_and_never_not_run() {
     let mut test = serving();
     let link = test.accept(500);
     test.forward(link, 1, forwarded("r1", false));
@@ -117,7 +117,7 @@
 }
 
 #[gtest]
-fn each_run_that_ends_with_a_request_in_flight_is_a_separate_crash() {
+fn each_incarnation_that_ends_with_a_request_in_flight_is_a_separate_crash() {
     let mut test = serving();
     let link = test.accept(500);
     for run in 1..=3 {
@@ -145,7 +145,7 @@
 }
 
 #[gtest]
-fn first_answer_of_a_run_replaces_earlier_measurements() {
+fn first_answer_of_an_incarnation_replaces_earlier_measurements() {
     let mut test = serving();
     answer_after(&mut test, 1, 300);
     expect_that!(test.node.inbound().load().mean_micros, eq(300_000));
@@ -156,7 +156,7 @@
 }
 
 #[gtest]
-fn probe_that_names_the_identifier_of_a_departed_run_confirms_nothing() {
+fn probe_that_names_the_identifier_of_a_departed_incarnation_confirms_nothing() {
     let mut test = serving();
     test.announce(run_heartbeat(
         FIRST_START_MILLIS,
--- a/crates/rillgap-forward/tests/crash.rs
+++ b/crates/rillgap-forward/tests/crash.rs
@@ -91,14 +91,14 @@
 
 /// Returns the evidence that was sent, with the link of each message.
 fn sent_evidence(test: &TestNode) -> Vec<(LinkId, Vec<ContentEvidence>)> {
-    let tell = |action: &Action| match action {
+    let sent = |action: &Action| match action {
         Action::SendOnLink {
             link,
             message: LinkMessage::CrashEvidence(evidence),
         } => Some((*link, evidence.clone())),
         _ => None,
     };
-    test.actions.iter().filter_map(tell).collect()
+    test.actions.iter().filter_map(sent).collect()
 }
 
 #[gtest]
@@ -483,9 +483,9 @@
     expect_that!(suspicion(&test, "/varied/4999"), eq(Suspicion::Suspected));
 }
 
-/// Guards against evidence that counts as new whenever it is received again. That happened to a
-/// content with more crashes than a node keeps: nodes sent the evidence back and forth until they
-/// used 600 MB.
+/// Guards against nodes that send the same evidence back and forth without end, which used 600 MB
+/// of memory. It comes about if evidence that is received again counts as new because a content has
+/// more crashes than a node keeps.
 #[gtest]
 fn known_evidence_is_not_forwarded_again_with_more_crashes_than_are_kept() {
     let mut test = TestNode::serving();
