--- a/crates/rillgap-forward/src/crash/evidence.rs
+++ b/crates/rillgap-forward/src/crash/evidence.rs
@@ -146,12 +146,7 @@
             .crashes
             .iter()
             .filter(move |(_, observation)| observation.age(now) < age);
-        recent.map(|(crash, observation)| {
-            (
-                *crash,
-                observation.strength > EvidenceStrength::Inconclusive,
-            )
-        })
+        recent.map(|(crash, known)| (*crash, known.strength > EvidenceStrength::Inconclusive))
     }
 
     /// Returns whether the content was in flight at several crashes, even if it was exonerated.
--- a/crates/rillgap-forward/src/inbound/queue.rs
+++ b/crates/rillgap-forward/src/inbound/queue.rs
@@ -44,14 +44,11 @@
     }
 
     /// Returns the number of items that are served before a new one of this rank and position.
-    pub fn ahead_of(&self, rank: u8, position_in_rank: u8) -> usize {
+    pub fn ahead_of(&self, rank: u8, position: u8) -> usize {
         let higher = self.ranks.range(..rank);
         let higher: usize = higher.map(|(_, queue)| queue.len()).sum();
         let same = self.ranks.get(&rank);
-        higher
-            + same.map_or(0, |queue| {
-                queue.range(..=(position_in_rank, u64::MAX)).count()
-            })
+        higher + same.map_or(0, |queue| queue.range(..=(position, u64::MAX)).count())
     }
 
     /// Returns the ranks with queued items, in the order of service.
