--- a/crates/rillgap-forward/src/crash/register.rs
+++ b/crates/rillgap-forward/src/crash/register.rs
@@ -1,4 +1,4 @@
-//! All evidence that a node knows.
+//! Register of the crash evidence that a node has, by content.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,89 +7,93 @@
 use rillgap_core::id::Fingerprint;
 use rillgap_core::time::Instant;
 
-use super::answered::RecentAnswers;
 use super::evidence::{Evidence, Suspicion};
+use super::recent_answers::RecentAnswers;
 use super::{ContentEvidence, CrashId, CrashRecord, EvidenceStrength, Suspect};
 use crate::incarnation::Incarnation;
 
-/// Contents that evidence is kept of: a megabyte at most.
-const MOST_CONTENTS: usize = 4_096;
+/// Maximum number of contents with evidence. They take 1 MB at most.
+const MAX_CONTENTS: usize = 4_096;
 
-/// Time between two looks for evidence that is too old.
-const CLEANING_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which expired evidence is evicted.
+const EVICTION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Age up to which crashes are taken for one series.
-const SERIES: Duration = Duration::from_secs(10);
-/// Crashes without a request and without a known reason in one series from which the request may have been at others by
-/// chance. One or two may be the first crashes of another request of this kind.
-const SERIES_CRASHES: usize = 3;
+/// Maximum age of crashes that count as one series.
+const CRASH_SERIES_WINDOW: Duration = Duration::from_secs(10);
+/// Number of unexplained crashes in one series from which the evidence against a request is weak. A
+/// crash is unexplained if the request was not in flight and no other one was the only suspect:
+/// with so many of them, the request may have been in flight at other crashes by chance. One or two
+/// may be the first crashes of another request that crashes back ends.
+const MIN_UNEXPLAINED_CRASHES: usize = 3;
 
-/// A content whose standing has changed.
+/// A content whose suspicion has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspicionChange {
     /// The content.
     pub content: Fingerprint,
-    /// Its new standing.
+    /// The new suspicion.
     pub suspicion: Suspicion,
-    /// Crashes at which such a request was under way.
+    /// Number of crashes at which such a request was in flight.
     pub crashes: usize,
-    /// Crashes among them at which it was the only suspect.
+    /// Number of these crashes at which it was the only suspect.
     pub crashes_as_only_suspect: usize,
 }
 
-/// All evidence that a node knows.
+/// Crash evidence that a node has, by content.
 #[derive(Clone, Debug, Default)]
 pub struct CrashRegister {
     contents: BTreeMap<Fingerprint, Evidence>,
-    /// What the back end beside the node has answered lately.
-    answered: RecentAnswers,
-    /// Contents that are recurrent or quarantined: only these make a difference at an entry.
-    watched: BTreeSet<Fingerprint>,
-    /// Contents of which peers are to be told.
-    news: BTreeSet<Fingerprint>,
+    /// Contents that the back end beside the node has answered recently.
+    recent_answers: RecentAnswers,
+    /// Contents that are recurrent or quarantined. Only these affect requests at their entry node.
+    recurrent: BTreeSet<Fingerprint>,
+    /// Contents whose evidence must be sent to peers.
+    changed: BTreeSet<Fingerprint>,
     changes: Vec<SuspicionChange>,
-    next_cleaning: Instant,
+    next_eviction: Instant,
 }
 
 impl CrashRegister {
-    /// Returns whether nothing is known, so that no request need be looked up.
+    /// Returns whether there is no evidence, so that no request need be looked up.
     pub fn is_empty(&self) -> bool {
         self.contents.is_empty()
     }
 
-    /// Returns whether an entry treats some contents in another way than others.
+    /// Returns whether there are recurrent or quarantined contents, which entry nodes must check
+    /// for.
     pub fn has_recurrent(&self) -> bool {
-        !self.watched.is_empty()
+        !self.recurrent.is_empty()
     }
 
     /// Returns the number of quarantined contents.
     pub fn quarantined(&self, now: Instant) -> usize {
-        let watched = self.watched.iter();
-        watched
+        let recurrent = self.recurrent.iter();
+        recurrent
             .filter(|content| self.suspicion(now, **content) == Suspicion::Quarantined)
             .count()
     }
 
-    /// Returns the standing of a content.
+    /// Returns the suspicion against a content.
     pub fn suspicion(&self, now: Instant, content: Fingerprint) -> Suspicion {
         let evidence = self.contents.get(&content);
         evidence.map_or(Suspicion::Clear, |evidence| evidence.suspicion(now))
     }
 
-    /// Returns the time until the quarantine of a content ends, in milliseconds.
+    /// Returns the time until the quarantine of a content ends, in milliseconds; zero without
+    /// evidence.
     pub fn quarantine_remaining_millis(&self, now: Instant, content: Fingerprint) -> u32 {
         let evidence = self.contents.get(&content);
-        let left = evidence.map_or(Duration::ZERO, |known| known.quarantine_left(now));
+        let left = evidence.map_or(Duration::ZERO, |known| known.quarantine_remaining(now));
         u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
     }
 
-    /// Takes in that a back end has ended while these requests were under way.
+    /// Records that a back end has crashed while these requests were in flight.
     pub fn on_crash(&mut self, now: Instant, incarnation: &Incarnation, suspects: &[Suspect]) {
         let crash = CrashId::of(incarnation);
         for suspect in suspects {
             let record = CrashRecord {
                 crash,
-                strength: self.strength(now, crash, suspect),
+                strength: self.evidence_strength(now, crash, suspect),
                 age_micros: 0,
             };
             let evidence = ContentEvidence {
@@ -101,86 +105,98 @@
         }
     }
 
-    fn strength(&self, now: Instant, crash: CrashId, suspect: &Suspect) -> EvidenceStrength {
-        if !suspect.was_alone {
+    fn evidence_strength(
+        &self,
+        now: Instant,
+        crash: CrashId,
+        suspect: &Suspect,
+    ) -> EvidenceStrength {
+        if !suspect.was_only_suspect {
             return EvidenceStrength::Inconclusive;
         }
-        if self.unexplained_crashes(now, crash, suspect.content) >= SERIES_CRASHES {
+        if self.unexplained_crashes(now, crash, suspect.content) >= MIN_UNEXPLAINED_CRASHES {
             EvidenceStrength::Weak
         } else {
             EvidenceStrength::Strong
         }
     }
 
-    /// Returns at how many recent crashes, besides `this` one, a request was not under way and no other was the only suspect.
-    fn unexplained_crashes(&self, now: Instant, this: CrashId, content: Fingerprint) -> usize {
+    /// Returns the number of recent crashes, not counting `current`, at which a content was not in
+    /// flight and no other content was the only suspect.
+    fn unexplained_crashes(&self, now: Instant, current: CrashId, content: Fingerprint) -> usize {
         let mut explained: BTreeMap<CrashId, bool> = BTreeMap::new();
         for known in self.contents.values() {
-            for (crash, was_alone) in known.recent(now, SERIES) {
-                *explained.entry(crash).or_default() |= was_alone;
+            for (crash, was_only_suspect) in known.recent(now, CRASH_SERIES_WINDOW) {
+                *explained.entry(crash).or_default() |= was_only_suspect;
             }
         }
         let own = self.contents.get(&content);
-        let was_there = |crash: CrashId| crash == this || own.is_some_and(|known| known.has(crash));
+        let was_in_flight = |crash: CrashId| {
+            crash == current || own.is_some_and(|known| known.was_in_flight_at(crash))
+        };
         let unexplained = explained.iter().filter(|(_, is_explained)| !**is_explained);
-        unexplained.filter(|(crash, _)| !was_there(**crash)).count()
+        unexplained
+            .filter(|(crash, _)| !was_in_flight(**crash))
+            .count()
     }
 
-    /// Takes in that a back end has answered a request whole.
+    /// Records that a back end has answered a request completely.
     pub fn on_answer(&mut self, now: Instant, content: Fingerprint) {
-        self.answered.record(now, content);
+        self.recent_answers.record(now, content);
         let Some(evidence) = self.contents.get_mut(&content) else {
             return;
         };
         let before = evidence.suspicion(now);
         if evidence.exonerate() {
-            self.note(now, content, before);
+            self.record_change(now, content, before);
         }
     }
 
-    /// Takes in what a peer knows; returns whether this node exonerates any of it, which the peer does not know.
+    /// Merges the evidence of a peer. Returns whether this node exonerates any of it, of which the
+    /// peer has no record.
     pub fn merge(&mut self, now: Instant, evidence: &[ContentEvidence]) -> bool {
         let mut exonerates = false;
-        for told in evidence {
-            exonerates |= self.merge_one(now, told);
+        for message in evidence {
+            exonerates |= self.merge_one(now, message);
         }
         exonerates
     }
 
-    /// Takes in what is known of one content; returns whether this node has exonerated it for an earlier answer.
-    fn merge_one(&mut self, now: Instant, told: &ContentEvidence) -> bool {
-        let is_new = !self.contents.contains_key(&told.content);
+    /// Merges the evidence against one content. Returns whether this node has exonerated the
+    /// content because of an earlier answer.
+    fn merge_one(&mut self, now: Instant, message: &ContentEvidence) -> bool {
+        let is_new = !self.contents.contains_key(&message.content);
         if is_new {
-            if Evidence::heard(now, told).is_over(now) {
+            if Evidence::from_message(now, message).is_expired(now) {
                 return false;
             }
-            self.make_room(now);
+            self.evict_if_full(now);
         }
-        let evidence = self.contents.entry(told.content).or_default();
+        let evidence = self.contents.entry(message.content).or_default();
         let before = evidence.suspicion(now);
-        let is_news = evidence.merge(now, told);
-        let was_answered = is_new && self.answered.contains(now, told.content);
+        let has_changed = evidence.merge(now, message);
+        let was_answered = is_new && self.recent_answers.contains(now, message.content);
         let exonerates = was_answered && evidence.exonerate();
-        if is_news || exonerates {
-            self.note(now, told.content, before);
+        if has_changed || exonerates {
+            self.record_change(now, message.content, before);
         }
         exonerates
     }
 
-    /// Notes that the evidence against a content has changed.
-    fn note(&mut self, now: Instant, content: Fingerprint, before: Suspicion) {
+    /// Records that the evidence against a content has changed.
+    fn record_change(&mut self, now: Instant, content: Fingerprint, before: Suspicion) {
         let Some(evidence) = self.contents.get(&content) else {
             return;
         };
-        self.news.insert(content);
+        self.changed.insert(content);
         let suspicion = evidence.suspicion(now);
         if suspicion >= Suspicion::Recurrent {
-            self.watched.insert(content);
+            self.recurrent.insert(content);
         } else {
-            self.watched.remove(&content);
+            self.recurrent.remove(&content);
         }
-        let matters = suspicion.max(before) >= Suspicion::Recurrent;
-        if suspicion != before && matters {
+        let is_relevant = suspicion.max(before) >= Suspicion::Recurrent;
+        if suspicion != before && is_relevant {
             self.changes.push(SuspicionChange {
                 content,
                 suspicion,
@@ -190,81 +206,85 @@
         }
     }
 
-    /// Forgets what weighs least if there is no room for another content: many contents at one crash must not
-    /// push out what is known of those that were under way at several.
-    fn make_room(&mut self, now: Instant) {
-        if self.contents.len() < MOST_CONTENTS {
+    /// Evicts the least important evidence if the register is full. Many contents of a single crash
+    /// must not evict the evidence against those that were in flight at several.
+    fn evict_if_full(&mut self, now: Instant) {
+        if self.contents.len() < MAX_CONTENTS {
             return;
         }
         let weight = |known: &Evidence| (known.suspicion(now), Reverse(known.age(now)));
         let lightest = self.contents.iter().min_by_key(|(_, known)| weight(known));
         if let Some(content) = lightest.map(|(content, _)| *content) {
-            self.forget(content);
+            self.remove(content);
         }
     }
 
-    fn forget(&mut self, content: Fingerprint) {
+    fn remove(&mut self, content: Fingerprint) {
         self.contents.remove(&content);
-        self.watched.remove(&content);
-        self.news.remove(&content);
+        self.recurrent.remove(&content);
+        self.changed.remove(&content);
     }
 
-    /// Forgets what is too old to matter.
-    pub fn forget_old(&mut self, now: Instant) {
-        if self.contents.is_empty() || now < self.next_cleaning {
+    /// Evicts expired evidence.
+    pub fn evict_expired(&mut self, now: Instant) {
+        if self.contents.is_empty() || now < self.next_eviction {
             return;
         }
-        self.next_cleaning = now + CLEANING_INTERVAL;
-        let over = self.contents.iter().filter(|(_, known)| known.is_over(now));
-        let over: Vec<Fingerprint> = over.map(|(content, _)| *content).collect();
-        for content in over {
-            self.forget(content);
+        self.next_eviction = now + EVICTION_INTERVAL;
+        let expired = self
+            .contents
+            .iter()
+            .filter(|(_, known)| known.is_expired(now));
+        let expired: Vec<Fingerprint> = expired.map(|(content, _)| *content).collect();
+        for content in expired {
+            self.remove(content);
         }
     }
 
-    /// Takes the evidence that has changed since the last time: what concerns all nodes, and what only those
-    /// beside back ends of the same service need, to see that a content comes up at a second crash.
-    pub fn take_updates(&mut self, now: Instant) -> EvidenceNews {
-        let news = std::mem::take(&mut self.news);
-        let changed = news.iter().filter_map(|content| {
+    /// Takes the evidence that has changed since the last call. Evidence of several crashes is sent
+    /// to all nodes. The rest is sent only to nodes beside back ends of the same service, which
+    /// need it to detect the second crash of a content.
+    pub fn take_updates(&mut self, now: Instant) -> EvidenceUpdate {
+        let contents = std::mem::take(&mut self.changed);
+        let changed = contents.iter().filter_map(|content| {
             let evidence = self.contents.get(content)?;
             Some((content, evidence))
         });
         sort_evidence(now, changed)
     }
 
-    /// Returns all evidence, for a peer that may know nothing.
-    pub fn all_evidence(&self, now: Instant) -> EvidenceNews {
+    /// Returns all evidence, for a peer that may have none.
+    pub fn all_evidence(&self, now: Instant) -> EvidenceUpdate {
         sort_evidence(now, self.contents.iter())
     }
 
-    /// Takes the changes of standings since the last time.
+    /// Takes the changes of suspicions since the last call.
     pub fn take_changes(&mut self) -> Vec<SuspicionChange> {
         std::mem::take(&mut self.changes)
     }
 }
 
-/// Evidence that peers are told.
+/// Evidence to be sent to peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EvidenceNews {
-    /// What concerns all nodes.
+pub struct EvidenceUpdate {
+    /// Evidence for all nodes.
     pub for_all: Vec<ContentEvidence>,
-    /// What concerns only nodes beside back ends of the service.
+    /// Evidence only for nodes beside back ends of the same service.
     pub for_service: Vec<ContentEvidence>,
 }
 
-/// Sorts evidence by whom it concerns.
+/// Sorts evidence by the nodes to which it is sent.
 fn sort_evidence<'a>(
     now: Instant,
     evidence: impl Iterator<Item = (&'a Fingerprint, &'a Evidence)>,
-) -> EvidenceNews {
-    let mut sorted = EvidenceNews::default();
+) -> EvidenceUpdate {
+    let mut sorted = EvidenceUpdate::default();
     for (content, known) in evidence {
-        let told = known.tell(now, *content);
-        if known.is_of_several_crashes() {
-            sorted.for_all.push(told);
+        let message = known.to_message(now, *content);
+        if known.has_several_crashes() {
+            sorted.for_all.push(message);
         } else {
-            sorted.for_service.push(told);
+            sorted.for_service.push(message);
         }
     }
     sorted
--- a/crates/rillgap-forward/src/inbound/mod.rs
+++ b/crates/rillgap-forward/src/inbound/mod.rs
@@ -1,17 +1,17 @@
-//! The only way to the back end beside the node.
+//! Inbound side of a node: admits, queues and runs forwarded requests on the local back end.
 //!
-//! Everything that the back end gets passes here, so this side alone knows what runs, may say
-//! truthfully that something did not run, orders what waits, and enforces that a back end which
-//! leaves gets nothing new.
+//! Every request to the back end passes through this module. It therefore tracks which requests
+//! run, reports reliably that a request was not executed, orders the queue, and ensures that a back
+//! end that leaves service gets no new requests.
 
 mod admission;
 mod back_end;
-mod ending;
-mod failure_share;
+mod completion;
+mod failure_rate;
 mod isolation;
-mod losses;
+mod lost_requests;
 mod queue;
-mod renewal;
+mod restart;
 mod running;
 mod service_time;
 
@@ -34,46 +34,52 @@
 use crate::settings::ForwardSettings;
 
 use back_end::{BackEnd, Effect};
-use failure_share::FailureShare;
-use losses::Losses;
+use failure_rate::FailureRate;
+use lost_requests::LostRequests;
 use queue::RankQueue;
 use running::Running;
 use service_time::ServiceTimes;
 
 pub use running::{CallProgress, CallUpdate};
 
-/// Share of the slots that are used: back ends get slower when they are almost full.
-const SLOT_SHARE: f64 = 0.95;
-/// Share of the limit up to which a request of a low rank runs although others wait.
-const RESERVED_SHARE: f64 = 0.2;
-/// Share of the expected time that must be left for a request to be started.
-const NEEDED_SHARE: f64 = 0.7;
-/// Share of the limit that may run although it is not expected to end in time, so that an
-/// estimate that has become too long is corrected.
-const PROBE_SHARE: f64 = 0.1;
-/// Time after the end of a request's time at which its connection is given up.
-const OVERTIME: Duration = Duration::from_millis(250);
-/// Time after the end of a request's time beyond which its end was not noticed when it came: the node
-/// itself stood still or had no processor. Twice the time at which an overdue request is given up.
-const NOTICED_LATE: Duration = Duration::from_millis(500);
-/// Shortest and longest time after which a refused caller is asked back, in milliseconds.
-const RETRY_AFTER_MILLIS: (u64, u64) = (50, 2_000);
-/// Tuning of the published level. Calls may wait for several times as long as they run, so the queue may
-/// rest at nearly the limit.
+/// Fraction of the back end's slots that may be in use: back ends slow down when almost all are
+/// taken.
+const MAX_SLOT_UTILIZATION: f64 = 0.95;
+/// Fraction of the concurrency limit that is reserved for each rank. A rank that runs fewer
+/// requests may start one although requests of higher ranks wait.
+const RANK_RESERVE_FRACTION: f64 = 0.2;
+/// Minimum time until the deadline for a request to be started, as a fraction of its expected
+/// service time.
+const MIN_REMAINING_TIME_FRACTION: f64 = 0.7;
+/// Fraction of the concurrency limit. While fewer requests run, requests are started even if they
+/// are not expected to meet their deadline. Their samples correct an expected service time that has
+/// become too long.
+const ESTIMATE_PROBE_FRACTION: f64 = 0.1;
+/// Time after a request's deadline at which its exchange with the back end is cancelled.
+const DEADLINE_GRACE: Duration = Duration::from_millis(250);
+/// Delay after a request's deadline beyond which its service time is not recorded: the end was
+/// noticed late because the node itself was stalled or had no processor time. Twice the grace after
+/// which an overdue request is cancelled.
+const MAX_SAMPLE_DELAY: Duration = Duration::from_millis(500);
+/// Minimum and maximum time after which a refused request should be retried, in milliseconds.
+const RETRY_AFTER_RANGE_MILLIS: (u64, u64) = (50, 2_000);
+/// Tuning of the published admission level. The queue target is close to the limit because calls
+/// may wait several times as long as they run.
 const LEVEL_TUNING: Tuning = Tuning {
     queue_target: 0.8,
     demand_weight: 0.15,
 };
-/// Move of the published level at which peers are told soon: a tenth of a tier.
-const LEVEL_MOVE: u32 = Level::PER_TIER / 10;
-/// Time before the end of a request's time from which a cancellation means that no answer came.
-const CLOSE_TO_DEADLINE: Duration = Duration::from_millis(20);
-/// Share of failures of its own from which a back end stands out, in thousandths.
+/// Minimum change of the published level that triggers a load report to peers: a tenth of a tier.
+const MIN_REPORTED_LEVEL_CHANGE: u32 = Level::PER_TIER / 10;
+/// Time before a request's deadline within which a cancellation counts as a missing answer.
+const CANCELLATION_DEADLINE_MARGIN: Duration = Duration::from_millis(20);
+/// Failure rate from which a back end counts as failing, in thousandths. A request counts as failed
+/// only if the back end itself caused the failure.
 pub const FAILURE_THRESHOLD_PERMILLE: u32 = 100;
-/// Longest queue.
-const QUEUE_LENGTH: usize = 2_048;
+/// Maximum number of requests in the queue.
+const MAX_QUEUE_LENGTH: usize = 2_048;
 
-/// A request that has arrived.
+/// A request that has arrived and is not running yet.
 #[derive(Clone, Debug)]
 struct Arrival {
     link: LinkId,
@@ -81,76 +87,76 @@
     request: Arc<ForwardedRequest>,
     arrived: Instant,
     deadline: Instant,
-    /// Whether it runs beside no other request that back ends have ended under.
+    /// Whether the request is to run as the only suspect on the back end.
     is_isolated: bool,
 }
 
-/// Where a request is.
+/// State of a received request. Queued requests hold the ticket of their queue.
 #[derive(Clone, Copy, Debug)]
-enum Place {
+enum RequestState {
     Queued(u64),
-    /// Waits until no other isolated request runs.
+    /// Waits for the running isolated request to end.
     QueuedForIsolation(u64),
     Running(ExchangeId),
 }
 
-/// The inbound side of a node.
+/// Inbound side of a node: the state of the local back end and the requests that run on it or wait.
 #[derive(Debug)]
 pub struct Inbound {
     back_end: BackEnd,
     queue: RankQueue<Arrival>,
-    /// Requests that wait until no other isolated one runs.
+    /// Suspect requests that wait for the running isolated request to end.
     isolated_queue: RankQueue<Arrival>,
-    /// The isolated request that runs.
+    /// The isolated request that is running, if any.
     isolated: Option<ExchangeId>,
-    losses: Losses,
+    lost_requests: LostRequests,
     crashes: CrashRegister,
     running: BTreeMap<ExchangeId, Running>,
     deadlines: BTreeSet<(Instant, ExchangeId)>,
-    places: BTreeMap<(LinkId, Sequence), Place>,
+    request_states: BTreeMap<(LinkId, Sequence), RequestState>,
     by_request_id: BTreeMap<String, ExchangeId>,
-    times: ServiceTimes,
-    failures: FailureShare,
+    service_times: ServiceTimes,
+    failure_rate: FailureRate,
     failing_permille: u32,
-    /// Incarnation that the times and failures were measured of.
-    measured: Option<Incarnation>,
+    /// Incarnation from which the service times and the failure rate were measured.
+    measured_incarnation: Option<Incarnation>,
     next_exchange: u64,
     is_stopping: bool,
     status_changed: bool,
     load_changed: bool,
     threshold: Threshold,
-    /// Level that peers were told last.
-    told_level: Level,
+    /// Level at which the last load report was triggered by a level change.
+    reported_level: Level,
 }
 
 impl Inbound {
-    /// Creates the inbound side of a fresh node, which believes nothing of its back end.
+    /// Creates the inbound side of a new node. The state of the back end is unknown at first.
     pub fn new(settings: &ForwardSettings) -> Self {
         Self {
             back_end: BackEnd::new(settings.back_end_address, settings.heartbeat_interval),
             queue: RankQueue::default(),
             isolated_queue: RankQueue::default(),
             isolated: None,
-            losses: Losses::default(),
+            lost_requests: LostRequests::default(),
             crashes: CrashRegister::default(),
             running: BTreeMap::new(),
             deadlines: BTreeSet::new(),
-            places: BTreeMap::new(),
+            request_states: BTreeMap::new(),
             by_request_id: BTreeMap::new(),
-            times: ServiceTimes::default(),
-            failures: FailureShare::default(),
+            service_times: ServiceTimes::default(),
+            failure_rate: FailureRate::default(),
             failing_permille: 0,
-            measured: None,
+            measured_incarnation: None,
             next_exchange: 0,
             is_stopping: false,
             status_changed: false,
             load_changed: false,
             threshold: Threshold::new(LEVEL_TUNING),
-            told_level: Level(0),
+            reported_level: Level(0),
         }
     }
 
-    /// Returns what other nodes are told of the back end.
+    /// Returns the status that is sent to peers.
     pub fn status(&self) -> Status {
         Status {
             service: self.back_end.service().to_owned(),
@@ -162,12 +168,12 @@
         }
     }
 
-    /// Returns the service of the back end; empty if it is not known.
+    /// Returns the service of the back end; empty if it is unknown.
     pub fn service(&self) -> &str {
         self.back_end.service()
     }
 
-    /// Returns whether the back end takes new requests.
+    /// Returns whether the back end accepts new requests.
     pub fn is_serving(&self) -> bool {
         self.back_end.is_serving()
     }
@@ -178,7 +184,7 @@
             limit: self.limit(),
             running: count(self.running.len()),
             queued: self.queued_by_tier(),
-            mean_micros: self.times.mean_micros(),
+            mean_micros: self.service_times.mean_micros(),
             level: self.threshold.level(),
             failing_permille: self.failing_permille,
         }
@@ -194,40 +200,41 @@
         queued
     }
 
-    /// Returns whether the load has changed so much that peers are to be told soon, and forgets it.
+    /// Returns whether the load has changed enough for an early report to peers, and resets the
+    /// flag.
     pub fn take_load_change(&mut self) -> bool {
         std::mem::take(&mut self.load_changed)
     }
 
-    /// Returns whether peers must be told of a change at once, and forgets it.
+    /// Returns whether a status change must be sent to peers at once, and resets the flag.
     pub fn take_status_change(&mut self) -> bool {
         std::mem::take(&mut self.status_changed)
     }
 
-    /// Returns the number of requests that run or wait.
+    /// Returns the number of requests that run, wait in a queue or are held after a lost answer.
     pub fn in_flight(&self) -> usize {
         let queued = self.queue.len() + self.isolated_queue.len();
-        self.running.len() + queued + self.losses.held()
+        self.running.len() + queued + self.lost_requests.held()
     }
 
-    /// Returns what is known of requests under which back ends end.
+    /// Returns the evidence about requests that crash back ends.
     pub const fn crashes(&self) -> &CrashRegister {
         &self.crashes
     }
 
-    /// Returns what is known of requests under which back ends end, to be changed.
+    /// Returns the evidence about requests that crash back ends, for modification.
     pub const fn crashes_mut(&mut self) -> &mut CrashRegister {
         &mut self.crashes
     }
 
-    /// Returns the request with this identifier that the back end works on.
+    /// Returns the running request with this identifier.
     pub fn running_request(&self, request_id: &str) -> Option<&ForwardedRequest> {
         let exchange = self.by_request_id.get(request_id)?;
         let running = self.running.get(exchange)?;
         Some(&running.request)
     }
 
-    /// Takes in what became of a call that the back end makes while it works on a request.
+    /// Records the progress of a call that the back end makes while it works on a request.
     pub fn on_call(&mut self, call: CallUpdate) {
         let exchange = self.by_request_id.get(&call.parent_id);
         let Some(running) = exchange.and_then(|exchange| self.running.get_mut(exchange)) else {
@@ -236,18 +243,19 @@
         running.on_call(call);
     }
 
-    /// Returns whether the back end has left service for good.
+    /// Returns whether the back end has announced that it leaves service, or has left.
     pub fn has_left(&self) -> bool {
         self.back_end.has_left()
     }
 
-    /// Begins a planned stop: peers are told to send nothing more.
+    /// Begins a planned stop. The next status tells peers to send no more requests.
     pub fn stop(&mut self) {
         self.is_stopping = true;
         self.status_changed = true;
     }
 
-    /// Takes in a heartbeat; returns whether it may be acknowledged.
+    /// Processes a heartbeat. Returns whether it may be acknowledged: only those of the local back
+    /// end are.
     pub fn on_heartbeat(
         &mut self,
         now: Instant,
@@ -256,23 +264,23 @@
         out: &mut Actions,
     ) -> bool {
         let effect = self.back_end.on_heartbeat(now, heartbeat);
-        self.end_earlier_runs(now, out);
+        self.end_requests_of_earlier_runs(now, out);
         if heartbeat.state == AnnouncedState::Draining {
-            self.losses.on_alive(&heartbeat.incarnation);
+            self.lost_requests.on_alive(&heartbeat.incarnation);
         }
-        self.carry_out(now, effect, table, out);
+        self.apply_effect(now, effect, table, out);
         self.back_end.is_own(heartbeat)
     }
 
-    /// Takes in that a back end leaves.
+    /// Processes the announcement of a back end that it leaves service.
     pub fn on_leave(&mut self, now: Instant, incarnation: &Incarnation, out: &mut Actions) {
-        let leaving = self.back_end.meant(incarnation);
+        let leaving = self.back_end.resolve_incarnation(incarnation);
         let effect = self.back_end.on_leave(incarnation);
-        self.losses.on_alive(&leaving);
-        self.carry_out(now, effect, None, out);
+        self.lost_requests.on_alive(&leaving);
+        self.apply_effect(now, effect, None, out);
     }
 
-    /// Takes in an answer of the health endpoint.
+    /// Processes the result of a health probe.
     pub fn on_probe(
         &mut self,
         now: Instant,
@@ -281,13 +289,13 @@
         out: &mut Actions,
     ) {
         let effect = self.back_end.on_probe(now, probe, result);
-        self.end_earlier_runs(now, out);
-        self.begin_measurements();
-        self.explain_losses(now, result, out);
-        self.carry_out(now, effect, None, out);
+        self.end_requests_of_earlier_runs(now, out);
+        self.reset_measurements();
+        self.resolve_losses(now, result, out);
+        self.apply_effect(now, effect, None, out);
     }
 
-    /// Takes in a request.
+    /// Starts, queues or refuses a forwarded request.
     pub fn on_request(
         &mut self,
         now: Instant,
@@ -306,7 +314,7 @@
             deadline,
             is_isolated: suspicion.is_isolated(),
         };
-        if let Some(code) = self.refusal_of_service(&arrival.request) {
+        if let Some(code) = self.service_refusal(&arrival.request) {
             self.refuse(now, &arrival, code, out);
             return;
         }
@@ -314,49 +322,49 @@
             self.refuse(now, &arrival, ResultCode::Quarantined, out);
             return;
         }
-        if self.is_doomed(now, &arrival) {
+        if self.cannot_meet_deadline(now, &arrival) {
             self.refuse(now, &arrival, ResultCode::DeadlineUnmet, out);
             return;
         }
-        self.count_demand(&arrival.request);
+        self.record_demand(&arrival.request);
         if arrival.is_isolated && self.isolated.is_some() {
             self.enqueue(now, arrival, out);
             return;
         }
         let rank = arrival.request.rank();
-        let place = arrival.request.position_in_rank();
-        let nobody_ahead = self.queue.ahead_of(rank, place) == 0;
-        if self.has_room() && (nobody_ahead || self.is_within_reserve(rank)) {
+        let position_in_rank = arrival.request.position_in_rank();
+        let none_ahead = self.queue.ahead_of(rank, position_in_rank) == 0;
+        if self.has_capacity() && (none_ahead || self.is_within_reserve(rank)) {
             self.start(now, arrival, out);
             return;
         }
         self.enqueue(now, arrival, out);
     }
 
-    /// Takes in that nobody waits for a request any more.
+    /// Cancels a request for which nobody waits any more.
     pub fn on_cancel(&mut self, now: Instant, link: LinkId, sequence: Sequence, out: &mut Actions) {
-        match self.places.remove(&(link, sequence)) {
-            Some(Place::Queued(ticket)) => {
+        match self.request_states.remove(&(link, sequence)) {
+            Some(RequestState::Queued(ticket)) => {
                 self.queue.remove(ticket);
             }
-            Some(Place::QueuedForIsolation(ticket)) => {
+            Some(RequestState::QueuedForIsolation(ticket)) => {
                 self.isolated_queue.remove(ticket);
             }
-            Some(Place::Running(exchange)) => self.abandon(now, exchange, out),
+            Some(RequestState::Running(exchange)) => self.cancel_running(now, exchange, out),
             None => {}
         }
         self.start_queued(now, out);
     }
 
-    /// Takes in that a link has ended: nobody waits for its requests.
+    /// Cancels all requests that arrived on a closed link, since nobody waits for them any more.
     pub fn on_link_closed(&mut self, now: Instant, link: LinkId, out: &mut Actions) {
-        let lost: Vec<Sequence> = self.requests_of(link).collect();
-        for sequence in lost {
+        let sequences: Vec<Sequence> = self.requests_of(link).collect();
+        for sequence in sequences {
             self.on_cancel(now, link, sequence, out);
         }
     }
 
-    /// Returns whether requests that came on a link run or wait.
+    /// Returns whether requests that arrived on a link run or wait.
     pub fn has_requests_of(&self, link: LinkId) -> bool {
         self.requests_of(link).next().is_some()
     }
@@ -364,11 +372,11 @@
     fn requests_of(&self, link: LinkId) -> impl Iterator<Item = Sequence> {
         let first = (link, Sequence(0));
         let last = (link, Sequence(u64::MAX));
-        let places = self.places.range(first..=last);
-        places.map(|((_, sequence), _)| *sequence)
+        let request_states = self.request_states.range(first..=last);
+        request_states.map(|((_, sequence), _)| *sequence)
     }
 
-    /// Takes in that a request at the back end has ended.
+    /// Processes the end of an exchange with the back end.
     pub fn on_exchange(
         &mut self,
         now: Instant,
@@ -381,41 +389,42 @@
             return;
         };
         self.deadlines.remove(&(running.deadline, exchange));
-        self.places.remove(&(running.link, running.sequence));
+        self.request_states
+            .remove(&(running.link, running.sequence));
         if matches!(result, ExchangeResult::Answered(_)) {
-            self.record_time(now, &running);
+            self.record_service_time(now, &running);
         }
         self.record_outcome(now, &running, &result);
         let effect = self.back_end.on_exchange(&result);
         match result {
-            ExchangeResult::Lost => self.hold_lost(now, running),
-            result => self.answer_ended(now, running, result, out),
+            ExchangeResult::Lost => self.hold_lost_request(now, running),
+            result => self.answer_completed(now, running, result, out),
         }
-        self.carry_out(now, effect, table, out);
+        self.apply_effect(now, effect, table, out);
         self.start_queued(now, out);
     }
 
-    /// Does what is due.
+    /// Performs all work that is due at `now`.
     pub fn poll(&mut self, now: Instant, table: Option<&RouteTable>, out: &mut Actions) {
         self.back_end.poll(now);
         self.update_level(now);
-        self.update_failing(now);
-        self.look_into_losses(now);
-        self.crashes.forget_old(now);
-        self.carry_out(now, Effect::default(), table, out);
+        self.update_failure_rate(now);
+        self.poll_lost_requests(now);
+        self.crashes.evict_expired(now);
+        self.apply_effect(now, Effect::default(), table, out);
         self.refuse_expired(now, out);
-        self.end_overdue(now, out);
+        self.time_out_overdue(now, out);
         self.start_queued(now, out);
     }
 
     /// Returns when [`Self::poll`] must be called next.
     pub fn next_wake(&self) -> Option<Instant> {
-        let overdue = self.deadlines.first().map(|(at, _)| *at + OVERTIME);
+        let overdue = self.deadlines.first().map(|(at, _)| *at + DEADLINE_GRACE);
         let cutoff = self.queue.next_cutoff();
         let isolated_cutoff = self.isolated_queue.next_cutoff();
         let back_end = self.back_end.next_wake();
-        let losses = self.losses.next_wake();
-        [overdue, cutoff, isolated_cutoff, back_end, losses]
+        let lost_requests = self.lost_requests.next_wake();
+        [overdue, cutoff, isolated_cutoff, back_end, lost_requests]
             .into_iter()
             .flatten()
             .min()
@@ -428,8 +437,8 @@
         };
         self.next_exchange += 1;
         let id = ExchangeId(self.next_exchange);
-        self.places
-            .insert((arrival.link, arrival.sequence), Place::Running(id));
+        self.request_states
+            .insert((arrival.link, arrival.sequence), RequestState::Running(id));
         self.deadlines.insert((arrival.deadline, id));
         self.by_request_id
             .insert(arrival.request.request_id.clone(), id);
@@ -458,7 +467,7 @@
 
     fn start_queued(&mut self, now: Instant, out: &mut Actions) {
         self.start_isolated(now, out);
-        while self.has_room() {
+        while self.has_capacity() {
             let reserve = self
                 .queue
                 .ranks()
@@ -475,7 +484,7 @@
         }
     }
 
-    fn carry_out(
+    fn apply_effect(
         &mut self,
         now: Instant,
         effect: Effect,
@@ -485,8 +494,8 @@
         if let Some(change) = effect.change {
             self.status_changed = true;
             out.push(Action::Log(LogRecord::BackEnd {
-                instance: self.back_end.name(),
-                health: self.back_end.standing_name(),
+                instance: self.back_end.log_name(),
+                health: self.back_end.health_name(),
                 cause: change,
                 sequence: self.back_end.sequence(),
             }));
@@ -494,7 +503,7 @@
                 self.refuse_queued(now, ResultCode::BackEndLeaving, out);
             }
         }
-        if !self.back_end.wants_probe() {
+        if !self.back_end.should_probe() {
             return;
         }
         let service = table.and_then(|table| table.service(self.back_end.service()));
