--- a/crates/rillgap-forward/src/action.rs
+++ b/crates/rillgap-forward/src/action.rs
@@ -1,4 +1,4 @@
-//! What a node wants done.
+//! Actions that the driver executes for a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,90 +10,90 @@
 use crate::message::{ForwardedRequest, LinkMessage};
 use crate::store_sync::{StoreRequest, StoreRequestId};
 
-/// Answer for a caller.
+/// Answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerAnswer {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// End-to-end fields, encoded.
+    /// End-to-end header fields, encoded.
     pub fields: Vec<u8>,
     /// Whole body.
     pub body: Vec<u8>,
-    /// Whether the connection ends with this answer.
+    /// Whether the connection is closed after this answer.
     pub close: bool,
 }
 
-/// A request for the back end.
+/// A request to the back end.
 #[derive(Clone, Debug)]
 pub struct Exchange {
-    /// Identifier.
+    /// Identifier of the exchange.
     pub id: ExchangeId,
     /// The request.
     pub request: Arc<ForwardedRequest>,
-    /// Incarnation of the back end that is meant.
+    /// Incarnation of the back end that the request is for.
     pub incarnation: Incarnation,
-    /// Time that is left for the request.
+    /// Time left until the deadline of the request.
     pub remaining: Duration,
 }
 
-/// What a node wants done.
+/// An action that the driver executes for a node.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Answer a request.
+    /// Send the answer to a caller's request.
     Answer {
-        /// Connection.
+        /// Connection of the caller.
         connection: ConnectionId,
-        /// Place on the connection.
+        /// Position on the connection.
         pipeline_index: PipelineIndex,
-        /// Answer.
+        /// The answer.
         answer: CallerAnswer,
     },
-    /// Open a link.
+    /// Open a link to a peer.
     OpenLink {
-        /// Identifier for the link.
+        /// Identifier for the new link.
         link: LinkId,
         /// Address of the peer.
         address: SocketAddr,
     },
     /// Send a message on a link.
     SendOnLink {
-        /// Link.
+        /// Identifier of the link.
         link: LinkId,
-        /// Message.
+        /// The message.
         message: LinkMessage,
     },
     /// Close a link.
     CloseLink(LinkId),
-    /// Hand a request to the back end.
+    /// Send a request to the back end.
     StartExchange(Exchange),
     /// Close the connection on which a request runs at the back end.
     CancelExchange(ExchangeId),
-    /// Answer what the back end has announced.
+    /// Acknowledge or reject an announcement of the back end.
     Acknowledge {
-        /// What waits.
+        /// Identifies the acknowledgement that the back end waits for.
         announcement: AnnouncementId,
-        /// Whether it is acknowledged.
+        /// Whether the announcement is accepted.
         is_accepted: bool,
     },
-    /// Ask the back end's health endpoint.
+    /// Probe the health endpoint of the back end.
     Probe {
-        /// Identifier.
+        /// Identifier for the result.
         probe: ProbeId,
         /// Path of the health endpoint.
         path: String,
     },
     /// Call the store.
     CallStore {
-        /// Identifier.
+        /// Identifier for the reply.
         id: StoreRequestId,
-        /// Request.
+        /// The request to the store.
         request: StoreRequest,
     },
-    /// Write a line to the log.
+    /// Write a log record.
     Log(LogRecord),
-    /// End the process.
+    /// Exit the process.
     Exit,
 }
 
-/// Actions in the order in which they are to be carried out.
+/// Actions in the order in which they are to be executed.
 pub type Actions = Vec<Action>;
--- a/crates/rillgap-forward/src/directory/followed.rs
+++ b/crates/rillgap-forward/src/directory/followed.rs
@@ -1,8 +1,10 @@
-//! Which peers a node follows for news of the store.
+//! Selection of the peers that a node follows for their contact with the store.
 //!
-//! Followed peers precede the node in the order of watchers, most of them by far, so that news reach all nodes over few
-//! links: a node that follows one with a sixteenth of its place is `log16` of the number of nodes away from the first.
-//! Nodes differ in their choice, so that none is followed by all.
+//! Nodes are ordered by the hashes of their names, and a node follows only peers with a lower hash,
+//! most of them with a much lower one, so that contact reports reach all nodes over few hops: if
+//! each followed hash is below a sixteenth of the follower's, a node is `log16(nodes)` hops away
+//! from the first. The order of preference differs between nodes, so that no peer is followed by
+//! all of them.
 
 use rillgap_core::time::Instant;
 
@@ -12,27 +14,27 @@
 use crate::store_sync::NodeList;
 use crate::watcher_election;
 
-/// Part of the own place below which peers are preferred.
+/// Peers with a hash below the own hash divided by this are preferred.
 const FAR_BELOW: u64 = 16;
-/// Peers that are followed while they have fresh news.
+/// Number of followed peers while all of them have a recent contact with the store.
 const FOLLOWED: usize = 2;
-/// Most peers that are followed while some of them have none.
+/// Maximum number of followed peers while some of them have no recent contact.
 const MOST_FOLLOWED: usize = 6;
-/// Nodes with the lowest places that are learned from a list that does not hold all nodes, and others among
-/// those that this node may follow.
+/// Number of nodes with the lowest hashes that are added from a partial list of nodes. At most as
+/// many more are added from those that this node prefers to follow.
 const LOWEST_LEARNED: usize = 16;
 
-/// What changes in whom a node follows.
+/// A peer that the node begins or ceases to follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowChange {
     /// Link to the peer.
     pub link: LinkId,
-    /// Whether it is followed from now on.
+    /// Whether the node follows the peer from now on.
     pub follows: bool,
 }
 
 impl Directory {
-    /// Learns the peers of a list.
+    /// Adds the peers of a list of nodes that the store has returned.
     pub fn learn_list(&mut self, now: Instant, list: &NodeList) {
         let own = watcher_election::name_hash(&self.own_name);
         self.estimated_nodes = list.estimated_nodes(own);
@@ -55,8 +57,8 @@
         }
     }
 
-    /// Returns about how many peers precede this node in the order of watchers, without those that cannot be
-    /// reached.
+    /// Returns the approximate number of peers that precede this node in the order of watchers,
+    /// without known peers that cannot be reached.
     pub fn preceding(&self) -> u64 {
         let own = watcher_election::name_hash(&self.own_name);
         let counts = |peer: &&Peer| peer.precedes(own) && !peer.has_failed();
@@ -70,13 +72,13 @@
         (known as u64).max(estimate as u64)
     }
 
-    /// Returns whether there are more nodes than are known here.
+    /// Returns whether there are more nodes than the directory knows.
     pub const fn is_partial(&self) -> bool {
         self.estimated_nodes > self.peers.len() + 1
     }
 
-    /// Chooses the peers that are followed and marks them as wanted. `has_news` tells whether the peer on a link has
-    /// fresh news of the store.
+    /// Selects the peers that are followed, and marks them as selected for a link. `has_news`
+    /// returns whether the peer on a link has a recent contact with the store.
     pub(super) fn choose_followed(&mut self, now: Instant, has_news: impl Fn(LinkId) -> bool) {
         let own = watcher_election::name_hash(&self.own_name);
         let mut preceding: Vec<&mut Peer> = Vec::new();
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Returns what has changed in whom this node follows, and forgets it.
+    /// Returns the peers that the node has begun or ceased to follow since the last call.
     pub fn take_follow_changes(&mut self) -> Vec<FollowChange> {
         let mut changes = Vec::new();
         for peer in &mut self.peers {
@@ -124,7 +126,8 @@
         changes
     }
 
-    /// Returns whether the peer at the other end of a link precedes this node in the order of watchers.
+    /// Returns whether the peer at the other end of a link precedes this node in the order of
+    /// watchers.
     pub fn is_preceding(&mut self, link: LinkId) -> bool {
         let own = watcher_election::name_hash(&self.own_name);
         self.by_link(link).is_some_and(|peer| peer.precedes(own))
--- a/crates/rillgap-forward/src/directory/mod.rs
+++ b/crates/rillgap-forward/src/directory/mod.rs
@@ -1,8 +1,8 @@
-//! Who is where: peers, the links to them and the services that they run.
+//! Directory of peers: their records, the links to them and the services of their back ends.
 //!
-//! A link serves both ends, whichever of them has opened it. Of two links that both ends open at the
-//! same time, the one of the node with the lower name is used; a link that is not used for the own
-//! requests still carries those of the peer, and takes over when the other one ends.
+//! A link carries requests in both directions, whichever end has opened it. If both ends open a
+//! link at the same time, both use the one that the node with the lower name has opened. The other
+//! link still carries requests of the peer, and replaces the first when that ends.
 
 mod followed;
 mod owners;
@@ -21,40 +21,41 @@
 use crate::rate_limit::ownership::TenantHash;
 use crate::subset;
 
-/// Longest time between two choices of the subset: peers that are waited for may never serve.
+/// Maximum time between two selections of the subset: a selected peer may never begin to serve.
 const CHOICE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Place of a peer in the directory.
+/// Index of a peer in the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PeerIndex(usize);
 
-/// All peers that are known.
+/// All known peers and their links.
 #[derive(Clone, Debug)]
 pub struct Directory {
     own_name: String,
     own_zone: String,
     peers: Vec<Peer>,
     by_name: BTreeMap<String, PeerIndex>,
-    /// Links that are open or being opened, those that are not in use included.
+    /// All links that are open or being opened, including those not in use for the node's own
+    /// requests.
     by_link: BTreeMap<LinkId, PeerIndex>,
-    /// Peers with a link in use, by the service that they run.
+    /// Peers with a link in use, by the service of their back end.
     linked: BTreeMap<String, Vec<PeerIndex>>,
-    /// Tenants with a limit.
+    /// Tenants with a rate limit.
     limited: Vec<TenantHash>,
-    /// Those of them that requests have come of at this node.
+    /// Limited tenants that this node has received requests of.
     in_use: BTreeSet<TenantHash>,
-    /// Counts the queries for a proof, so that each goes to other peers.
+    /// Number of queries for a proof so far; rotates the peers that are asked.
     proof_turn: usize,
-    /// About how many nodes there are, by the last list.
+    /// Estimated number of nodes according to the last list; 0 before the first.
     estimated_nodes: usize,
-    /// Whether the subset must be chosen again.
+    /// Whether the subset must be selected again.
     is_subset_due: bool,
-    /// When it is chosen again in any case.
+    /// When the subset is selected again even if nothing has changed.
     next_choice: Instant,
 }
 
 impl Directory {
-    /// Creates the directory of a fresh node.
+    /// Creates an empty directory for the node with this record.
     pub fn new(own: &NodeRecord) -> Self {
         Self {
             own_name: own.name.clone(),
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Adds a peer, or takes over a new address or service of one.
+    /// Adds a peer, or updates the address or service of a known one.
     pub fn learn(&mut self, now: Instant, record: &NodeRecord) {
         if record.name == self.own_name {
             return;
@@ -97,7 +98,7 @@
         self.is_subset_due = true;
     }
 
-    /// Returns the peers.
+    /// Returns all known peers.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.peers.iter()
     }
@@ -112,25 +113,25 @@
         self.peers.is_empty()
     }
 
-    /// Returns a peer.
+    /// Returns the peer with this index.
     pub fn peer(&self, index: PeerIndex) -> &Peer {
         &self.peers[index.0]
     }
 
-    /// Returns the peers with a link in use whose back end runs a service, with their places.
+    /// Returns the peers with a link in use whose back end runs a service, with their indices.
     pub fn linked(&self, service: &str) -> impl Iterator<Item = (PeerIndex, &Peer)> {
         let indices = self.linked.get(service).into_iter().flatten();
         indices.map(|index| (*index, &self.peers[index.0]))
     }
 
-    /// Shows every peer with a link in use to `visit`, which may change it.
+    /// Calls `visit` for every peer with a link in use.
     pub fn for_each_linked(&mut self, mut visit: impl FnMut(&mut Peer)) {
         for index in self.linked.values().flatten() {
             visit(&mut self.peers[index.0]);
         }
     }
 
-    /// Returns all open links, those that are not in use for the own requests included.
+    /// Returns all open links, including those not in use for the node's own requests.
     pub fn open_links(&self) -> impl Iterator<Item = LinkId> {
         self.by_link
             .iter()
@@ -144,7 +145,7 @@
         self.peers.get_mut(index.0)
     }
 
-    /// Takes in that something has arrived on a link.
+    /// Records that a message has arrived on a link.
     pub fn heard(&mut self, now: Instant, link: LinkId) {
         if let Some(peer) = self.by_link(link)
             && peer.link == LinkState::Open(link)
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Takes in what a peer says about its back end.
+    /// Records the status that the peer on a link has reported.
     pub fn on_status(&mut self, now: Instant, link: LinkId, status: Status) {
         let Some(index) = self.by_link.get(&link).copied() else {
             return;
@@ -169,13 +170,14 @@
         }
     }
 
-    /// Returns about how many nodes there are.
+    /// Returns the estimated number of nodes, this one included.
     pub fn estimated_nodes(&self) -> usize {
         self.estimated_nodes.max(self.peers.len() + 1)
     }
 
-    /// Chooses the peers that links are kept to, if anything has changed since the last choice or some
-    /// time has passed. `has_news` tells whether the peer on a link has fresh news of the store.
+    /// Selects the peers that links are kept to if a relevant change has occurred or the selection
+    /// interval has elapsed. `has_news` returns whether the peer on a link has a recent contact
+    /// with the store.
     pub fn update_subset(&mut self, now: Instant, has_news: impl Fn(LinkId) -> bool) {
         if std::mem::take(&mut self.is_subset_due) || now >= self.next_choice {
             self.next_choice = now + CHOICE_INTERVAL;
@@ -185,12 +187,12 @@
         }
     }
 
-    /// Asks for a choice of the subset at the next occasion.
+    /// Schedules a selection of the subset for the next call of [`Self::update_subset`].
     pub const fn choose_soon(&mut self) {
         self.is_subset_due = true;
     }
 
-    /// Returns the wanted peers whose link is due to be opened.
+    /// Returns the selected peers whose link is due to be opened.
     pub fn due(&self, now: Instant) -> Vec<PeerIndex> {
         let is_due = |peer: &Peer| matches!(peer.link, LinkState::Closed { retry_at } if peer.is_selected && retry_at <= now);
         (0..self.peers.len())
@@ -199,14 +201,14 @@
             .collect()
     }
 
-    /// Marks a link as being opened.
+    /// Marks a link to a peer as being opened.
     pub fn opening(&mut self, index: PeerIndex, link: LinkId) {
         self.peers[index.0].link = LinkState::Opening(link);
         self.by_link.insert(link, index);
     }
 
-    /// Takes in that a link which this node has opened is up; returns `false` if it is not expected,
-    /// not needed any more, or its other end is not the expected node.
+    /// Records that a link which this node has opened is up. Returns `false` if the link is unknown
+    /// or superseded, or if its other end is not the expected node.
     pub fn opened(&mut self, now: Instant, link: LinkId, hello: &Hello) -> bool {
         let Some(index) = self.by_link.get(&link).copied() else {
             return false;
@@ -220,8 +222,8 @@
         true
     }
 
-    /// Takes in that a peer has opened a link; returns the link that it replaces, if there is one: that
-    /// of an earlier run of the peer.
+    /// Records that a peer has opened a link. Returns the link of an earlier run of the peer that
+    /// it replaces, if there is one.
     pub fn accepted(&mut self, now: Instant, link: LinkId, hello: &Hello) -> Option<LinkId> {
         self.learn(now, &hello.node);
         let index = self.by_name.get(&hello.node.name).copied()?;
@@ -231,7 +233,7 @@
         let state = peer.link;
         match state {
             LinkState::Open(_) if is_same_run => None,
-            // Both ends go by names, so that they keep the same one of two links.
+            // Both ends compare the names, so that they use the same one of the two links.
             LinkState::Opening(_) if self.own_name < hello.node.name => {
                 self.introduce(index, hello);
                 None
@@ -256,8 +258,8 @@
         }
     }
 
-    /// Takes in that a link has ended; returns the peer's name and whether the link was in use, if it
-    /// was known.
+    /// Records that a link has ended. Returns the name of the peer and whether the link was in use;
+    /// `None` if the link is unknown.
     pub fn closed(&mut self, now: Instant, link: LinkId) -> Option<(String, bool)> {
         let index = self.by_link.remove(&link)?;
         let state = self.peers[index.0].link;
@@ -282,7 +284,7 @@
         self.relist(index);
     }
 
-    /// Takes another link of the peer into use.
+    /// Switches to another open link of the peer, if there is one.
     fn use_spare_link(&mut self, now: Instant, index: PeerIndex) {
         let mut links = self.by_link.iter();
         let spare = links.find(|(_, other)| **other == index);
@@ -291,7 +293,7 @@
         }
     }
 
-    /// Puts a peer whose link or service has changed where it now belongs.
+    /// Updates the index by service after the link or the service of a peer has changed.
     fn relist(&mut self, index: PeerIndex) {
         self.is_subset_due = true;
         for indices in self.linked.values_mut() {
--- a/crates/rillgap-forward/src/directory/owners.rs
+++ b/crates/rillgap-forward/src/directory/owners.rs
@@ -1,4 +1,4 @@
-//! Who owns the buckets of tenants' tokens, as this node sees its peers.
+//! Owners of the buckets of tenants' tokens, as far as this node can tell from its peers.
 
 use std::time::Duration;
 
@@ -10,24 +10,25 @@
 use crate::rate_limit::ownership::{Owner, TenantHash};
 use crate::watcher_election;
 
-/// Silence after which a linked peer does not count as heard: longer than the time between two of its
-/// reports.
+/// Time without a message after which a peer with a link does not count as reachable: longer than
+/// the interval between status reports.
 const HEARD_LATELY: Duration = Duration::from_millis(3_500);
 
 impl Directory {
-    /// Takes in which tenants have a limit.
+    /// Sets the tenants that have a rate limit.
     pub fn set_limited(&mut self, tenants: Vec<TenantHash>) {
         self.limited = tenants;
         self.is_subset_due = true;
     }
 
-    /// Takes in that requests come of a tenant with a limit: its owner is needed.
+    /// Records that this node receives requests of a limited tenant, so that links to the owner of
+    /// its bucket are needed.
     pub fn use_tenant(&mut self, tenant: TenantHash) {
         self.is_subset_due |= self.in_use.insert(tenant);
     }
 
-    /// Returns the owner of a tenant's bucket. `offers_since` is since when this node offers to own
-    /// buckets.
+    /// Returns the owner of a tenant's bucket. `offers_since` is the time since which this node
+    /// offers to own buckets; `None` if it does not.
     pub fn bucket_owner(&self, tenant: TenantHash, offers_since: Option<Instant>) -> Owner {
         let own_rank = tenant.owner_score(watcher_election::name_hash(&self.own_name));
         let mut best: Option<(u64, PeerIndex)> = None;
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Returns the link to the peer that would own a tenant's bucket after this one, of those with a
-    /// link.
+    /// Returns the link to the linked peer that is next in the order of owners of a tenant's bucket
+    /// after `owner`.
     pub fn next_owner_link(&self, tenant: TenantHash, owner: PeerIndex) -> Option<LinkId> {
         let rank = |peer: &Peer| tenant.owner_score(peer.name_hash());
         let owner = rank(self.peer(owner));
@@ -66,13 +67,13 @@
         next.open_link()
     }
 
-    /// Takes in that a query is sent to a peer whose answer is awaited.
+    /// Records that a query was sent to a peer and its answer is pending.
     pub fn query_sent(&mut self, now: Instant, index: PeerIndex) {
         self.peers[index.0].query_sent(now);
     }
 
-    /// Returns whether the node hears of most of the peers that it wants links to: one that is cut off
-    /// from the others does not.
+    /// Returns whether the node hears from at least half of the selected peers. A node that is cut
+    /// off from the others does not.
     pub fn hears_most(&self, now: Instant) -> bool {
         let mut wanted = 0;
         let mut heard = 0;
@@ -84,9 +85,10 @@
         heard * 2 >= wanted
     }
 
-    /// Marks the peers that tenants' buckets need links to: owners of those whose requests come in here
-    /// and the ones that follow them, those that would own a bucket before this node does, and the owner
-    /// that this node follows.
+    /// Selects the peers that tenants' buckets need links to. For a limited tenant with requests at
+    /// this node, these are the owner of the bucket and its successor. For a tenant whose bucket
+    /// this node owns, or would own next, it is the peer that comes first in the order of owners.
+    /// Peers with a higher score that cannot own the bucket now are included.
     pub(super) fn want_owners(&mut self) {
         let own = watcher_election::name_hash(&self.own_name);
         for tenant in self.limited.iter().copied() {
@@ -95,7 +97,7 @@
             let wanted_from = if self.in_use.contains(&tenant) {
                 next
             } else if own_rank > next {
-                // This node owns the bucket, or does next.
+                // This node owns the bucket, or would own it next.
                 owner
             } else {
                 continue;
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Returns the ranks of the two peers that would own a tenant's bucket first; 0 where there is none.
+    /// Returns the scores of the two peers that come first in the order of owners of a tenant's
+    /// bucket; 0 where there is none.
     fn two_highest(&self, tenant: TenantHash) -> (u64, u64) {
         let mut highest = (0, 0);
         for peer in self.peers.iter().filter(|peer| peer.may_own_buckets()) {
--- a/crates/rillgap-forward/src/directory/proofs.rs
+++ b/crates/rillgap-forward/src/directory/proofs.rs
@@ -1,4 +1,4 @@
-//! Peers that may prove how fresh the configuration is.
+//! Selection of the peers that are asked to prove that the configuration is the newest one.
 
 use rillgap_core::time::Instant;
 
@@ -7,8 +7,8 @@
 use crate::peer::Peer;
 
 impl Directory {
-    /// Returns links to so many peers that may prove how fresh the configuration is: those that watch
-    /// the store or have news of it, then others, each time different ones.
+    /// Returns links to `count` peers that may prove that the configuration is the newest one:
+    /// peers that watch the store or are followed come first, then others in rotation.
     pub fn proof_links(&mut self, now: Instant, count: usize) -> Vec<LinkId> {
         let indices: Vec<PeerIndex> = self.linked.values().flatten().copied().collect();
         if indices.is_empty() {
--- a/crates/rillgap-forward/src/event.rs
+++ b/crates/rillgap-forward/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a node.
+//! Events that a node handles.
 
 use std::time::Duration;
 
@@ -8,51 +8,52 @@
 use crate::message::{ForwardedAnswer, Hello, LinkMessage};
 use crate::store_sync::{StoreReply, StoreRequestId};
 
-/// A request of a caller, received whole.
+/// A request of a caller, received completely.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// Identifier that the caller gave.
+    /// Identifier that the caller has given the request.
     pub request_id: String,
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// Target.
+    /// Request target.
     pub target: String,
-    /// Value of `Host`.
+    /// Value of the `Host` header.
     pub host: String,
-    /// End-to-end fields, encoded.
+    /// End-to-end header fields, encoded.
     pub fields: Vec<u8>,
     /// Whole body.
     pub body: Vec<u8>,
-    /// What the request shows of its caller.
+    /// Key that the caller has presented, if any.
     pub credential: Credential,
-    /// How long the caller waits, if it says so.
+    /// Time for which the caller waits; `None` if the request does not state it.
     pub deadline: Option<Duration>,
-    /// Identifier of the request for which the back end beside the node would have made this one,
-    /// as far as its own identifier tells.
+    /// Identifier of the parent if the request is a call of the back end beside the node, taken
+    /// from the request's own identifier; `None` if that names no parent.
     pub parent_id: Option<String>,
 }
 
-/// How a request that was handed to the back end ended.
+/// Result of a request that was sent to the back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeResult {
-    /// A whole and genuine answer.
+    /// The back end sent a complete answer. A success counts only with the response signature and
+    /// the identifier of the request.
     Answered(ForwardedAnswer),
-    /// The back end says that it did not run the request.
+    /// The back end reports that it did not run the request.
     NotExecuted,
     /// Another back end has the address; the request was not run.
     WrongInstance,
-    /// No byte was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// The request was sent and no whole or genuine answer came.
+    /// The request was sent, but no complete and authentic answer was received.
     Lost,
 }
 
 /// State that a back end announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnouncedState {
-    /// Takes requests.
+    /// The back end accepts requests.
     Ready,
-    /// Leaves service.
+    /// The back end is leaving service.
     Draining,
 }
 
@@ -61,108 +62,109 @@
 pub struct Heartbeat {
     /// Incarnation of the back end.
     pub incarnation: Incarnation,
-    /// Service.
+    /// Service that the back end runs.
     pub service: String,
-    /// Address, as text.
+    /// Address of the back end, as text.
     pub address: String,
-    /// Requests that it works on at the same time.
+    /// Number of requests that the back end runs at the same time.
     pub slots: u32,
     /// Announced state.
     pub state: AnnouncedState,
-    /// Number that grows with every heartbeat of the incarnation.
+    /// Sequence number, increases with every heartbeat of the incarnation.
     pub sequence: u64,
 }
 
-/// Answer of the health endpoint.
+/// Result of a probe of the health endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// Healthy and not leaving.
+    /// Healthy and not leaving service.
     Healthy {
-        /// Identifier of the incarnation that answered, which runs of a back end may share.
+        /// Identifier of the back end that answered; several incarnations may share it.
         instance: String,
     },
-    /// Failing or leaving.
+    /// Failing or leaving service.
     Unhealthy,
     /// Nothing listens at the address: the process has ended.
     Refused,
-    /// No answer.
+    /// No answer was received.
     Unreachable,
 }
 
-/// What happens to a node.
+/// An event that a node handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request has arrived whole.
+    /// A caller's request was received completely.
     Request {
-        /// Connection.
+        /// Connection of the caller.
         connection: ConnectionId,
-        /// Place on the connection.
+        /// Position on the connection.
         pipeline_index: PipelineIndex,
         /// The request.
         request: CallerRequest,
     },
-    /// A connection has ended; nobody waits for its answers.
+    /// A caller's connection has ended; answers to its requests are no longer needed.
     CallerDisconnected(ConnectionId),
-    /// A link that the node opened is up.
+    /// A link that this node opened is up.
     LinkOpened {
-        /// Link.
+        /// Identifier of the link.
         link: LinkId,
-        /// Introduction of the peer.
+        /// First message of the peer.
         hello: Hello,
     },
-    /// A peer has opened a link.
+    /// A peer has opened a link to this node.
     LinkAccepted {
-        /// Link.
+        /// Identifier of the link.
         link: LinkId,
-        /// Introduction of the peer.
+        /// First message of the peer.
         hello: Hello,
     },
-    /// A message on a link.
+    /// A message was received on a link.
     Link {
-        /// Link.
+        /// Identifier of the link.
         link: LinkId,
-        /// Message.
+        /// The message.
         message: LinkMessage,
     },
     /// A link has ended or could not be opened.
     LinkClosed(LinkId),
     /// A request at the back end has ended.
     ExchangeEnded {
-        /// Request.
+        /// Identifier of the request at the back end.
         exchange: ExchangeId,
-        /// How.
+        /// Its result.
         result: ExchangeResult,
     },
     /// The back end has sent a heartbeat.
     Heartbeat {
-        /// What waits for the acknowledgement.
+        /// Identifies the acknowledgement that the back end waits for.
         announcement: AnnouncementId,
         /// The heartbeat.
         heartbeat: Heartbeat,
     },
-    /// The back end leaves.
+    /// The back end has announced that it leaves.
     BackEndLeft {
-        /// What waits for the acknowledgement.
+        /// Identifies the acknowledgement that the back end waits for.
         announcement: AnnouncementId,
-        /// Incarnation; the latest one of its identifier is meant if it does not tell when it has started.
+        /// Incarnation that leaves. Without a start time it denotes the latest incarnation with its
+        /// identifier.
         incarnation: Incarnation,
     },
-    /// The health endpoint has answered.
+    /// A probe of the health endpoint has ended.
     ProbeEnded {
-        /// Probe.
+        /// Identifier of the probe.
         probe: ProbeId,
-        /// Answer.
+        /// Result of the probe.
         result: ProbeResult,
     },
-    /// The store has answered.
+    /// A call to the store has ended.
     Store {
-        /// Request.
+        /// Identifier of the call.
         request: StoreRequestId,
-        /// Answer.
+        /// Reply of the store.
         reply: StoreReply,
     },
     /// A planned stop begins.
     Stop,
-    /// Time has passed.
+    /// The time given by [`Node::next_wake`](crate::node::Node::next_wake) has been reached.
     Wake,
 }
--- a/crates/rillgap-forward/src/lib.rs
+++ b/crates/rillgap-forward/src/lib.rs
@@ -1,11 +1,11 @@
 //! Decisions of a node that forwards requests between sidecars, as pure state machines.
 //!
-//! A node stands beside one back end. Its *outbound* side takes requests of callers and of that
-//! back end and chooses where they run; its *inbound* side is the only way to the back end and
-//! knows what runs there. [`node::Node`] joins both with the directory of peers, the
-//! configuration and the store. There is no I/O, no thread, no clock and no unseeded random
-//! number in this crate: the driver feeds [`event::Event`]s with the time and carries out the
-//! [`action::Action`]s.
+//! A node runs beside one back end. Its *outbound* side accepts requests from callers and from that
+//! back end, and chooses the back ends that they are sent to. Its *inbound* side is the only access
+//! to the back end, and tracks the requests that run there. [`node::Node`] combines both with the
+//! directory of peers, the configuration and the store. The crate contains no I/O, threads, clocks
+//! or unseeded random numbers: the driver passes in [`event::Event`]s with the current time and
+//! executes the resulting [`action::Action`]s.
 
 pub mod action;
 pub mod balancer;
--- a/crates/rillgap-forward/src/log_record.rs
+++ b/crates/rillgap-forward/src/log_record.rs
@@ -1,4 +1,4 @@
-//! Records for the log: each decision on a request, each change of what a node believes.
+//! Log records: decisions on requests and changes of a node's state.
 
 use rillgap_core::code::ResultCode;
 use rillgap_core::id::Fingerprint;
@@ -8,211 +8,215 @@
 use crate::store_epoch::StoreEpoch;
 use crate::store_sync::StoreFailure;
 
-/// Work that has ended without an answer.
+/// A request that ended without an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostRequest {
-    /// Incarnation of the back end that had the request.
+    /// Incarnation of the back end that the request was sent to.
     pub instance: String,
-    /// What the request asks for: tells whether requests that are lost together with back ends are the same.
+    /// Content of the request (route, method, target, tenant, body): shows whether several crashes
+    /// of back ends involve the same request.
     pub content: Fingerprint,
 }
 
-/// A record for the log.
+/// A structured log record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogRecord {
-    /// A request was answered.
+    /// A caller's request was answered.
     Answered {
-        /// The caller's identifier.
+        /// The caller's identifier of the request.
         request_id: String,
-        /// Route, empty if there is none.
+        /// Name of the route, empty if there is none.
         route: String,
-        /// Status that the caller got.
+        /// HTTP status code of the answer.
         status: u16,
-        /// Code of an answer of the node's own.
+        /// Result code if the node itself produced the answer; `None` if a back end did.
         code: Option<ResultCode>,
-        /// Node that was asked last, empty if none was.
+        /// Node that the request was sent to last, empty if it was sent to none.
         peer: String,
-        /// Nodes that were asked.
+        /// Number of attempts.
         attempts: u32,
-        /// Time since the request arrived, in microseconds.
+        /// Time since the request was received, in microseconds.
         elapsed_micros: u64,
-        /// Version of the configuration that chose the route.
+        /// Version of the configuration by which the route was chosen.
         configuration: u64,
-        /// Where the time of the last attempt went, as far as the node that was asked has told.
+        /// Timing of the last attempt, as reported by the node that received it.
         timing: Timing,
-        /// Tenant, empty if the request has shown no known key.
+        /// Name of the tenant, empty if the request has no known key.
         tenant: String,
-        /// Age of the proof that the configuration was the newest one, in milliseconds, if there is one.
+        /// Age of the proof that the configuration was the newest one, in milliseconds; `None` if
+        /// there was no proof.
         proof_age_millis: Option<u64>,
     },
-    /// A request was sent to another node after a first one.
+    /// A request was sent to another node after an attempt at a first one.
     Retried {
-        /// The caller's identifier.
+        /// The caller's identifier of the request.
         request_id: String,
-        /// Node that was asked before.
+        /// Node of the previous attempt.
         from: String,
-        /// Why.
+        /// Reason for the retry.
         code: ResultCode,
-        /// Whether the move was paid from the retry budget.
+        /// Whether the retry was paid for from the retry budget.
         paid: bool,
     },
-    /// The inbound side did not get an answer for a request.
+    /// The inbound side has ended a request without an answer.
     NotAnswered {
-        /// The caller's identifier.
+        /// The caller's identifier of the request.
         request_id: String,
-        /// Why.
+        /// Reason.
         code: ResultCode,
-        /// Time since the request arrived at this side, in microseconds.
+        /// Time since the request reached the inbound side, in microseconds.
         elapsed_micros: u64,
-        /// Requests that run.
+        /// Number of requests that run.
         running: u32,
-        /// Requests that wait.
+        /// Number of queued requests.
         queued: u32,
-        /// Requests that may run at once.
+        /// Maximum number of requests that run at the same time.
         limit: u32,
-        /// What was lost, if the back end may have worked on the request.
+        /// The lost request, if the back end may have run it.
         lost: Option<LostRequest>,
     },
-    /// The caller of a request has gone.
+    /// The caller of a request has disconnected.
     Cancelled {
-        /// The caller's identifier.
+        /// The caller's identifier of the request.
         request_id: String,
     },
-    /// What the node believes of its back end has changed.
+    /// The health of the back end, as the node sees it, has changed.
     BackEnd {
-        /// Incarnation.
+        /// Identifier of the incarnation.
         instance: String,
-        /// New standing.
+        /// New health.
         health: &'static str,
-        /// What changed it.
+        /// Cause of the change.
         cause: &'static str,
-        /// Number of the last heartbeat.
+        /// Sequence number of the last heartbeat.
         sequence: u64,
     },
     /// The back end has ended unexpectedly.
     BackEndCrashed {
-        /// Incarnation that has ended.
+        /// Identifier of the incarnation that has ended.
         instance: String,
-        /// Requests that were under way.
+        /// Number of requests that were in flight.
         in_flight: usize,
-        /// Contents among them that other back ends have ended under before.
+        /// Number of distinct contents among them that were already suspected because of earlier
+        /// crashes.
         previously_suspected: usize,
     },
-    /// The standing of requests that back ends end under has changed.
+    /// The suspicion against a content has changed.
     SuspicionChanged(SuspicionChange),
-    /// A caller's request was refused because back ends have ended under requests like it.
+    /// A caller's request was rejected because its content is quarantined: back ends have crashed
+    /// while such requests were in flight.
     RequestQuarantined {
-        /// The caller's identifier.
+        /// The caller's identifier of the request.
         request_id: String,
-        /// What it asks for.
+        /// Content of the request.
         content: Fingerprint,
     },
-    /// What is let in for the sake of a service has moved.
+    /// The admission of requests that lead to a service has changed.
     Admission {
-        /// Service that requests lead to, themselves or by the calls made for them.
+        /// Service that the requests lead to, directly or through calls made for them.
         service: String,
-        /// Lowest priority of which anything is let in; 0 is the highest.
+        /// Lowest priority of which any requests are admitted; 0 is the highest.
         priority: u8,
-        /// Share of that priority that is let in, in percent.
+        /// Share of that priority that is admitted, in percent.
         admitted_percent: u32,
     },
-    /// A peer can be reached, or not any more.
+    /// A peer has become reachable or unreachable.
     Peer {
         /// Name of the peer.
         peer: String,
-        /// Whether it can be reached.
+        /// Whether the peer is reachable.
         is_up: bool,
-        /// What changed it.
+        /// Cause of the change.
         cause: &'static str,
     },
-    /// A configuration is in force.
+    /// A configuration was put in force.
     Configuration {
-        /// Version.
+        /// Version of the configuration.
         version: u64,
-        /// Routes.
+        /// Number of routes.
         routes: usize,
-        /// Tenants.
+        /// Number of tenants.
         tenants: usize,
-        /// `store` or `peer`.
+        /// Where it was received from: `store` or `peer`.
         source: &'static str,
     },
-    /// A newer configuration is known to exist at a peer.
+    /// A peer is known to have a newer configuration.
     NewerConfiguration {
-        /// Its version.
+        /// Version of the newer configuration.
         version: u64,
-        /// Version in force.
+        /// Version in force at this node.
         own_version: u64,
-        /// The peer that was first to tell; empty if its link is not known any more.
+        /// Name of the first peer that reported it; empty if its link has ended.
         peer: String,
     },
-    /// A peer is asked for a newer configuration.
+    /// A peer is queried for a newer configuration.
     ConfigurationQuery {
         /// Version that is expected.
         version: u64,
-        /// Version in force.
+        /// Version in force at this node.
         own_version: u64,
-        /// The peer; empty if its link is not known any more.
+        /// Name of the peer; empty if its link has ended.
         peer: String,
     },
-    /// The store answers, or not any more.
+    /// The store has become available or unavailable.
     Store {
-        /// The call that failed and why; `None` if the store answers again.
+        /// The call that failed, and the failure; `None` if the store is available again.
         failure: Option<(&'static str, StoreFailure)>,
     },
-    /// The store holds entries in place of nodes' records that are none.
+    /// The list of nodes in the store contains entries that cannot be read as records of nodes.
     UnreadableRecords {
-        /// How many.
+        /// Number of these entries.
         unreadable: usize,
     },
-    /// The store has come back from a copy.
+    /// The store was restored from a backup.
     StoreRestored {
-        /// Epoch that was known before.
+        /// Last epoch known before.
         before: StoreEpoch,
-        /// Epoch that it has reached.
+        /// Epoch that the store has reached.
         epoch: StoreEpoch,
         /// Version of the configuration in force here, which the store may have lost.
         configuration: u64,
-        /// Peer that has told of it; `None` if the store itself has.
+        /// Peer that reported the epoch; `None` if it came from the store itself.
         peer: Option<String>,
     },
-    /// The node begins to watch the store for itself and others, or ends it.
+    /// The node has started or stopped watching the store.
     Watch {
-        /// Whether it watches.
+        /// Whether the node watches the store.
         is_watching: bool,
-        /// Followed peers that have fresh news of the store.
+        /// Number of followed peers with a recent contact with the store.
         fresh: usize,
-        /// Nodes that precede this one in the order of watchers, about.
+        /// Approximate number of nodes that precede this one in the order of watchers.
         preceding: u64,
     },
-    /// Requests with keys are served, or refused because the configuration is not known to be the
-    /// newest one.
+    /// Requests with keys are served again, or rejected because the configuration is not known to
+    /// be the newest one.
     Freshness {
-        /// Whether they are served.
+        /// Whether requests with keys are served.
         is_proven: bool,
-        /// Age of the proof in milliseconds, if there is one.
+        /// Age of the proof in milliseconds; `None` if there is no proof.
         proof_age_millis: Option<u64>,
     },
-    /// The node offers to own buckets of tenants' tokens, or does not any more.
+    /// The node has begun or ceased to offer to own buckets of tenants' tokens.
     BucketOffer {
-        /// Whether it offers.
+        /// Whether the node offers to own buckets.
         offers: bool,
-        /// Known peers.
+        /// Number of known peers.
         peers: usize,
     },
-    /// A tenant's bucket does not hold all tokens that were wanted.
+    /// A tenant's bucket does not hold all requested tokens.
     TenantLimit {
-        /// Tenant.
+        /// Name of the tenant.
         tenant: String,
-        /// Tokens that were given.
+        /// Number of tokens that were granted.
         granted: u32,
-        /// Time before which there are no more, in milliseconds.
+        /// Time until more tokens are available, in milliseconds.
         wait_millis: u32,
     },
-    /// The node's own state.
+    /// The lifecycle state of the node has changed.
     Lifecycle {
-        /// `started`, `stopping`, `exiting`.
+        /// `started`, `stopping` or `exiting`.
         state: &'static str,
-        /// Requests in flight.
+        /// Number of requests in flight.
         in_flight: usize,
     },
 }
--- a/crates/rillgap-forward/src/message.rs
+++ b/crates/rillgap-forward/src/message.rs
@@ -1,4 +1,6 @@
 //! Messages between nodes.
+//!
+//! Fields and variants are encoded by position: their order, types and number are the wire format.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
@@ -16,16 +18,18 @@
 use crate::id::Sequence;
 use crate::store_epoch::StoreEpoch;
 
-/// Lowest priority that is told apart; all beyond it are treated like it. 0 is the highest.
+/// Lowest priority; larger numbers are treated like it. 0 is the highest priority.
 const LOWEST_PRIORITY: u8 = 7;
-/// Tiers of admission levels for each priority: where the priority is the tenant's, requests on
-/// routes of a higher priority than that come first, and those on routes of a lower one last.
+/// Tiers of admission levels for each priority. For a tenant with its own priority, the upper tier
+/// holds requests on routes of a higher priority than the tenant's, the lower tier those on routes
+/// of a lower one.
 const TIERS_PER_PRIORITY: u8 = 3;
-/// Places within a rank of a queue; not one for each level, so that roots that came first are not overtaken for ever.
+/// Number of positions within a rank of a queue. Fewer than levels, so that requests of earlier
+/// roots are not overtaken indefinitely.
 const PLACES: u8 = 8;
 /// Tier of the requests that are shed last.
 const HIGHEST_TIER: u8 = (LOWEST_PRIORITY + 1) * TIERS_PER_PRIORITY - 1;
-/// Number of tiers.
+/// Number of tiers of admission levels.
 pub const TIER_COUNT: usize = HIGHEST_TIER as usize + 1;
 
 /// Returns the admission level of a caller's request on a route of this priority.
@@ -33,8 +37,8 @@
     level_for_tenant(priority, priority, request_id)
 }
 
-/// Returns the admission level of a request of a tenant that has a priority of its own, which goes
-/// before that of the route.
+/// Returns the admission level of a request of a tenant that has its own priority, which takes
+/// precedence over that of the route.
 pub fn level_for_tenant(tenant_priority: u8, route_priority: u8, request_id: &str) -> Level {
     let priority = tenant_priority.min(LOWEST_PRIORITY);
     let behind = match route_priority.cmp(&tenant_priority) {
@@ -46,22 +50,22 @@
     Level::in_tier(tier, request_id.as_bytes())
 }
 
-/// Returns the priority that the requests of a level have.
+/// Returns the priority of the requests with an admission level.
 pub const fn priority_of(level: Level) -> u8 {
     HIGHEST_TIER.saturating_sub(level.tier()) / TIERS_PER_PRIORITY
 }
 
-/// Returns the tier of the requests that have a rank in a queue.
+/// Returns the tier of the requests with a rank in a queue.
 pub const fn tier_of(rank: u8) -> u8 {
     HIGHEST_TIER.saturating_sub(rank / 2)
 }
 
-/// A node as others know it.
+/// Name, address and service of a node, as stored and sent to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct NodeRecord {
     /// Name, unique in the deployment.
     pub name: String,
-    /// Address for links.
+    /// Address that the node listens on for links.
     pub address: SocketAddr,
     /// Failure zone.
     pub zone: String,
@@ -69,30 +73,30 @@
     pub service: String,
 }
 
-/// Load of a back end, as the node beside it sees it.
+/// Load of a back end, as measured by the node beside it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Load {
-    /// Requests that may run at once.
+    /// Maximum number of requests that run at the same time.
     pub limit: u32,
-    /// Requests that run.
+    /// Number of requests that run.
     pub running: u32,
-    /// Requests that wait, by tier; [`u16::MAX`] stands for that many or more.
+    /// Number of queued requests, by tier; saturates at [`u16::MAX`].
     pub queued: [u16; TIER_COUNT],
     /// Mean time that a request takes, in microseconds.
     pub mean_micros: u32,
-    /// Level below which the node would shed requests; zero while it would shed none.
+    /// Admission level below which the node sheds requests; zero while it sheds none.
     pub level: Level,
-    /// Share of recent requests that the back end itself has failed, in thousandths.
+    /// Fraction of recent requests that the back end itself has failed, in thousandths.
     pub failing_permille: u32,
 }
 
 impl Load {
-    /// Returns the number of requests that wait.
+    /// Returns the number of queued requests in all tiers.
     pub fn total_queued(&self) -> u32 {
         self.queued.iter().map(|queued| u32::from(*queued)).sum()
     }
 
-    /// Returns the requests that run, or are started before a new one of this level.
+    /// Returns the number of requests that run or would be started before a new one of this level.
     pub fn ahead_of(&self, level: Level) -> u32 {
         let tier = usize::from(level.tier().min(HIGHEST_TIER));
         let queued: u32 = self.queued[tier..].iter().copied().map(u32::from).sum();
@@ -100,54 +104,54 @@
     }
 }
 
-/// What a node says about the back end beside it.
+/// Status of a node and of the back end beside it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Status {
     /// Service that the back end runs.
     pub service: String,
-    /// Whether the back end takes new requests.
+    /// Whether the back end accepts new requests.
     pub is_serving: bool,
     /// Whether the node is in a planned stop.
     pub is_stopping: bool,
     /// Load of the back end.
     pub load: Load,
-    /// Whether the node watches the store and has lately heard of it.
+    /// Whether the node watches the store and its watch was answered recently.
     pub is_watching: bool,
-    /// Whether the node would own buckets of tenants' tokens.
+    /// Whether the node offers to own buckets of tenants' tokens.
     pub can_own_buckets: bool,
 }
 
 /// First message in both directions of a link.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Hello {
-    /// Version of the protocol.
+    /// Version of the protocol between nodes.
     pub protocol: u32,
-    /// The sender.
+    /// Record of the sender.
     pub node: NodeRecord,
-    /// Run of the sender.
+    /// Incarnation of the sender: differs between its runs.
     pub incarnation: u64,
-    /// The sender's back end.
+    /// Status of the sender and its back end.
     pub status: Status,
     /// Version of the sender's configuration; 0 for none.
     pub configuration_version: u64,
-    /// Epoch of the store, as far as the sender has heard of it.
+    /// Last epoch of the store that the sender knows; `None` if it knows none.
     pub store_epoch: Option<StoreEpoch>,
 }
 
-/// A request as it goes to the back end.
+/// A request as it is forwarded to the back end.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ForwardedRequest {
     /// The caller's identifier of the request.
     pub request_id: String,
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// Target.
+    /// Request target.
     pub target: String,
-    /// End-to-end fields, encoded.
+    /// End-to-end header fields, encoded.
     pub fields: Vec<u8>,
     /// Whole body.
     pub body: Vec<u8>,
-    /// Service beside whose back end the request began.
+    /// Service of the back end beside the node at which the request entered.
     pub caller_service: String,
     /// Service that is to run the request.
     pub service: String,
@@ -155,31 +159,32 @@
     pub route: String,
     /// Whether the request may run more than once.
     pub is_idempotent: bool,
-    /// Tenant whose key the caller has shown.
+    /// Tenant that the caller's key belongs to; `None` if the request has no key.
     pub tenant: Option<String>,
-    /// Admission level of the caller's request at the root of the chain.
+    /// Admission level of the root of the chain.
     pub level: Level,
-    /// Whether a back end made the request while it works on another.
+    /// Whether a back end made the request while it works on another one (a call).
     pub is_call: bool,
-    /// Whether the request, or one further up its chain, was sent to a back end before.
+    /// Whether the request, or an ancestor in its chain, was sent to a back end before.
     pub is_retry: bool,
-    /// Time that is left for the request, in microseconds.
+    /// Time left until the deadline of the request, in microseconds.
     pub remaining_micros: u64,
-    /// Longest time for which the request may wait in a queue, in microseconds.
+    /// Maximum time that the request may wait in a queue, in microseconds.
     pub queue_limit_micros: u64,
 }
 
 impl ForwardedRequest {
-    /// Returns the fingerprint of what the request asks for.
+    /// Returns the fingerprint of what the request asks for, called its content.
     pub fn content(&self) -> Fingerprint {
         let tenant = self.tenant.as_deref();
         content_fingerprint(&self.route, &self.method, &self.target, tenant, &self.body)
     }
 
-    /// Returns the place within the rank; 0 is served first.
+    /// Returns the position within the rank; 0 is served first.
     ///
-    /// It follows from the level, which all calls made for one root have. Where a service sheds calls of one priority, the
-    /// same chains go through whole; in the order of arrival each chain would lose a call now and then.
+    /// The position is derived from the admission level, which all calls of one root share. When a
+    /// service sheds calls of one priority, the same chains complete; in order of arrival, every
+    /// chain would lose a call now and then.
     pub fn position_in_rank(&self) -> u8 {
         let within = self.level.0 % Level::PER_TIER;
         let group = within * u32::from(PLACES) / Level::PER_TIER;
@@ -188,8 +193,8 @@
 
     /// Returns the rank in a queue; 0 is served first.
     ///
-    /// The priority of the root decides for the whole chain. Within it, calls go before new
-    /// requests: they decide whether work that is already done was for nothing.
+    /// The priority of the root applies to its whole chain. Within a priority, calls precede new
+    /// requests: if a call is shed, the work already done for its chain is wasted.
     pub fn rank(&self) -> u8 {
         let last = if self.is_call { 0 } else { 1 };
         let below = HIGHEST_TIER - self.level.tier().min(HIGHEST_TIER);
@@ -197,10 +202,10 @@
     }
 }
 
-/// Returns the fingerprint of what a request asks for.
+/// Returns the fingerprint of what a request asks for, called its content.
 ///
-/// The identifier and the deadline differ from try to try, and the machine at which a request begins, and with it
-/// the caller's service, is any: they are left out.
+/// The identifier and the deadline are left out because they differ between attempts, and the
+/// caller's service because a request may enter at any machine.
 pub fn content_fingerprint(
     route: &str,
     method: &str,
@@ -218,90 +223,91 @@
     ])
 }
 
-/// An answer of a back end.
+/// A response of a back end.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ForwardedAnswer {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// End-to-end fields, encoded.
+    /// End-to-end header fields, encoded.
     pub fields: Vec<u8>,
     /// Whole body.
     pub body: Vec<u8>,
 }
 
 impl ForwardedAnswer {
-    /// Returns whether the request was served.
+    /// Returns whether the status code is a success.
     pub const fn is_success(&self) -> bool {
         self.status >= 200 && self.status < 300
     }
 }
 
-/// Where the time of an attempt went at the node beside the back end.
+/// Time that an attempt took at the node beside the back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Timing {
     /// Time in the queue, in microseconds.
     pub queued_micros: u64,
-    /// Time at the back end, in microseconds; 0 if the request did not get there.
+    /// Time at the back end, in microseconds; 0 if the request was not sent to it.
     pub back_end_micros: u64,
 }
 
-/// What became of a request at the node beside the back end.
+/// Result of a request at the node beside the back end.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ForwardResult {
-    /// The back end answered whole.
+    /// The back end sent a complete answer.
     Answered(ForwardedAnswer),
-    /// The request did not run there and never will.
+    /// The request did not run at this node and will not.
     NotRun {
-        /// Why.
+        /// Reason.
         code: ResultCode,
-        /// Whether it had reached the back end.
+        /// Whether the request had reached the back end.
         arrived: bool,
-        /// Time after which there may be room, in milliseconds.
+        /// Time after which a retry may be admitted, in milliseconds.
         retry_after_millis: u32,
     },
-    /// The request may have run; there is no answer.
+    /// The request may have run, but no answer was received.
     Unknown {
-        /// Why.
+        /// Reason.
         code: ResultCode,
     },
 }
 
-/// Level below which the back ends of a service would shed requests.
+/// Admission level below which the back ends of a service shed requests.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ServiceAdmissionLevel {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The level.
+    /// Admission level; zero while nothing is shed.
     pub level: Level,
 }
 
-/// Answer to a forwarded request.
+/// Response to a forwarded request.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ForwardResponse {
-    /// Number of the request on its link.
+    /// Sequence number of the request on its link.
     pub sequence: Sequence,
     /// Load of the back end.
     pub load: Load,
-    /// Levels of the services that calls made for the request went to.
+    /// Admission levels of the services that calls made for the request went to.
     pub downstream_levels: Vec<ServiceAdmissionLevel>,
     /// Whether a call made for the request has failed.
     pub has_failed_call: bool,
-    /// Where the time went.
+    /// Time spent in the queue and at the back end.
     pub timing: Timing,
-    /// What became of the request.
+    /// Result of the request.
     pub result: ForwardResult,
 }
 
-/// A peer's word on how fresh its configuration is.
+/// A peer's answer on how fresh its configuration is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessAnswer {
-    /// Epoch of the store that the proof rests on.
+    /// Epoch of the store that the proof is based on.
     pub epoch: StoreEpoch,
     /// Number of the query.
     pub number: QueryNumber,
-    /// Version of the configuration that the peer has.
+    /// Version of the peer's configuration.
     pub version: u64,
-    /// Age of the peer's proof that it is the newest one, when it answers, in microseconds.
+    /// Age of the proof that this version is the newest one, at the time of the answer, in
+    /// microseconds.
     pub age_micros: u64,
 }
 
@@ -310,9 +316,9 @@
 pub struct TokenQuery {
     /// Number of the query.
     pub number: u64,
-    /// Tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Tokens that are wanted.
+    /// Number of tokens that are needed.
     pub wanted: u32,
 }
 
@@ -321,69 +327,72 @@
 pub struct TokenAnswer {
     /// Number of the query.
     pub number: u64,
-    /// Tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// What became of the query.
+    /// Result of the query.
     pub result: TokenResult,
 }
 
-/// What became of a query for tokens.
+/// Result of a query for tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum TokenResult {
-    /// Tokens.
+    /// The owner grants tokens from its bucket.
     Granted {
-        /// Tokens.
+        /// Number of tokens.
         tokens: u32,
-        /// Time before which there are no more, in milliseconds; 0 if all were given that were wanted.
+        /// Time until more tokens are available, in milliseconds; 0 if all requested tokens were
+        /// granted.
         wait_millis: u32,
     },
-    /// This node owns the bucket.
+    /// Another node, given here, owns the bucket.
     OwnedBy(NodeRecord),
 }
 
 /// A message on a link.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkMessage {
-    /// Introduction.
+    /// First message, identifies the sender.
     Hello(Hello),
     /// Run this request.
     Request {
-        /// Number of the request on its link.
+        /// Sequence number of the request on its link.
         sequence: Sequence,
         /// The request.
         request: Arc<ForwardedRequest>,
     },
-    /// Nobody waits for this request any more.
+    /// The result of this request is no longer needed.
     Cancel(Sequence),
-    /// Answer to a request.
+    /// Response to a request.
     Response(ForwardResponse),
-    /// The sender's back end has changed, or a sign of life.
+    /// Status of the sender, sent on changes and periodically as a heartbeat.
     Status(Status),
-    /// Say that you live.
+    /// Requests a [`Self::Pong`].
     Ping,
     /// Answer to a ping.
     Pong,
     /// The sender has this version of the configuration.
     ConfigurationOffer(u64),
-    /// Send the configuration if it is newer than this version.
+    /// Requests the configuration if it is newer than this version.
     ConfigurationQuery(u64),
     /// A configuration.
     Configuration(Arc<Configuration>),
-    /// Tell news of the store from now on, or do not any more.
+    /// Subscribes to (`true`) or cancels (`false`) reports of the receiver's last contact with the
+    /// store.
     Follow(bool),
-    /// Age of the sender's news of the store in microseconds; `None` if it has no fresh ones.
+    /// Age of the sender's last contact with the store, in microseconds; `None` if it is not
+    /// recent.
     StoreContact(Option<u64>),
-    /// The store has come back from a copy and has reached this epoch.
+    /// The store was restored from a backup and has reached this epoch.
     StoreEpoch(StoreEpoch),
-    /// How fresh is your configuration?
+    /// Requests the age of the proof that the receiver's configuration is the newest one.
     FreshnessQuery(QueryNumber),
-    /// Answer to that.
+    /// Answer to a freshness query.
     FreshnessAnswer(FreshnessAnswer),
-    /// Give tokens of a tenant's bucket.
+    /// Requests tokens of a tenant's bucket.
     TokenQuery(TokenQuery),
-    /// Answer to that.
+    /// Answer to a token query.
     TokenAnswer(TokenAnswer),
-    /// What the sender knows of requests under which back ends end.
+    /// The sender's evidence on requests that are suspected of crashing back ends.
     CrashEvidence(Vec<ContentEvidence>),
 }
 
--- a/crates/rillgap-forward/src/node/evidence.rs
+++ b/crates/rillgap-forward/src/node/evidence.rs
@@ -1,4 +1,4 @@
-//! Spread of the evidence against requests under which back ends end.
+//! Distribution of the evidence against requests that are suspected of crashing back ends.
 
 use rillgap_core::time::Instant;
 
@@ -15,8 +15,9 @@
         self.evidence_source = (!exonerates).then_some(link);
     }
 
-    /// Tells the peers what has changed. Links form one net, and each node passes on what is news to it, so
-    /// that all nodes learn it.
+    /// Sends changed evidence to the peers: that of several crashes to all, that of a single one only
+    /// to peers with the same service. Every node forwards what is new to it, so that the evidence
+    /// reaches all of them.
     pub(super) fn tell_evidence(&mut self, now: Instant, out: &mut Actions) {
         let crashes = self.inbound.crashes_mut();
         for change in crashes.take_changes() {
@@ -32,7 +33,7 @@
         send_evidence(&news.for_service, links, source, out);
     }
 
-    /// Tells a peer at the other end of a new link what it may not know.
+    /// Sends the evidence known here to the peer at the other end of a new link.
     pub(super) fn introduce_evidence(
         &self,
         now: Instant,
--- a/crates/rillgap-forward/src/node/follow.rs
+++ b/crates/rillgap-forward/src/node/follow.rs
@@ -1,4 +1,5 @@
-//! News of the store: who is followed, who follows, and whether the node watches the store itself.
+//! Contact with the store: which peers the node follows and is followed by, and whether it watches
+//! the store itself.
 
 use std::time::Duration;
 
@@ -11,7 +12,8 @@
 use crate::message::LinkMessage;
 use crate::watcher_election::PrecedingNodes;
 
-/// Time after its start after which a node that could not list the others watches by what it knows.
+/// Time after the start after which the node decides whether to watch the store even if it has not
+/// listed the other nodes.
 const LIST_PATIENCE: Duration = Duration::from_secs(3);
 
 impl Node {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Passes on news of the store to the followers.
+    /// Sends the age of the last contact with the store to the followers.
     pub(super) fn tell_followers(&mut self, now: Instant, out: &mut Actions) {
         let own = self.store.last_contact_at(now);
         if let Some((followers, age)) = self.watch_relay.take_due(now, own) {
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Tells peers that they are followed, or not any more.
+    /// Sends `Follow` messages to the peers that the node begins or ceases to follow.
     pub(super) fn update_followed(&mut self, out: &mut Actions) {
         for change in self.directory.take_follow_changes() {
             if !change.follows {
@@ -59,7 +61,8 @@
         }
     }
 
-    /// Begins or ends the watch of the store, by the news that the followed peers have.
+    /// Starts or stops the watch of the store, depending on the contact that the followed peers
+    /// have.
     pub(super) fn update_watch(&mut self, now: Instant, out: &mut Actions) {
         let may_judge = self.store.has_listed() || now >= self.started_at + LIST_PATIENCE;
         let may_watch = may_judge && self.stopping_since.is_none();
--- a/crates/rillgap-forward/src/node/freshness.rs
+++ b/crates/rillgap-forward/src/node/freshness.rs
@@ -1,4 +1,4 @@
-//! Proofs that the configuration is fresh: asked from peers, given to them.
+//! Proofs that the configuration is the newest one: queries to peers and answers to theirs.
 
 use std::time::Duration;
 
@@ -11,14 +11,15 @@
 use crate::log_record::LogRecord;
 use crate::message::{FreshnessAnswer, LinkMessage};
 
-/// Returns the age of the proof, if there is one.
+/// Returns the age of the proof in milliseconds, `None` if there is no proof.
 pub(super) fn age_millis(freshness: &Freshness, now: Instant) -> Option<u64> {
     let age = freshness.proof_age(now)?.as_millis();
     Some(u64::try_from(age).unwrap_or(u64::MAX))
 }
 
 impl Node {
-    /// Asks peers for a proof when the own one is getting old: those that watch the store first.
+    /// Queries peers for a proof before the node's own one expires, those that watch the store
+    /// first.
     pub(super) fn ask_for_proof(&mut self, now: Instant, out: &mut Actions) {
         self.note_freshness(now, out);
         let is_needed = self.table.as_ref().is_some_and(|table| table.has_tenants());
@@ -62,7 +63,7 @@
     }
 
     pub(super) fn on_freshness_answer(&mut self, answer: FreshnessAnswer) {
-        // The peer has not heard yet that the store came back from a copy.
+        // The peer has not been notified yet that the store was restored from a backup.
         if Some(answer.epoch) < self.store.epoch() {
             return;
         }
@@ -72,7 +73,7 @@
             .on_answer(answer.number, answer.version, age, own);
     }
 
-    /// Notes that requests with keys are served again, or not any more.
+    /// Logs when the node begins or ceases to serve requests with keys.
     fn note_freshness(&mut self, now: Instant, out: &mut Actions) {
         let is_proven = self.freshness.is_proven(now);
         if is_proven != self.told_proven {
--- a/crates/rillgap-forward/src/node/links.rs
+++ b/crates/rillgap-forward/src/node/links.rs
@@ -1,4 +1,4 @@
-//! Links to and from peers: opening, silence, reports.
+//! Links to and from peers: opening, timeouts, status reports.
 
 use std::time::Duration;
 
@@ -11,21 +11,24 @@
 use crate::message::{Hello, LinkMessage, Status};
 use crate::peer::Peer;
 
-/// Time between two reports of a node's back end on a link, which are also signs of life. Answers
-/// report the load as well, so links in use need no more.
+/// Interval between status reports on a link, which also serve as heartbeats. Answers report the
+/// load as well, so links in use need no shorter interval.
 const STATUS_INTERVAL: Duration = Duration::from_secs(3);
-/// Shortest time between two reports of a load that has changed much; answers tell it as well.
+/// Minimum interval between reports of a load that has changed much; answers report the load as
+/// well.
 const LOAD_REPORT_PAUSE: Duration = Duration::from_millis(400);
-/// Time between two reports of a node that watches the store: the others take over when they hear
-/// nothing of it.
+/// Interval between status reports of a node that watches the store: other nodes take over the
+/// watch when its reports stop.
 const WATCHER_STATUS_INTERVAL: Duration = Duration::from_millis(700);
-/// Shortest and longest silence of a link with requests under way after which the peer is pinged, and
-/// the share of the time that a request takes there on the mean. Most requests are answered by then.
+/// Minimum and maximum silence on a link with requests in flight after which the peer is pinged. In
+/// between the delay is the peer's mean service time multiplied by `PING_DELAY_FACTOR`: most
+/// requests are answered by then.
 const PING_AFTER: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(600));
 const PING_AFTER_SHARE: f64 = 1.5;
-/// Silence of a link with requests under way after which it is given up.
+/// Time without a message after which a link with requests in flight is closed.
 const SILENT_BUSY: Duration = Duration::from_millis(1_100);
-/// Silence of a link without requests after which it is given up: two reports are missing.
+/// Time without a message after which a link without requests is closed: two status reports are
+/// missing.
 const SILENT_IDLE: Duration = Duration::from_millis(7_500);
 
 impl Node {
@@ -65,7 +68,7 @@
         self.greet(now, link, hello, out);
     }
 
-    /// Sends what may have changed since the own introduction was written.
+    /// Sends the state that may have changed since the node's own `Hello` was encoded.
     fn greet(&mut self, now: Instant, link: LinkId, hello: &Hello, out: &mut Actions) {
         out.push(Action::SendOnLink {
             link,
@@ -76,7 +79,7 @@
         self.on_offer(now, link, hello.configuration_version, out);
     }
 
-    /// Takes in the epoch of the store that the peer knows, and tells it a later one.
+    /// Records the store epoch that the peer reports, and sends it a later one.
     fn exchange_epochs(&mut self, now: Instant, link: LinkId, hello: &Hello, out: &mut Actions) {
         if let Some(epoch) = hello.store_epoch {
             self.observe_epoch(now, epoch, Some(link), out);
@@ -102,7 +105,7 @@
         self.end_link(now, link, out);
     }
 
-    /// Ends what was under way on a link, in both directions.
+    /// Ends everything that is in flight on a link, in both directions.
     fn end_link(&mut self, now: Instant, link: LinkId, out: &mut Actions) {
         self.watch_relay.link_ended(link);
         self.inbound.on_link_closed(now, link, out);
@@ -120,7 +123,7 @@
         self.report_when_due(now, out);
     }
 
-    /// Sends the sign of life, at once if the node begins or ceases to watch the store.
+    /// Sends the periodic status report, at once if the node begins or ceases to watch the store.
     fn report_when_due(&mut self, now: Instant, out: &mut Actions) {
         let is_watching = self.store.is_watching(now);
         if now < self.next_status && is_watching == self.told_watching {
@@ -146,7 +149,8 @@
             };
             let unanswered = peer.unanswered_for(now);
             let is_idle = peer.in_flight == 0 && !inbound.has_requests_of(link);
-            // A peer that stood still may come back for the answers that it waits for.
+            // Requests from the peer keep the link open: if its process was paused, it may resume
+            // and still wait for their answers.
             let is_gone = is_idle && now.saturating_since(peer.heard_at) >= SILENT_IDLE;
             if may_judge {
                 peer.suspect_if_silent(now);
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Returns what the peers are told.
+    /// Returns the status that is reported to the peers.
     pub(super) fn status(&self, now: Instant) -> Status {
         Status {
             is_watching: self.store.is_watching(now),
@@ -192,7 +196,8 @@
         }
     }
 
-    /// Tells the peers of a change: at once if it decides whether they may send requests here.
+    /// Reports changes to the peers: at once if they decide whether peers may send requests to this
+    /// node, at a limited rate if only the load has changed.
     pub(super) fn report_changes(&mut self, now: Instant, out: &mut Actions) {
         let may_report_load = now >= self.status_told_at + LOAD_REPORT_PAUSE;
         let is_due =
@@ -218,7 +223,7 @@
     }
 }
 
-/// Returns the silence of a busy link after which the peer is pinged.
+/// Returns the time without a message on a busy link after which the peer is pinged.
 fn ping_patience(peer: &Peer) -> Duration {
     let mean = Duration::from_micros(u64::from(peer.status().load.mean_micros));
     let (shortest, longest) = PING_AFTER;
--- a/crates/rillgap-forward/src/node/mod.rs
+++ b/crates/rillgap-forward/src/node/mod.rs
@@ -1,4 +1,5 @@
-//! One node: its two sides, the directory of peers, the configuration and the store.
+//! State machine of one node: inbound and outbound side, directory of peers, configuration and
+//! store.
 
 mod evidence;
 mod follow;
@@ -31,22 +32,24 @@
 use crate::watch_relay::WatchRelay;
 use crate::watcher_election::WatcherElection;
 
-/// Version of the protocol between nodes.
+/// Version of the protocol between nodes. Links to nodes with another version are closed.
 pub const PROTOCOL_VERSION: u32 = 6;
 
-/// Time between two looks at links.
+/// Interval at which links are checked, opened and closed.
 const HOUSEKEEPING: Duration = Duration::from_millis(100);
-/// Gap between two steps after which the node takes it that it stood still itself.
+/// Time between two events after which the node's own process counts as having been paused.
 const STOOD_STILL: Duration = Duration::from_millis(700);
-/// Time after a stand-still in which no peer is given up: what has arrived is read first.
+/// Time after a process pause during which no link is closed for silence: the messages that arrived
+/// during the pause are read first.
 const READ_FIRST: Duration = Duration::from_millis(400);
 
-/// One node.
+/// One node. The driver passes it events through [`Node::handle`] and executes the resulting
+/// actions.
 #[derive(Debug)]
 pub struct Node {
     settings: ForwardSettings,
     table: Option<Arc<RouteTable>>,
-    /// Since when it is in force.
+    /// When the configuration was put in force.
     configured_at: Option<Instant>,
     directory: Directory,
     inbound: Inbound,
@@ -56,19 +59,19 @@
     watcher_election: WatcherElection,
     watch_relay: WatchRelay,
     freshness: Freshness,
-    /// Whether the last record of the log said that requests with keys are served.
+    /// Whether the last log record on freshness said that requests with keys are served.
     told_proven: bool,
     buckets: Buckets,
     /// Whether the records of all nodes have been read.
     knows_members: bool,
-    /// Since when the node offers to own buckets of tenants' tokens.
+    /// Since when the node offers to own buckets of tenants' tokens; `None` if it does not.
     owns_buckets_since: Option<Instant>,
-    /// Whether the last report said that the node watches the store.
+    /// Whether the last periodic report said that the node watches the store.
     told_watching: bool,
-    /// When the last report was sent.
+    /// When the last status was sent.
     status_told_at: Instant,
     offers: ConfigurationOffers,
-    /// Link on which the evidence came that peers are to be told next.
+    /// Link on which the evidence arrived that is to be forwarded next; the peer there is left out.
     evidence_source: Option<LinkId>,
     started_at: Instant,
     next_link: u64,
@@ -82,7 +85,7 @@
 }
 
 impl Node {
-    /// Creates a fresh node, which remembers nothing.
+    /// Creates the state of a newly started node. Nothing is kept from earlier runs.
     pub fn new(now: Instant, settings: ForwardSettings) -> Self {
         Self {
             table: None,
@@ -121,24 +124,24 @@
         }
     }
 
-    /// Returns a number for a new link.
+    /// Returns an unused link identifier.
     pub fn new_link(&mut self) -> LinkId {
         self.next_link += 1;
         LinkId(self.next_link)
     }
 
-    /// Returns whether new callers are welcome.
+    /// Returns whether the node accepts new callers: it has a configuration and is not stopping.
     pub fn is_ready(&self) -> bool {
         self.table.is_some() && self.stopping_since.is_none()
     }
 
-    /// Returns for how long the configuration has been in force; `None` if there is none.
+    /// Returns the time for which the configuration has been in force; `None` if there is none.
     pub fn configuration_age(&self, now: Instant) -> Option<Duration> {
         let since = self.configured_at?;
         Some(now.saturating_since(since))
     }
 
-    /// Returns the bounds on what callers send.
+    /// Returns the limits on requests and connections of callers.
     pub fn limits(&self) -> CallerLimits {
         self.table
             .as_ref()
@@ -147,13 +150,14 @@
             })
     }
 
-    /// Returns whether credentials of callers are the node's own matter, and are kept from back ends: a
-    /// configuration has tenants, or none is known.
+    /// Returns whether the credentials of callers are checked here and removed before requests
+    /// reach back ends: the configuration has tenants, or there is no configuration yet.
     pub fn withholds_credentials(&self) -> bool {
         self.table.as_ref().is_none_or(|table| table.has_tenants())
     }
 
-    /// Returns the age of the proof that the configuration is the newest one, if there is one.
+    /// Returns the age of the proof that the configuration is the newest one; `None` if there is no
+    /// proof.
     pub fn proof_age(&self, now: Instant) -> Option<Duration> {
         self.freshness.proof_age(now)
     }
@@ -163,7 +167,7 @@
         self.table.as_ref().map_or(0, |table| table.version())
     }
 
-    /// Returns the introduction for peers.
+    /// Returns the first message for a new link.
     pub fn hello(&self) -> Hello {
         Hello {
             protocol: PROTOCOL_VERSION,
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Returns the epoch of the store, as far as the node has heard of it.
+    /// Returns the last known epoch of the store; `None` if none is known yet.
     pub const fn store_epoch(&self) -> Option<StoreEpoch> {
         self.store.epoch()
     }
@@ -193,12 +197,12 @@
         &self.outbound
     }
 
-    /// Returns the directory.
+    /// Returns the directory of peers.
     pub const fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Handles an event; actions are appended to `out`.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Actions) {
         self.note_time(now);
         match event {
@@ -273,8 +277,8 @@
         (&mut self.outbound, context)
     }
 
-    /// Notices that the process stood still: then no peer is judged before what it has sent
-    /// meanwhile is read.
+    /// Detects that the process was paused. Peers are then not timed out before the messages that
+    /// they sent meanwhile are read.
     fn note_time(&mut self, now: Instant) {
         if now.saturating_since(self.last_step) >= STOOD_STILL {
             self.judge_after = now + READ_FIRST;
@@ -316,8 +320,8 @@
         acknowledge(announcement, is_accepted, out);
     }
 
-    /// Tells a call of the back end from a caller's request: its identifier must lead to a request
-    /// that the back end works on.
+    /// Distinguishes a call of the back end from a caller's request: a call carries the identifier
+    /// of a request that runs at the back end.
     fn origin(&self, request: &CallerRequest) -> Origin {
         let parent_id = request.parent_id.as_deref();
         let parent = parent_id.and_then(|parent_id| self.inbound.running_request(parent_id));
@@ -378,11 +382,12 @@
         self.directory.on_status(now, link, status);
     }
 
-    /// Does what is due and passes on what one part has for another.
+    /// Does the work that is due and passes the results of one component to the others.
     fn settle(&mut self, now: Instant, out: &mut Actions) {
         let table = self.table.clone();
         self.inbound.poll(now, table.as_deref(), out);
-        // Peers learn of a crash before they hear what became of its requests, and decide by it.
+        // Evidence of a crash is sent before the results of its requests: peers use it to decide on
+        // retries.
         self.tell_evidence(now, out);
         self.inbound.release_lost_requests(now, out);
         let (outbound, mut context) = self.split(out);
@@ -407,7 +412,7 @@
         self.exit_when_done(now, out);
     }
 
-    /// Hands what one side has for the other across, without a link.
+    /// Delivers messages between the two sides of this node, which use no link.
     fn deliver_local(&mut self, now: Instant, out: &mut Actions) {
         let is_local = |action: &Action| matches!(action, Action::SendOnLink { link, .. } if *link == LinkId::LOCAL);
         while let Some(position) = out.iter().position(is_local) {
--- a/crates/rillgap-forward/src/node/spread.rs
+++ b/crates/rillgap-forward/src/node/spread.rs
@@ -1,4 +1,4 @@
-//! The configuration: put in force, offered to peers, asked from them.
+//! Distribution of the configuration: activation, offers to peers, queries to peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,12 @@
 use crate::log_record::LogRecord;
 use crate::message::LinkMessage;
 
-/// Time after a newer version was heard of in which the node waits for the store to bring it.
+/// Time for which the node waits for the store to deliver a newer version before it queries a peer
+/// that has offered it.
 const OFFER_PATIENCE: Duration = Duration::from_millis(200);
 
 impl Node {
-    /// Puts a configuration in force unless it is not newer.
+    /// Puts a configuration in force unless the current one is the same version or newer.
     pub(super) fn adopt(
         &mut self,
         now: Instant,
@@ -42,7 +43,7 @@
         self.offers.on_configuration_in_force(version);
         self.store.on_configuration_in_force();
         self.broadcast(&LinkMessage::ConfigurationOffer(version), out);
-        // The health endpoint's path may be known now.
+        // The new configuration may define the path of the health endpoint.
         let table = self.table.clone();
         self.inbound.poll(now, table.as_deref(), out);
     }
@@ -58,7 +59,7 @@
         self.learn_version(now, link, version, out);
     }
 
-    /// Takes in which version the peer on a link has.
+    /// Records the version of the configuration that the peer on a link has.
     pub(super) fn learn_version(
         &mut self,
         now: Instant,
@@ -99,7 +100,7 @@
         });
     }
 
-    /// Asks a peer for the newer configuration that it has told of.
+    /// Queries a peer that has offered a newer configuration for it.
     pub(super) fn ask_for_configuration(&mut self, now: Instant, out: &mut Actions) {
         let Some(query) = self.offers.take_due(now) else {
             return;
--- a/crates/rillgap-forward/src/node/stop.rs
+++ b/crates/rillgap-forward/src/node/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops.
+//! Planned stops of the node.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 use crate::action::{Action, Actions};
 use crate::log_record::LogRecord;
 
-/// Time after the begin of a planned stop before which the node does not exit and takes callers'
-/// requests: they learn by then that it is not ready. Where too few nodes are ready they keep coming, and
-/// what is taken later could be cut by the end of the grace.
+/// Time after the start of a planned stop during which the node does not exit and still accepts
+/// callers' requests: callers see within it that the node is not ready. Requests that arrive later,
+/// because too few nodes are ready, are rejected: the end of the grace period could cut them off.
 const STOP_NOTICE: Duration = Duration::from_millis(2_500);
-/// Share of the grace for which the back end beside a stopping node still gets requests: nobody
-/// else can reach it, so every moment it gets none is capacity lost.
+/// Fraction of the grace period for which the back end beside a stopping node still receives
+/// requests. No other node can reach it, so a shorter time would waste its capacity.
 const INBOUND_SHARE: f64 = 0.25;
-/// Time before the end of the grace at which a planned stop ends whatever is in flight.
+/// Time before the end of the grace period at which the node exits even if requests are in flight.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
 
 impl Node {
@@ -54,7 +54,7 @@
         out.push(Action::Exit);
     }
 
-    /// Returns whether a planned stop has begun long enough ago for callers to have noticed.
+    /// Returns whether a planned stop began long enough ago for callers to have noticed it.
     pub(super) fn notice_is_over(&self, now: Instant) -> bool {
         self.stopping_since
             .is_some_and(|since| now.saturating_since(since) >= STOP_NOTICE)
--- a/crates/rillgap-forward/src/node/store.rs
+++ b/crates/rillgap-forward/src/node/store.rs
@@ -1,4 +1,4 @@
-//! What the store answers, and its return from a copy.
+//! Replies of the store, and its restoration from a backup.
 
 use rillgap_core::time::Instant;
 
@@ -40,9 +40,9 @@
         self.take_proof();
     }
 
-    /// Takes the proof of freshness that an answer has brought. A store that holds an older version than the
-    /// one in force has lost what was written since, perhaps also a version that no node has seen: it proves
-    /// nothing until it has caught up.
+    /// Applies the proof of freshness that a reply of the store contains. A store that holds an
+    /// older version than the one in force has lost later writes, possibly including a version that
+    /// no node has received: its replies prove nothing until it has caught up.
     fn take_proof(&mut self) {
         let Some(proof) = self.store.take_proof() else {
             return;
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Takes in that the store has reached an epoch, as itself or the peer on a link has told. If it has come
-    /// back from a copy, the peers are told: the store may refuse some of them.
+    /// Records the epoch of the store that the store itself or the peer on link `from` has
+    /// reported. A higher epoch means that the store was restored from a backup; it is forwarded to
+    /// all peers, since the store may reject calls of some of them.
     pub(super) fn observe_epoch(
         &mut self,
         now: Instant,
@@ -77,7 +78,7 @@
         self.broadcast(&LinkMessage::StoreEpoch(epoch), out);
     }
 
-    /// Notes that the store is lost or back.
+    /// Logs when the store becomes unavailable or available again.
     fn note_store(&mut self, news: &Option<StoreEvent>, out: &mut Actions) {
         let failure = match news {
             Some(StoreEvent::Failed { call, failure }) => Some((*call, failure.clone())),
--- a/crates/rillgap-forward/src/node/tokens.rs
+++ b/crates/rillgap-forward/src/node/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens of tenants' buckets: asked from their owners, given out of the own buckets.
+//! Tokens of tenants' buckets: queries to the owners, grants from the buckets that this node owns.
 
 use rillgap_core::time::Instant;
 
@@ -14,12 +14,12 @@
 use crate::rate_limit::ownership::{Owner, TenantHash};
 
 impl Node {
-    /// Takes in which tenants have a limit.
+    /// Applies the set of tenants with a rate limit.
     pub(super) fn limit_tenants(&mut self, now: Instant, table: &RouteTable) {
         let tenants = &table.configuration().tenants;
         let limited = tenants.iter().filter(|tenant| tenant.limit.is_some());
         let hashes: Vec<TenantHash> = limited.map(|tenant| TenantHash::of(&tenant.name)).collect();
-        // Nodes agree on the owners of buckets only if all know the same nodes.
+        // Nodes agree on the owners of buckets only if all of them know the same nodes.
         if !hashes.is_empty() && (!self.store.has_listed() || self.directory.is_partial()) {
             self.knows_members = false;
             self.store.request_full_list(now);
@@ -28,7 +28,7 @@
         self.buckets.retain(|tenant| table.tenant(tenant).is_some());
     }
 
-    /// Offers to own buckets once all nodes are known, while most of them are heard.
+    /// Offers to own buckets once all nodes are known, while the node hears from most of its peers.
     pub(super) fn offer_buckets(&mut self, now: Instant, out: &mut Actions) {
         let offers = self.table.is_some()
             && self.knows_members
@@ -45,7 +45,7 @@
         self.broadcast_status(now, out);
     }
 
-    /// Asks the owners of buckets for the tokens that are needed.
+    /// Queries the owners of buckets for the tokens that are needed.
     pub(super) fn ask_for_tokens(&mut self, now: Instant, out: &mut Actions) {
         for wanted in self.outbound.token_queries_due(now) {
             let hash = TenantHash::of(&wanted.tenant);
@@ -54,12 +54,14 @@
                 Owner::Local { since } => self.grant_here(now, wanted, since, out),
                 Owner::Peer(index, link) => {
                     self.directory.query_sent(now, index);
-                    // An owner that is silent may be lost: its successor looks after it, too.
+                    // An owner that does not answer may be down: the repeated query goes to its
+                    // successor too, which then probes the owner.
                     let next = self.directory.next_owner_link(hash, index);
                     let next = next.filter(|_| wanted.is_repeated);
                     send_query(wanted, next.into_iter().chain([link]), out);
                 }
-                // A link is opened soon, if the owner lives. If it does not, its successor may know.
+                // A link to the owner is opened soon if the owner is up; if it is down, its
+                // successor may know.
                 Owner::Unlinked(index) => {
                     let next = self.directory.next_owner_link(hash, index);
                     send_query(wanted, next, out);
@@ -93,7 +95,8 @@
                 Some(TokenResult::OwnedBy(self.record_of(index)))
             }
             Owner::Unlinked(index) => {
-                // Whoever asks may know that this owner is lost: a link to it shows.
+                // The querying node may have found that this owner is down. Opening a link to it
+                // shows.
                 self.directory.use_tenant(hash);
                 Some(TokenResult::OwnedBy(self.record_of(index)))
             }
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Makes sure that the loss of an owner is noticed: whoever asks this node has no word of it.
+    /// Probes the owner, so that its loss is noticed: the querying node may not have a link to it.
     fn look_after(&mut self, now: Instant, owner: PeerIndex, link: LinkId, out: &mut Actions) {
         self.directory.query_sent(now, owner);
         out.push(Action::SendOnLink {
@@ -136,7 +139,7 @@
                 };
                 self.take_tokens(now, &answer.tenant, answer.number, grant, out);
             }
-            // The query is made again soon, then to the owner.
+            // The query is repeated soon, then to this owner.
             TokenResult::OwnedBy(record) => self.directory.learn(now, &record),
         }
     }
@@ -173,8 +176,9 @@
         );
     }
 
-    /// Takes tokens out of an own bucket; `None` if this node's configuration does not know the tenant
-    /// yet. A tenant whose limit has been lifted here gets what it wants.
+    /// Takes tokens out of a bucket that this node owns. Returns `None` if this node's
+    /// configuration does not contain the tenant yet; a tenant without a limit here gets all tokens
+    /// that it asks for.
     fn grant(&mut self, now: Instant, tenant: &str, since: Instant, wanted: u32) -> Option<Grant> {
         let tenant = self.table.as_ref()?.tenant(tenant)?.clone();
         Some(match tenant.limit {
--- a/crates/rillgap-forward/src/peer.rs
+++ b/crates/rillgap-forward/src/peer.rs
@@ -1,4 +1,4 @@
-//! One peer: how it is reached, what it says of its back end, how its link stands.
+//! State of one peer: its record, its last reported status and the link to it.
 
 use std::time::Duration;
 
@@ -9,81 +9,81 @@
 use crate::message::{Load, NodeRecord, Status};
 use crate::watcher_election;
 
-/// First and longest pause before a link is opened again.
+/// Initial and maximum backoff before a link is opened again; doubles after each failure.
 const RECONNECT_PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
 
 /// Time after which a peer that has not answered a ping is suspected.
 const PING_PATIENCE: Duration = Duration::from_millis(150);
 
-/// Time after the opening of a link for which a peer that has not served yet is counted on: when a
-/// whole deployment starts, no back end is confirmed before the first configuration.
+/// Time after the opening of a link for which a peer that has not served yet counts as able to
+/// serve: when a whole deployment starts, no back end is confirmed before the first configuration.
 const START_PATIENCE: Duration = Duration::from_secs(15);
 
-/// Time after the opening of a link in which its end may have no news of the store yet.
+/// Time after the opening of a link for which the peer may have no contact with the store yet.
 const NEWS_PATIENCE: Duration = Duration::from_secs(2);
 
-/// Silence after which a peer that watches the store does not count any more: two of its reports are
-/// missing.
+/// Time without a message after which a peer does not count as watching the store: two of its
+/// reports are missing.
 const WATCHER_SILENCE: Duration = Duration::from_millis(1_600);
 
-/// Where the link to a peer stands.
+/// State of the link to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// Not open; if the peer is wanted, it is opened at this time.
+    /// Not open. If the peer is selected, a link is opened at `retry_at`.
     Closed {
-        /// When.
+        /// Earliest time of the next attempt.
         retry_at: Instant,
     },
-    /// Being opened.
+    /// Being opened by this node.
     Opening(LinkId),
-    /// Open, by whichever end.
+    /// Open, by either end.
     Open(LinkId),
 }
 
-/// A peer.
+/// A peer and the link to it.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// How it is reached.
+    /// Name, address and service of the peer.
     pub record: NodeRecord,
-    /// Run of the peer, once it has introduced itself.
+    /// Incarnation from the peer's last `Hello`; 0 before the first.
     pub incarnation: u64,
-    /// Link to the peer.
+    /// State of the link to the peer.
     pub link: LinkState,
-    /// When anything was heard on that link.
+    /// When the last message was received on the link in use.
     pub heard_at: Instant,
     /// When the last ping was sent.
     pub pinged_at: Instant,
-    /// When the first ping since the peer was heard was sent.
+    /// When the first ping since the last received message was sent.
     pinged_since: Option<Instant>,
-    /// Whether the peer has not answered a ping for a while.
+    /// Whether the peer has not answered a ping within the timeout.
     is_suspected: bool,
-    /// What the peer says about its back end.
+    /// Last status that the peer has reported.
     pub(crate) status: Status,
-    /// Requests sent to the peer since its last report, less those that have ended since.
+    /// Requests sent to the peer since its last report, minus those that have ended since.
     pub unreported: i64,
-    /// Requests of this node that are under way there.
+    /// Requests of this node that are in flight at the peer.
     pub in_flight: u32,
-    /// When the first of them was sent.
+    /// When the first of the requests in flight was sent.
     busy_since: Instant,
-    /// Whether the peer belongs to the subset that the node keeps links to.
+    /// Whether the peer belongs to the subset that this node keeps links to.
     pub(crate) is_selected: bool,
-    /// Whether the node follows the peer for news of the store.
+    /// Whether this node follows the peer for its contact with the store.
     pub(crate) is_followed: bool,
-    /// Link on which the peer was told that it is followed.
+    /// Link on which the last `Follow(true)` was sent to the peer; `None` if it is not followed.
     pub(crate) followed_on: Option<LinkId>,
-    /// Place of the peer in this node's order of preference; the lowest is preferred.
+    /// Hash that orders the peers by this node's preference; the lowest is preferred.
     pub(crate) preference: u64,
-    /// Place of the peer in the order in which nodes watch the store.
+    /// Hash of the peer's name, which is its position in the order of watchers.
     watch_place: u64,
-    /// When the link in use was taken into use.
+    /// When the link in use was put into use.
     attached_at: Instant,
-    /// Whether the peer's back end has taken requests since then.
+    /// Whether the peer's back end has accepted requests since the link was put into use.
     has_served: bool,
     /// Whether the last link was lost, or the last attempt to open one has failed.
     has_failed: bool,
-    /// Since when the peer cannot own buckets: its link was lost, or it has said so.
+    /// Since when the peer cannot own buckets: its link was lost, or it has reported so.
     away_since: Instant,
-    /// Since when an answer to a query for tokens is awaited.
+    /// Since when the answer to a query for tokens is pending; `None` if none is.
     asked_since: Option<Instant>,
     pause: Duration,
 }
@@ -117,12 +117,13 @@
         }
     }
 
-    /// Returns what the peer says about its back end.
+    /// Returns the last status that the peer has reported.
     pub const fn status(&self) -> &Status {
         &self.status
     }
 
-    /// Returns the service of the peer's back end: what it says itself, or what its record says.
+    /// Returns the service of the peer's back end: from its status while a link is open, otherwise
+    /// from its record.
     pub fn service(&self) -> &str {
         if self.open_link().is_some() && !self.status.service.is_empty() {
             return &self.status.service;
@@ -138,14 +139,15 @@
         }
     }
 
-    /// Returns the open link if the peer's back end takes new requests and the peer is not
+    /// Returns the open link if the peer's back end accepts new requests and the peer is not
     /// suspected.
     pub fn serving_link(&self) -> Option<LinkId> {
         self.open_link()
             .filter(|_| self.takes_requests() && !self.is_suspected)
     }
 
-    /// Returns whether the peer may be counted on: it serves, or nothing speaks against it yet.
+    /// Returns whether the peer counts as able to serve: its back end accepts requests or may still
+    /// be starting, or no attempt to reach it has failed.
     pub(crate) fn may_serve(&self, now: Instant) -> bool {
         match self.link {
             LinkState::Open(_) => self.takes_requests() || self.is_starting(now),
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Returns whether the peer watches the store, as far as it has lately said.
+    /// Returns whether the peer watches the store, according to a recent report.
     pub(crate) fn watches(&self, now: Instant) -> bool {
         let is_fresh = now.saturating_since(self.heard_at) < WATCHER_SILENCE;
         self.status.is_watching && self.open_link().is_some() && is_fresh
@@ -164,7 +166,8 @@
         self.has_failed
     }
 
-    /// Returns whether news of the store may be expected of the peer: it has some, or nothing speaks against it yet.
+    /// Returns whether the peer may have a recent contact with the store: it has reported one, its
+    /// link is new, or no attempt to reach it has failed.
     pub(crate) fn may_have_news(&self, now: Instant, has_news: impl Fn(LinkId) -> bool) -> bool {
         match self.link {
             LinkState::Open(link) => {
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Returns whether the peer watches the store before a node with this place does.
+    /// Returns whether the peer precedes a node with this name hash in the order of watchers.
     pub(crate) const fn precedes(&self, place: u64) -> bool {
         self.watch_place < place
     }
@@ -186,7 +189,7 @@
         is_new && !self.has_served && !self.status.is_stopping
     }
 
-    /// Takes in what the peer says about its back end.
+    /// Records a status that the peer has reported.
     pub(crate) fn observe_status(&mut self, now: Instant, status: Status) {
         if self.status.can_own_buckets && !status.can_own_buckets {
             self.away_since = now;
@@ -200,15 +203,15 @@
         self.status.is_serving && !self.status.is_stopping
     }
 
-    /// Takes in that something was heard on the link.
+    /// Records that a message was received on the link.
     pub fn heard(&mut self, now: Instant) {
         self.heard_at = now;
         self.asked_since = None;
         self.is_suspected = false;
     }
 
-    /// Suspects the peer if it has not answered a ping for a while: it gets no new requests until
-    /// it is heard again.
+    /// Marks the peer as suspected if a ping has timed out. It then gets no new requests until the
+    /// next message from it.
     pub fn suspect_if_silent(&mut self, now: Instant) {
         self.is_suspected = self.has_unanswered_ping(now);
     }
@@ -220,7 +223,7 @@
         })
     }
 
-    /// Takes in that a ping is sent.
+    /// Records that a ping is sent.
     pub fn pinged(&mut self, now: Instant) {
         let is_first = self.pinged_since.is_none_or(|since| since <= self.heard_at);
         if is_first {
@@ -229,7 +232,8 @@
         self.pinged_at = now;
     }
 
-    /// Returns for how long nothing was heard of the peer although requests are under way there.
+    /// Returns the time without a message from the peer while requests or a query are pending
+    /// there; zero if nothing is pending.
     pub(crate) fn unanswered_for(&self, now: Instant) -> Duration {
         let busy_since = (self.in_flight > 0).then_some(self.busy_since);
         let since = busy_since.into_iter().chain(self.asked_since).min();
@@ -238,7 +242,7 @@
         })
     }
 
-    /// Takes in that a query is sent whose answer is awaited.
+    /// Records that a query is sent and its answer is pending.
     pub(crate) fn query_sent(&mut self, now: Instant) {
         self.asked_since.get_or_insert(now);
     }
@@ -248,8 +252,8 @@
         self.watch_place
     }
 
-    /// Returns whether the peer may own buckets, as far as this node can tell: one that no link was
-    /// tried to counts.
+    /// Returns whether the peer may own buckets, as far as this node can tell. A peer that no link
+    /// has been opened to yet counts.
     pub(crate) const fn may_own_buckets(&self) -> bool {
         match self.link {
             LinkState::Open(_) => self.status.can_own_buckets,
@@ -257,12 +261,12 @@
         }
     }
 
-    /// Returns since when the peer cannot own buckets; meaningless while it can.
+    /// Returns since when the peer cannot own buckets. Only valid while it cannot.
     pub(crate) const fn away_since(&self) -> Instant {
         self.away_since
     }
 
-    /// Takes in that a request is sent.
+    /// Records that a request is sent.
     pub(crate) fn request_sent(&mut self, now: Instant) {
         if self.in_flight == 0 {
             self.busy_since = now;
@@ -271,34 +275,34 @@
         self.unreported += 1;
     }
 
-    /// Takes in that a request has ended.
+    /// Records that a request has ended.
     pub(crate) fn request_ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.unreported -= 1;
     }
 
-    /// Takes in a report of the peer's load.
+    /// Records a report of the peer's load.
     pub fn observe_load(&mut self, load: Load) {
         self.status.load = load;
         self.unreported = 0;
     }
 
-    /// Returns the requests that a new one of this level would find before it at the back end, as far
-    /// as known, as a share of its limit.
+    /// Returns the estimated number of requests ahead of a new one of this level at the back end,
+    /// as a fraction of its limit; may exceed 1.
     pub fn utilization(&self, level: Level) -> f64 {
         let load = self.status.load;
         let estimate = (i64::from(load.ahead_of(level)) + self.unreported).max(0);
         estimate as f64 / f64::from(load.limit.max(1))
     }
 
-    /// Takes over a new address or service of the peer.
+    /// Replaces the record of the peer after its address or service has changed.
     pub(crate) fn renew(&mut self, now: Instant, record: &NodeRecord) {
         self.record = record.clone();
         self.has_failed = false;
         self.hurry(now);
     }
 
-    /// Makes sure that a link that is to be opened is tried soon.
+    /// Resets the backoff and schedules a closed link to be opened at the next opportunity.
     pub(crate) fn hurry(&mut self, now: Instant) {
         self.pause = RECONNECT_PAUSE.0;
         if let LinkState::Closed { retry_at } = &mut self.link {
@@ -306,7 +310,7 @@
         }
     }
 
-    /// Takes in that a link is open and is to be used.
+    /// Records that a link is open, and puts it into use.
     pub(crate) fn attach(&mut self, now: Instant, link: LinkId) {
         self.link = LinkState::Open(link);
         self.heard_at = now;
@@ -322,7 +326,7 @@
         self.pause = RECONNECT_PAUSE.0;
     }
 
-    /// Takes in that the link in use has ended, or could not be opened.
+    /// Records that the link in use has ended, or could not be opened.
     pub(crate) fn detach(&mut self, now: Instant) {
         self.link = LinkState::Closed {
             retry_at: now + self.pause,
--- a/crates/rillgap-forward/tests/control.rs
+++ b/crates/rillgap-forward/tests/control.rs
@@ -1,4 +1,4 @@
-//! Configuration, store, peers and planned stops.
+//! Tests of the configuration, the store, peers and planned stops.
 
 mod support;
 
@@ -127,7 +127,7 @@
             store.on_reply(at(now), id, failed("down"));
         }
     }
-    // Two chains, at most one call a second each once the pause has grown.
+    // Two chains of calls, each at most one call a second once the backoff has reached its maximum.
     expect_that!(calls, all!(ge(16), le(30)));
 }
 
@@ -152,7 +152,7 @@
 #[gtest]
 fn node_that_the_store_does_not_reach_gets_the_configuration_from_a_peer() {
     let mut test = TestNode::fresh("logbok");
-    // Its own read of the configuration is under way.
+    // The node's own read of the configuration is in flight.
     test.pass(3_100);
     let link = test.accept(50);
     test.event(Event::Link {
@@ -194,7 +194,7 @@
     let mut test = TestNode::configured("logbok");
     test.connect("peer-a", 2, SERVICE);
     test.actions.clear();
-    // Frozen for eight seconds.
+    // The process is paused for eight seconds.
     test.now += 8_000;
     test.event(Event::Wake);
     let closed = |test: &TestNode| {
@@ -257,7 +257,7 @@
     expect_that!(test.statuses(), elements_are![eq(&200)]);
     test.pass(600);
     test.actions.clear();
-    // A request taken now might still be under way when the grace ends.
+    // A request accepted now might still be in flight when the grace period ends.
     test.request(1, support::caller_request("late", "/safe/1"));
     expect_that!(test.statuses(), elements_are![eq(&503)]);
     expect_that!(test.answers()[0].close, eq(true));
--- a/crates/rillgap-forward/tests/links.rs
+++ b/crates/rillgap-forward/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between nodes: which are opened, which of two is used, how they end.
+//! Tests of links between nodes: which are opened, which of two is used, how they end.
 
 mod support;
 
@@ -19,9 +19,9 @@
 
 const SERVICES: [&str; 4] = ["logbok", "bestilling", "oppgjor", SERVICE];
 const ZONES: usize = 5;
-/// Peers of a large deployment.
+/// Number of peers in a large deployment.
 const PEERS: usize = 294;
-/// Peers of that deployment that run each service in each zone, at least.
+/// Minimum number of peers for each service in each zone of that deployment.
 const AT_LEAST_LOCAL: usize = 6;
 
 fn record(number: usize) -> NodeRecord {
@@ -34,7 +34,7 @@
     }
 }
 
-/// A node of zone `hall-a` that has listed these peers.
+/// Returns a node of zone `hall-a` that has listed these peers.
 fn node_that_lists(records: Vec<NodeRecord>) -> TestNode {
     let mut test = TestNode::fresh("logbok");
     list(&mut test, records);
@@ -43,7 +43,7 @@
     test
 }
 
-/// Lets a fresh node list these peers.
+/// Answers the registration and the list request of a new node with these peers.
 fn list(test: &mut TestNode, records: Vec<NodeRecord>) {
     test.answer_store(
         |request| matches!(request, StoreRequest::Register(_)),
@@ -59,7 +59,7 @@
     );
 }
 
-/// Peers of `zone-0`, renamed to the zone of the node itself.
+/// Returns the peers of a large deployment; those of `zone-0` are in the zone of the node itself.
 fn deployment() -> Vec<NodeRecord> {
     let rename = |mut record: NodeRecord| {
         if record.zone == "zone-0" {
@@ -70,7 +70,7 @@
     (0..PEERS).map(record).map(rename).collect()
 }
 
-/// Returns the links that the node opens, by address.
+/// Returns the links that the node has opened, with their addresses.
 fn opened(test: &TestNode) -> Vec<(LinkId, SocketAddr)> {
     let open = |action: &Action| match action {
         Action::OpenLink { link, address } => Some((*link, *address)),
@@ -95,7 +95,7 @@
         service: SERVICES[number / SMALL_ZONES.len()].to_owned(),
         ..record(number)
     };
-    // The first would be the node itself.
+    // Number 0 stands for the node itself.
     let test = node_that_lists((1..12).map(peer).collect());
     expect_that!(opened(&test).len(), eq(11));
 }
@@ -125,7 +125,7 @@
     }
 }
 
-/// Every back end must have about as many callers as any other.
+/// The subsets must distribute callers evenly over the back ends.
 #[gtest]
 fn preferences_spread_evenly_over_the_peers() {
     let names: Vec<String> = (0..PEERS).map(|number| record(number).name).collect();
@@ -160,7 +160,7 @@
     expect_that!(before.difference(&after).count(), eq(0));
 }
 
-/// A node whose subset is linked to it; `is_serving` is what the peers say of their back ends first.
+/// Returns a node with open links to its subset. `is_serving` is what the peers report first.
 fn node_with_subset(is_serving: bool) -> (TestNode, Vec<(LinkId, NodeRecord)>) {
     let records = deployment();
     let by_address: BTreeMap<SocketAddr, NodeRecord> = records
@@ -195,7 +195,7 @@
             link: *link,
             message,
         });
-        // The peers hear of the store as well.
+        // The peers report a recent contact with the store as well.
         test.event(Event::Link {
             link: *link,
             message: LinkMessage::StoreContact(Some(0)),
@@ -256,8 +256,8 @@
     expect_that!(test.exchanges().len(), eq(1));
 }
 
-/// Opens a link to `name`, which opens one to the node before the first is up; returns both and
-/// whether the node gives up its own.
+/// Lets the node and the peer `name` open links to each other at the same time. Returns both links,
+/// the node's own first, and whether the node closes its own.
 fn open_both(name: &str) -> (TestNode, LinkId, LinkId, bool) {
     let mut test = node_that_lists(vec![hello(name, 2, serving(SERVICE), 0).node]);
     let (own, _) = opened(&test)[0];
@@ -278,7 +278,7 @@
 
 #[gtest]
 fn of_two_links_opened_at_once_both_ends_use_that_of_the_lower_name() {
-    // The node's own name is `own`.
+    // The node under test is named `own`.
     let (mut test, _, theirs, is_given_up) = open_both("alpha");
     expect_that!(is_given_up, eq(true));
     test.request(0, caller_request("a", "/safe/1"));
@@ -336,7 +336,8 @@
     expect_that!(told, eq(&BTreeSet::from([first, second])));
 }
 
-/// Reports are rare: a link may have been silent for longer than one with requests under way may be.
+/// Status reports are rare: an idle link may have been silent for longer than the timeout of a busy
+/// one.
 #[gtest]
 fn silence_before_a_request_does_not_count_against_the_peer() {
     let mut test = TestNode::configured("logbok");
--- a/crates/rillgap-forward/tests/spread.rs
+++ b/crates/rillgap-forward/tests/spread.rs
@@ -1,4 +1,5 @@
-//! How a configuration spreads over links: a node that has heard of a newer version gets it.
+//! Tests of the distribution of configurations over links: a node that is offered a newer version
+//! obtains it.
 
 mod support;
 
@@ -22,7 +23,7 @@
     id
 }
 
-/// Links on which the node has asked for a configuration, in order.
+/// Returns the links on which the node has queried for a configuration, in order.
 fn asked(test: &TestNode) -> Vec<LinkId> {
     let query = |action: &Action| match action {
         Action::SendOnLink {
@@ -34,8 +35,8 @@
     test.actions.iter().filter_map(query).collect()
 }
 
-/// A node that has stood still accepts connections that its peers have given up meanwhile, and reads of
-/// their end only then; the peers' next connections wait behind them.
+/// A node whose process was paused accepts connections that its peers have closed meanwhile, and
+/// reads their end only later; the peers' next connections queue behind them.
 #[gtest]
 fn newer_version_is_asked_for_on_a_sound_link_after_links_that_have_ended() {
     let mut test = TestNode::configured("logbok");
@@ -50,7 +51,7 @@
     expect_that!(asked(&test), contains(eq(&sound)));
 }
 
-/// Lets time pass while nobody answers, and returns the links that were asked on.
+/// Lets time pass without answers, and returns the links on which the node has sent queries.
 fn asked_within(test: &mut TestNode, millis: u64) -> Vec<LinkId> {
     test.actions.clear();
     test.pass(millis);
