--- a/crates/rillgap-forward/src/directory/followed.rs
+++ b/crates/rillgap-forward/src/directory/followed.rs
@@ -15,14 +15,14 @@
 use crate::watcher_election;
 
 /// Peers with a hash below the own hash divided by this are preferred.
-const FAR_BELOW: u64 = 16;
+const PREFERRED_HASH_DIVISOR: u64 = 16;
 /// Number of followed peers while all of them have a recent contact with the store.
-const FOLLOWED: usize = 2;
+const TARGET_FOLLOWED: usize = 2;
 /// Maximum number of followed peers while some of them have no recent contact.
-const MOST_FOLLOWED: usize = 6;
+const MAX_FOLLOWED: usize = 6;
 /// Number of nodes with the lowest hashes that are added from a partial list of nodes. At most as
 /// many more are added from those that this node prefers to follow.
-const LOWEST_LEARNED: usize = 16;
+const MAX_ADDED_FROM_LIST: usize = 16;
 
 /// A peer that the node begins or ceases to follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,33 +35,34 @@
 
 impl Directory {
     /// Adds the peers of a list of nodes that the store has returned.
-    pub fn learn_list(&mut self, now: Instant, list: &NodeList) {
+    pub fn apply_node_list(&mut self, now: Instant, list: &NodeList) {
         let own = watcher_election::name_hash(&self.own_name);
         self.estimated_nodes = list.estimated_nodes(own);
         let Some(following) = &list.successors else {
             for record in &list.lowest {
-                self.learn(now, record);
+                self.add_or_update(now, record);
             }
             return;
         };
-        let far_below = list.lowest.iter().skip(LOWEST_LEARNED);
-        let far_below =
-            far_below.filter(|record| watcher_election::name_hash(&record.name) < own / FAR_BELOW);
-        let mut to_follow: Vec<_> = far_below.collect();
+        let preferred = list.lowest.iter().skip(MAX_ADDED_FROM_LIST);
+        let preferred = preferred.filter(|record| {
+            watcher_election::name_hash(&record.name) < own / PREFERRED_HASH_DIVISOR
+        });
+        let mut to_follow: Vec<_> = preferred.collect();
         to_follow
             .sort_unstable_by_key(|record| crate::subset::preference(&self.own_name, &record.name));
-        to_follow.truncate(LOWEST_LEARNED);
-        let lowest = list.lowest.iter().take(LOWEST_LEARNED);
+        to_follow.truncate(MAX_ADDED_FROM_LIST);
+        let lowest = list.lowest.iter().take(MAX_ADDED_FROM_LIST);
         for record in lowest.chain(to_follow).chain(following) {
-            self.learn(now, record);
+            self.add_or_update(now, record);
         }
     }
 
     /// Returns the approximate number of peers that precede this node in the order of watchers,
     /// without known peers that cannot be reached.
-    pub fn preceding(&self) -> u64 {
+    pub fn count_preceding(&self) -> u64 {
         let own = watcher_election::name_hash(&self.own_name);
-        let counts = |peer: &&Peer| peer.precedes(own) && !peer.has_failed();
+        let counts = |peer: &&Peer| peer.precedes(own) && !peer.last_link_failed();
         let known = self.peers.iter().filter(counts).count();
         let share = own as f64 / u64::MAX as f64;
         let estimate = if self.is_partial() {
@@ -79,7 +80,11 @@
 
     /// Selects the peers that are followed, and marks them as selected for a link. `has_news`
     /// returns whether the peer on a link has a recent contact with the store.
-    pub(super) fn choose_followed(&mut self, now: Instant, has_news: impl Fn(LinkId) -> bool) {
+    pub(super) fn select_followed(
+        &mut self,
+        now: Instant,
+        has_store_contact: impl Fn(LinkId) -> bool,
+    ) {
         let own = watcher_election::name_hash(&self.own_name);
         let mut preceding: Vec<&mut Peer> = Vec::new();
         for peer in &mut self.peers {
@@ -89,7 +94,7 @@
             }
         }
         preceding.sort_unstable_by_key(|peer| {
-            let is_near = peer.name_hash() >= own / FAR_BELOW;
+            let is_near = peer.name_hash() >= own / PREFERRED_HASH_DIVISOR;
             let order = if is_near {
                 peer.name_hash()
             } else {
@@ -97,14 +102,14 @@
             };
             (is_near, order)
         });
-        let mut hopeful = 0;
-        for peer in preceding.into_iter().take(MOST_FOLLOWED) {
-            if hopeful >= FOLLOWED {
+        let mut with_contact = 0;
+        for peer in preceding.into_iter().take(MAX_FOLLOWED) {
+            if with_contact >= TARGET_FOLLOWED {
                 return;
             }
             peer.is_followed = true;
             peer.is_selected = true;
-            hopeful += usize::from(peer.may_have_news(now, &has_news));
+            with_contact += usize::from(peer.may_have_store_contact(now, &has_store_contact));
         }
     }
 
@@ -113,12 +118,12 @@
         let mut changes = Vec::new();
         for peer in &mut self.peers {
             let LinkState::Open(link) = peer.link else {
-                peer.followed_on = None;
+                peer.follow_sent_on = None;
                 continue;
             };
             let wanted = peer.is_followed.then_some(link);
-            if peer.followed_on != wanted {
-                peer.followed_on = wanted;
+            if peer.follow_sent_on != wanted {
+                peer.follow_sent_on = wanted;
                 let follows = wanted.is_some();
                 changes.push(FollowChange { link, follows });
             }
--- a/crates/rillgap-forward/src/directory/mod.rs
+++ b/crates/rillgap-forward/src/directory/mod.rs
@@ -22,7 +22,7 @@
 use crate::subset;
 
 /// Maximum time between two selections of the subset: a selected peer may never begin to serve.
-const CHOICE_INTERVAL: Duration = Duration::from_secs(1);
+const SELECTION_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Index of a peer in the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,17 +41,17 @@
     /// Peers with a link in use, by the service of their back end.
     linked: BTreeMap<String, Vec<PeerIndex>>,
     /// Tenants with a rate limit.
-    limited: Vec<TenantHash>,
+    limited_tenants: Vec<TenantHash>,
     /// Limited tenants that this node has received requests of.
-    in_use: BTreeSet<TenantHash>,
+    tenants_in_use: BTreeSet<TenantHash>,
     /// Number of queries for a proof so far; rotates the peers that are asked.
-    proof_turn: usize,
+    proof_query_count: usize,
     /// Estimated number of nodes according to the last list; 0 before the first.
     estimated_nodes: usize,
     /// Whether the subset must be selected again.
     is_subset_due: bool,
     /// When the subset is selected again even if nothing has changed.
-    next_choice: Instant,
+    next_selection_at: Instant,
 }
 
 impl Directory {
@@ -64,17 +64,17 @@
             by_name: BTreeMap::new(),
             by_link: BTreeMap::new(),
             linked: BTreeMap::new(),
-            limited: Vec::new(),
-            in_use: BTreeSet::new(),
-            proof_turn: 0,
+            limited_tenants: Vec::new(),
+            tenants_in_use: BTreeSet::new(),
+            proof_query_count: 0,
             estimated_nodes: 0,
             is_subset_due: false,
-            next_choice: Instant::default(),
+            next_selection_at: Instant::default(),
         }
     }
 
     /// Adds a peer, or updates the address or service of a known one.
-    pub fn learn(&mut self, now: Instant, record: &NodeRecord) {
+    pub fn add_or_update(&mut self, now: Instant, record: &NodeRecord) {
         if record.name == self.own_name {
             return;
         }
@@ -82,8 +82,8 @@
             Some(index) => {
                 let index = *index;
                 if self.peers[index.0].record != *record {
-                    self.peers[index.0].renew(now, record);
-                    self.relist(index);
+                    self.peers[index.0].update_record(now, record);
+                    self.reindex(index);
                 }
             }
             None => self.add(now, record),
@@ -146,11 +146,11 @@
     }
 
     /// Records that a message has arrived on a link.
-    pub fn heard(&mut self, now: Instant, link: LinkId) {
+    pub fn record_received(&mut self, now: Instant, link: LinkId) {
         if let Some(peer) = self.by_link(link)
             && peer.link == LinkState::Open(link)
         {
-            peer.heard(now);
+            peer.record_received(now);
         }
     }
 
@@ -166,7 +166,7 @@
         peer.observe_status(now, status);
         self.is_subset_due |= !is_same_standing;
         if !is_same_service {
-            self.relist(index);
+            self.reindex(index);
         }
     }
 
@@ -178,22 +178,22 @@
     /// Selects the peers that links are kept to if a relevant change has occurred or the selection
     /// interval has elapsed. `has_news` returns whether the peer on a link has a recent contact
     /// with the store.
-    pub fn update_subset(&mut self, now: Instant, has_news: impl Fn(LinkId) -> bool) {
-        if std::mem::take(&mut self.is_subset_due) || now >= self.next_choice {
-            self.next_choice = now + CHOICE_INTERVAL;
+    pub fn update_subset(&mut self, now: Instant, has_store_contact: impl Fn(LinkId) -> bool) {
+        if std::mem::take(&mut self.is_subset_due) || now >= self.next_selection_at {
+            self.next_selection_at = now + SELECTION_INTERVAL;
             subset::select_peers(now, &self.own_zone, self.peers.iter_mut());
-            self.want_owners();
-            self.choose_followed(now, has_news);
+            self.select_bucket_owners();
+            self.select_followed(now, has_store_contact);
         }
     }
 
     /// Schedules a selection of the subset for the next call of [`Self::update_subset`].
-    pub const fn choose_soon(&mut self) {
+    pub const fn select_soon(&mut self) {
         self.is_subset_due = true;
     }
 
     /// Returns the selected peers whose link is due to be opened.
-    pub fn due(&self, now: Instant) -> Vec<PeerIndex> {
+    pub fn peers_to_connect(&self, now: Instant) -> Vec<PeerIndex> {
         let is_due = |peer: &Peer| matches!(peer.link, LinkState::Closed { retry_at } if peer.is_selected && retry_at <= now);
         (0..self.peers.len())
             .filter(|index| is_due(&self.peers[*index]))
@@ -202,14 +202,14 @@
     }
 
     /// Marks a link to a peer as being opened.
-    pub fn opening(&mut self, index: PeerIndex, link: LinkId) {
+    pub fn mark_opening(&mut self, index: PeerIndex, link: LinkId) {
         self.peers[index.0].link = LinkState::Opening(link);
         self.by_link.insert(link, index);
     }
 
     /// Records that a link which this node has opened is up. Returns `false` if the link is unknown
     /// or superseded, or if its other end is not the expected node.
-    pub fn opened(&mut self, now: Instant, link: LinkId, hello: &Hello) -> bool {
+    pub fn on_opened(&mut self, now: Instant, link: LinkId, hello: &Hello) -> bool {
         let Some(index) = self.by_link.get(&link).copied() else {
             return false;
         };
@@ -217,15 +217,15 @@
         if peer.link != LinkState::Opening(link) || peer.record.name != hello.node.name {
             return false;
         }
-        self.introduce(index, hello);
+        self.apply_hello(index, hello);
         self.attach(now, index, link);
         true
     }
 
     /// Records that a peer has opened a link. Returns the link of an earlier run of the peer that
     /// it replaces, if there is one.
-    pub fn accepted(&mut self, now: Instant, link: LinkId, hello: &Hello) -> Option<LinkId> {
-        self.learn(now, &hello.node);
+    pub fn on_accepted(&mut self, now: Instant, link: LinkId, hello: &Hello) -> Option<LinkId> {
+        self.add_or_update(now, &hello.node);
         let index = self.by_name.get(&hello.node.name).copied()?;
         self.by_link.insert(link, index);
         let peer = &self.peers[index.0];
@@ -235,23 +235,23 @@
             LinkState::Open(_) if is_same_run => None,
             // Both ends compare the names, so that they use the same one of the two links.
             LinkState::Opening(_) if self.own_name < hello.node.name => {
-                self.introduce(index, hello);
+                self.apply_hello(index, hello);
                 None
             }
-            LinkState::Opening(given_up) => {
-                self.by_link.remove(&given_up);
-                self.introduce(index, hello);
+            LinkState::Opening(superseded) => {
+                self.by_link.remove(&superseded);
+                self.apply_hello(index, hello);
                 self.attach(now, index, link);
                 None
             }
             LinkState::Open(replaced) => {
                 self.by_link.remove(&replaced);
-                self.introduce(index, hello);
+                self.apply_hello(index, hello);
                 self.attach(now, index, link);
                 Some(replaced)
             }
             LinkState::Closed { .. } => {
-                self.introduce(index, hello);
+                self.apply_hello(index, hello);
                 self.attach(now, index, link);
                 None
             }
@@ -260,19 +260,19 @@
 
     /// Records that a link has ended. Returns the name of the peer and whether the link was in use;
     /// `None` if the link is unknown.
-    pub fn closed(&mut self, now: Instant, link: LinkId) -> Option<(String, bool)> {
+    pub fn on_closed(&mut self, now: Instant, link: LinkId) -> Option<(String, bool)> {
         let index = self.by_link.remove(&link)?;
         let state = self.peers[index.0].link;
         let was_open = state == LinkState::Open(link);
         if was_open || state == LinkState::Opening(link) {
             self.peers[index.0].detach(now);
-            self.relist(index);
+            self.reindex(index);
             self.use_spare_link(now, index);
         }
         Some((self.peers[index.0].record.name.clone(), was_open))
     }
 
-    fn introduce(&mut self, index: PeerIndex, hello: &Hello) {
+    fn apply_hello(&mut self, index: PeerIndex, hello: &Hello) {
         let peer = &mut self.peers[index.0];
         peer.incarnation = hello.incarnation;
         peer.record = hello.node.clone();
@@ -281,7 +281,7 @@
 
     fn attach(&mut self, now: Instant, index: PeerIndex, link: LinkId) {
         self.peers[index.0].attach(now, link);
-        self.relist(index);
+        self.reindex(index);
     }
 
     /// Switches to another open link of the peer, if there is one.
@@ -294,7 +294,7 @@
     }
 
     /// Updates the index by service after the link or the service of a peer has changed.
-    fn relist(&mut self, index: PeerIndex) {
+    fn reindex(&mut self, index: PeerIndex) {
         self.is_subset_due = true;
         for indices in self.linked.values_mut() {
             indices.retain(|other| *other != index);
--- a/crates/rillgap-forward/src/directory/proofs.rs
+++ b/crates/rillgap-forward/src/directory/proofs.rs
@@ -14,14 +14,14 @@
         if indices.is_empty() {
             return Vec::new();
         }
-        self.proof_turn += 1;
-        let start = self.proof_turn % indices.len();
+        self.proof_query_count += 1;
+        let start = self.proof_query_count % indices.len();
         let mut peers: Vec<&Peer> = indices[start..]
             .iter()
             .chain(&indices[..start])
             .map(|index| &self.peers[index.0])
             .collect();
-        peers.sort_by_key(|peer| !peer.watches(now) && !peer.is_followed);
+        peers.sort_by_key(|peer| !peer.is_watching_store(now) && !peer.is_followed);
         peers.truncate(count);
         peers.iter().filter_map(|peer| peer.open_link()).collect()
     }
--- a/crates/rillgap-forward/src/message.rs
+++ b/crates/rillgap-forward/src/message.rs
@@ -26,7 +26,7 @@
 const TIERS_PER_PRIORITY: u8 = 3;
 /// Number of positions within a rank of a queue. Fewer than levels, so that requests of earlier
 /// roots are not overtaken indefinitely.
-const PLACES: u8 = 8;
+const POSITIONS_PER_RANK: u8 = 8;
 /// Tier of the requests that are shed last.
 const HIGHEST_TIER: u8 = (LOWEST_PRIORITY + 1) * TIERS_PER_PRIORITY - 1;
 /// Number of tiers of admission levels.
@@ -187,8 +187,8 @@
     /// chain would lose a call now and then.
     pub fn position_in_rank(&self) -> u8 {
         let within = self.level.0 % Level::PER_TIER;
-        let group = within * u32::from(PLACES) / Level::PER_TIER;
-        PLACES - 1 - u8::try_from(group).unwrap_or(0)
+        let group = within * u32::from(POSITIONS_PER_RANK) / Level::PER_TIER;
+        POSITIONS_PER_RANK - 1 - u8::try_from(group).unwrap_or(0)
     }
 
     /// Returns the rank in a queue; 0 is served first.
--- a/crates/rillgap-forward/src/node/spread.rs
+++ b/crates/rillgap-forward/src/node/configuration_distribution.rs
@@ -14,11 +14,11 @@
 
 /// Time for which the node waits for the store to deliver a newer version before it queries a peer
 /// that has offered it.
-const OFFER_PATIENCE: Duration = Duration::from_millis(200);
+const STORE_DELIVERY_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Node {
     /// Puts a configuration in force unless the current one is the same version or newer.
-    pub(super) fn adopt(
+    pub(super) fn apply_configuration(
         &mut self,
         now: Instant,
         configuration: Configuration,
@@ -37,7 +37,7 @@
         let version = configuration.version;
         let table = RouteTable::new(configuration);
         self.freshness.on_configuration_in_force(version);
-        self.limit_tenants(now, &table);
+        self.apply_tenant_limits(now, &table);
         self.table = Some(Arc::new(table));
         self.configured_at = Some(now);
         self.offers.on_configuration_in_force(version);
@@ -56,11 +56,11 @@
                 message: LinkMessage::ConfigurationOffer(own_version),
             });
         }
-        self.learn_version(now, link, version, out);
+        self.observe_version(now, link, version, out);
     }
 
     /// Records the version of the configuration that the peer on a link has.
-    pub(super) fn learn_version(
+    pub(super) fn observe_version(
         &mut self,
         now: Instant,
         link: LinkId,
@@ -71,12 +71,12 @@
         if version <= own_version {
             return;
         }
-        let patience = if self.store.has_configuration_call_in_flight() {
-            OFFER_PATIENCE
+        let delay = if self.store.has_configuration_call_in_flight() {
+            STORE_DELIVERY_TIMEOUT
         } else {
             Duration::ZERO
         };
-        if self.offers.on_offer(now, link, version, now + patience) {
+        if self.offers.on_offer(now, link, version, now + delay) {
             let peer = self.peer_name(link);
             out.push(Action::Log(LogRecord::NewerConfiguration {
                 version,
@@ -101,7 +101,7 @@
     }
 
     /// Queries a peer that has offered a newer configuration for it.
-    pub(super) fn ask_for_configuration(&mut self, now: Instant, out: &mut Actions) {
+    pub(super) fn query_configuration(&mut self, now: Instant, out: &mut Actions) {
         let Some(query) = self.offers.take_due(now) else {
             return;
         };
--- a/crates/rillgap-forward/src/node/evidence.rs
+++ b/crates/rillgap-forward/src/node/evidence.rs
@@ -18,23 +18,23 @@
     /// Sends changed evidence to the peers: that of several crashes to all, that of a single one only
     /// to peers with the same service. Every node forwards what is new to it, so that the evidence
     /// reaches all of them.
-    pub(super) fn tell_evidence(&mut self, now: Instant, out: &mut Actions) {
+    pub(super) fn send_new_evidence(&mut self, now: Instant, out: &mut Actions) {
         let crashes = self.inbound.crashes_mut();
         for change in crashes.take_changes() {
             out.push(Action::Log(LogRecord::SuspicionChanged(change)));
         }
         let source = self.evidence_source.take();
-        let news = crashes.take_updates(now);
+        let updates = crashes.take_updates(now);
         let all = self.directory.open_links();
-        send_evidence(&news.for_all, all, source, out);
+        send_evidence(&updates.for_all, all, source, out);
         let service = self.inbound.service();
         let beside = self.directory.linked(service);
         let links = beside.filter_map(|(_, peer)| peer.open_link());
-        send_evidence(&news.for_service, links, source, out);
+        send_evidence(&updates.for_service, links, source, out);
     }
 
     /// Sends the evidence known here to the peer at the other end of a new link.
-    pub(super) fn introduce_evidence(
+    pub(super) fn send_known_evidence(
         &self,
         now: Instant,
         link: LinkId,
--- a/crates/rillgap-forward/src/node/follow.rs
+++ b/crates/rillgap-forward/src/node/follow.rs
@@ -14,7 +14,7 @@
 
 /// Time after the start after which the node decides whether to watch the store even if it has not
 /// listed the other nodes.
-const LIST_PATIENCE: Duration = Duration::from_secs(3);
+const LIST_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Node {
     pub(super) fn on_follow(
@@ -29,11 +29,11 @@
             let age = self
                 .watch_relay
                 .contact_age(now, self.store.last_contact_at(now));
-            out.push(tell(link, age));
+            out.push(store_contact_message(link, age));
         }
     }
 
-    pub(super) fn on_store_news(&mut self, now: Instant, link: LinkId, age_micros: Option<u64>) {
+    pub(super) fn on_store_contact(&mut self, now: Instant, link: LinkId, age_micros: Option<u64>) {
         if self.directory.is_preceding(link) {
             let age = age_micros.map(Duration::from_micros);
             self.watch_relay.on_contact_report(now, link, age);
@@ -41,10 +41,14 @@
     }
 
     /// Sends the age of the last contact with the store to the followers.
-    pub(super) fn tell_followers(&mut self, now: Instant, out: &mut Actions) {
+    pub(super) fn notify_followers(&mut self, now: Instant, out: &mut Actions) {
         let own = self.store.last_contact_at(now);
         if let Some((followers, age)) = self.watch_relay.take_due(now, own) {
-            out.extend(followers.into_iter().map(|link| tell(link, age)));
+            out.extend(
+                followers
+                    .into_iter()
+                    .map(|link| store_contact_message(link, age)),
+            );
         }
     }
 
@@ -64,21 +68,21 @@
     /// Starts or stops the watch of the store, depending on the contact that the followed peers
     /// have.
     pub(super) fn update_watch(&mut self, now: Instant, out: &mut Actions) {
-        let may_judge = self.store.has_listed() || now >= self.started_at + LIST_PATIENCE;
-        let may_watch = may_judge && self.stopping_since.is_none();
+        let may_decide = self.store.has_listed() || now >= self.started_at + LIST_TIMEOUT;
+        let may_watch = may_decide && self.stopping_since.is_none();
         let preceding = PrecedingNodes {
             fresh_count: self.watch_relay.fresh_count(now),
             has_recent_report: self.watch_relay.has_recent_report(now),
-            known_count: self.directory.preceding(),
+            known_count: self.directory.count_preceding(),
         };
-        let longest = self.freshness.max_watch_wait();
-        let wait = if may_judge {
+        let max_wait = self.freshness.max_watch_wait();
+        let wait = if may_decide {
             self.watcher_election.update(now, preceding)
         } else {
             None
         };
         let wait = wait.filter(|_| may_watch);
-        let wait = wait.map(|wait| longest.map_or(wait, |longest| wait.min(longest)));
+        let wait = wait.map(|wait| max_wait.map_or(wait, |max_wait| wait.min(max_wait)));
         if self.store.set_watch(now, wait) {
             out.push(Action::Log(LogRecord::Watch {
                 is_watching: wait.is_some(),
@@ -89,7 +93,7 @@
     }
 }
 
-fn tell(link: LinkId, age: Option<Duration>) -> Action {
+fn store_contact_message(link: LinkId, age: Option<Duration>) -> Action {
     let age_micros = age.map(|age| u64::try_from(age.as_micros()).unwrap_or(u64::MAX));
     Action::SendOnLink {
         link,
--- a/crates/rillgap-forward/src/node/freshness.rs
+++ b/crates/rillgap-forward/src/node/freshness.rs
@@ -20,8 +20,8 @@
 impl Node {
     /// Queries peers for a proof before the node's own one expires, those that watch the store
     /// first.
-    pub(super) fn ask_for_proof(&mut self, now: Instant, out: &mut Actions) {
-        self.note_freshness(now, out);
+    pub(super) fn query_freshness(&mut self, now: Instant, out: &mut Actions) {
+        self.log_freshness(now, out);
         let is_needed = self.table.as_ref().is_some_and(|table| table.has_tenants());
         let width = self.freshness.queries_due(now).filter(|_| is_needed);
         let Some(width) = width else {
@@ -74,10 +74,10 @@
     }
 
     /// Logs when the node begins or ceases to serve requests with keys.
-    fn note_freshness(&mut self, now: Instant, out: &mut Actions) {
+    fn log_freshness(&mut self, now: Instant, out: &mut Actions) {
         let is_proven = self.freshness.is_proven(now);
-        if is_proven != self.told_proven {
-            self.told_proven = is_proven;
+        if is_proven != self.logged_fresh {
+            self.logged_fresh = is_proven;
             out.push(Action::Log(LogRecord::Freshness {
                 is_proven,
                 proof_age_millis: age_millis(&self.freshness, now),
--- a/crates/rillgap-forward/src/node/links.rs
+++ b/crates/rillgap-forward/src/node/links.rs
@@ -16,20 +16,21 @@
 const STATUS_INTERVAL: Duration = Duration::from_secs(3);
 /// Minimum interval between reports of a load that has changed much; answers report the load as
 /// well.
-const LOAD_REPORT_PAUSE: Duration = Duration::from_millis(400);
+const MIN_LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// Interval between status reports of a node that watches the store: other nodes take over the
 /// watch when its reports stop.
 const WATCHER_STATUS_INTERVAL: Duration = Duration::from_millis(700);
 /// Minimum and maximum silence on a link with requests in flight after which the peer is pinged. In
 /// between the delay is the peer's mean service time multiplied by `PING_DELAY_FACTOR`: most
 /// requests are answered by then.
-const PING_AFTER: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(600));
-const PING_AFTER_SHARE: f64 = 1.5;
+const PING_DELAY_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(250), Duration::from_millis(600));
+const PING_DELAY_FACTOR: f64 = 1.5;
 /// Time without a message after which a link with requests in flight is closed.
-const SILENT_BUSY: Duration = Duration::from_millis(1_100);
+const BUSY_LINK_TIMEOUT: Duration = Duration::from_millis(1_100);
 /// Time without a message after which a link without requests is closed: two status reports are
 /// missing.
-const SILENT_IDLE: Duration = Duration::from_millis(7_500);
+const IDLE_LINK_TIMEOUT: Duration = Duration::from_millis(7_500);
 
 impl Node {
     pub(super) fn on_link_opened(
@@ -39,13 +40,13 @@
         hello: &Hello,
         out: &mut Actions,
     ) {
-        if hello.protocol != PROTOCOL_VERSION || !self.directory.opened(now, link, hello) {
+        if hello.protocol != PROTOCOL_VERSION || !self.directory.on_opened(now, link, hello) {
             out.push(Action::CloseLink(link));
-            self.directory.closed(now, link);
+            self.directory.on_closed(now, link);
             return;
         }
-        note_peer(&hello.node.name, true, "link opened", out);
-        self.greet(now, link, hello, out);
+        log_peer(&hello.node.name, true, "link opened", out);
+        self.send_current_state(now, link, hello, out);
     }
 
     pub(super) fn on_link_accepted(
@@ -59,22 +60,22 @@
             out.push(Action::CloseLink(link));
             return;
         }
-        if let Some(replaced) = self.directory.accepted(now, link, hello) {
+        if let Some(replaced) = self.directory.on_accepted(now, link, hello) {
             out.push(Action::CloseLink(replaced));
             self.offers.link_ended(now, replaced);
             self.end_link(now, replaced, out);
         }
-        note_peer(&hello.node.name, true, "link accepted", out);
-        self.greet(now, link, hello, out);
+        log_peer(&hello.node.name, true, "link accepted", out);
+        self.send_current_state(now, link, hello, out);
     }
 
     /// Sends the state that may have changed since the node's own `Hello` was encoded.
-    fn greet(&mut self, now: Instant, link: LinkId, hello: &Hello, out: &mut Actions) {
+    fn send_current_state(&mut self, now: Instant, link: LinkId, hello: &Hello, out: &mut Actions) {
         out.push(Action::SendOnLink {
             link,
             message: LinkMessage::Status(self.status(now)),
         });
-        self.introduce_evidence(now, link, hello, out);
+        self.send_known_evidence(now, link, hello, out);
         self.exchange_epochs(now, link, hello, out);
         self.on_offer(now, link, hello.configuration_version, out);
     }
@@ -96,11 +97,11 @@
 
     pub(super) fn on_link_closed(&mut self, now: Instant, link: LinkId, out: &mut Actions) {
         self.offers.link_ended(now, link);
-        let Some((name, was_in_use)) = self.directory.closed(now, link) else {
+        let Some((name, was_in_use)) = self.directory.on_closed(now, link) else {
             return;
         };
         if was_in_use {
-            note_peer(&name, false, "link closed", out);
+            log_peer(&name, false, "link closed", out);
         }
         self.end_link(now, link, out);
     }
@@ -113,12 +114,12 @@
         outbound.on_link_closed(now, link, &mut context);
     }
 
-    pub(super) fn keep_links(&mut self, now: Instant, out: &mut Actions) {
+    pub(super) fn maintain_links(&mut self, now: Instant, out: &mut Actions) {
         self.close_silent_links(now, out);
         self.open_links(now, out);
         self.update_followed(out);
         self.update_watch(now, out);
-        self.ask_for_proof(now, out);
+        self.query_freshness(now, out);
         self.offer_buckets(now, out);
         self.report_when_due(now, out);
     }
@@ -126,10 +127,10 @@
     /// Sends the periodic status report, at once if the node begins or ceases to watch the store.
     fn report_when_due(&mut self, now: Instant, out: &mut Actions) {
         let is_watching = self.store.is_watching(now);
-        if now < self.next_status && is_watching == self.told_watching {
+        if now < self.next_status && is_watching == self.reported_watching {
             return;
         }
-        self.told_watching = is_watching;
+        self.reported_watching = is_watching;
         let interval = if is_watching {
             WATCHER_STATUS_INTERVAL
         } else {
@@ -140,8 +141,8 @@
     }
 
     pub(super) fn close_silent_links(&mut self, now: Instant, out: &mut Actions) {
-        let mut silent = Vec::new();
-        let may_judge = now >= self.judge_after;
+        let mut timed_out = Vec::new();
+        let may_time_out = now >= self.peer_timeouts_after;
         let inbound = &self.inbound;
         self.directory.for_each_linked(|peer| {
             let Some(link) = peer.open_link() else {
@@ -151,25 +152,26 @@
             let is_idle = peer.in_flight == 0 && !inbound.has_requests_of(link);
             // Requests from the peer keep the link open: if its process was paused, it may resume
             // and still wait for their answers.
-            let is_gone = is_idle && now.saturating_since(peer.heard_at) >= SILENT_IDLE;
-            if may_judge {
+            let is_timed_out =
+                is_idle && now.saturating_since(peer.last_received_at) >= IDLE_LINK_TIMEOUT;
+            if may_time_out {
                 peer.suspect_if_silent(now);
             }
-            if may_judge && (is_gone || unanswered >= SILENT_BUSY) {
-                silent.push(link);
+            if may_time_out && (is_timed_out || unanswered >= BUSY_LINK_TIMEOUT) {
+                timed_out.push(link);
                 return;
             }
-            let patience = ping_patience(peer);
-            let is_ping_due = now.saturating_since(peer.pinged_at) >= patience;
-            if unanswered >= patience && is_ping_due {
-                peer.pinged(now);
+            let delay = ping_delay(peer);
+            let is_ping_due = now.saturating_since(peer.last_ping_at) >= delay;
+            if unanswered >= delay && is_ping_due {
+                peer.record_ping_sent(now);
                 out.push(Action::SendOnLink {
                     link,
                     message: LinkMessage::Ping,
                 });
             }
         });
-        for link in silent {
+        for link in timed_out {
             out.push(Action::CloseLink(link));
             self.on_link_closed(now, link, out);
         }
@@ -179,10 +181,10 @@
         let relay = &self.watch_relay;
         self.directory
             .update_subset(now, |link| relay.is_fresh(now, link));
-        for index in self.directory.due(now) {
+        for index in self.directory.peers_to_connect(now) {
             let address = self.directory.peer(index).record.address;
             let link = self.new_link();
-            self.directory.opening(index, link);
+            self.directory.mark_opening(index, link);
             out.push(Action::OpenLink { link, address });
         }
     }
@@ -191,7 +193,7 @@
     pub(super) fn status(&self, now: Instant) -> Status {
         Status {
             is_watching: self.store.is_watching(now),
-            can_own_buckets: self.owns_buckets_since.is_some(),
+            can_own_buckets: self.can_own_buckets_since.is_some(),
             ..self.inbound.status()
         }
     }
@@ -199,7 +201,7 @@
     /// Reports changes to the peers: at once if they decide whether peers may send requests to this
     /// node, at a limited rate if only the load has changed.
     pub(super) fn report_changes(&mut self, now: Instant, out: &mut Actions) {
-        let may_report_load = now >= self.status_told_at + LOAD_REPORT_PAUSE;
+        let may_report_load = now >= self.status_sent_at + MIN_LOAD_REPORT_INTERVAL;
         let is_due =
             self.inbound.take_status_change() || may_report_load && self.inbound.take_load_change();
         if is_due {
@@ -208,7 +210,7 @@
     }
 
     pub(super) fn broadcast_status(&mut self, now: Instant, out: &mut Actions) {
-        self.status_told_at = now;
+        self.status_sent_at = now;
         let status = self.status(now);
         self.broadcast(&LinkMessage::Status(status), out);
     }
@@ -224,13 +226,13 @@
 }
 
 /// Returns the time without a message on a busy link after which the peer is pinged.
-fn ping_patience(peer: &Peer) -> Duration {
+fn ping_delay(peer: &Peer) -> Duration {
     let mean = Duration::from_micros(u64::from(peer.status().load.mean_micros));
-    let (shortest, longest) = PING_AFTER;
-    mean.mul_f64(PING_AFTER_SHARE).clamp(shortest, longest)
+    let (shortest, longest) = PING_DELAY_BOUNDS;
+    mean.mul_f64(PING_DELAY_FACTOR).clamp(shortest, longest)
 }
 
-fn note_peer(peer: &str, is_up: bool, cause: &'static str, out: &mut Actions) {
+fn log_peer(peer: &str, is_up: bool, cause: &'static str, out: &mut Actions) {
     out.push(Action::Log(LogRecord::Peer {
         peer: peer.to_owned(),
         is_up,
--- a/crates/rillgap-forward/src/node/mod.rs
+++ b/crates/rillgap-forward/src/node/mod.rs
@@ -1,11 +1,11 @@
 //! State machine of one node: inbound and outbound side, directory of peers, configuration and
 //! store.
 
+mod configuration_distribution;
 mod evidence;
 mod follow;
 mod freshness;
 mod links;
-mod spread;
 mod stop;
 mod store;
 mod tokens;
@@ -36,12 +36,12 @@
 pub const PROTOCOL_VERSION: u32 = 6;
 
 /// Interval at which links are checked, opened and closed.
-const HOUSEKEEPING: Duration = Duration::from_millis(100);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two events after which the node's own process counts as having been paused.
-const STOOD_STILL: Duration = Duration::from_millis(700);
+const PROCESS_PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
 /// Time after a process pause during which no link is closed for silence: the messages that arrived
 /// during the pause are read first.
-const READ_FIRST: Duration = Duration::from_millis(400);
+const PROCESS_PAUSE_GRACE: Duration = Duration::from_millis(400);
 
 /// One node. The driver passes it events through [`Node::handle`] and executes the resulting
 /// actions.
@@ -60,16 +60,16 @@
     watch_relay: WatchRelay,
     freshness: Freshness,
     /// Whether the last log record on freshness said that requests with keys are served.
-    told_proven: bool,
+    logged_fresh: bool,
     buckets: Buckets,
     /// Whether the records of all nodes have been read.
-    knows_members: bool,
+    has_full_membership: bool,
     /// Since when the node offers to own buckets of tenants' tokens; `None` if it does not.
-    owns_buckets_since: Option<Instant>,
+    can_own_buckets_since: Option<Instant>,
     /// Whether the last periodic report said that the node watches the store.
-    told_watching: bool,
+    reported_watching: bool,
     /// When the last status was sent.
-    status_told_at: Instant,
+    status_sent_at: Instant,
     offers: ConfigurationOffers,
     /// Link on which the evidence arrived that is to be forwarded next; the peer there is left out.
     evidence_source: Option<LinkId>,
@@ -78,7 +78,7 @@
     next_housekeeping: Instant,
     next_status: Instant,
     last_step: Instant,
-    judge_after: Instant,
+    peer_timeouts_after: Instant,
     stopping_since: Option<Instant>,
     inbound_stops_at: Option<Instant>,
     exited: bool,
@@ -102,12 +102,12 @@
             watcher_election: WatcherElection::new(&settings.record.name),
             watch_relay: WatchRelay::default(),
             freshness: Freshness::new(settings.revocation),
-            told_proven: true,
+            logged_fresh: true,
             buckets: Buckets::default(),
-            knows_members: false,
-            owns_buckets_since: None,
-            told_watching: false,
-            status_told_at: now,
+            has_full_membership: false,
+            can_own_buckets_since: None,
+            reported_watching: false,
+            status_sent_at: now,
             store_is_up: true,
             offers: ConfigurationOffers::default(),
             evidence_source: None,
@@ -116,7 +116,7 @@
             next_housekeeping: now,
             next_status: now,
             last_step: now,
-            judge_after: now,
+            peer_timeouts_after: now,
             stopping_since: None,
             inbound_stops_at: None,
             exited: false,
@@ -174,7 +174,7 @@
             node: self.settings.record.clone(),
             incarnation: self.settings.incarnation,
             status: Status {
-                can_own_buckets: self.owns_buckets_since.is_some(),
+                can_own_buckets: self.can_own_buckets_since.is_some(),
                 ..self.inbound.status()
             },
             configuration_version: self.configuration_version(),
@@ -204,7 +204,7 @@
 
     /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Actions) {
-        self.note_time(now);
+        self.detect_process_pause(now);
         match event {
             Event::Request {
                 connection,
@@ -243,7 +243,7 @@
             Event::Wake => {}
         }
         self.deliver_local(now, out);
-        self.settle(now, out);
+        self.run_due_work(now, out);
     }
 
     /// Returns when [`Event::Wake`] is due next.
@@ -261,7 +261,7 @@
     }
 
     fn split<'a>(&'a mut self, out: &'a mut Actions) -> (&'a mut Outbound, OutboundContext<'a>) {
-        let refuses_callers = self.notice_is_over(self.last_step);
+        let refuses_callers = self.stop_notice_elapsed(self.last_step);
         let now = self.last_step;
         let context = OutboundContext {
             table: self.table.as_deref(),
@@ -279,9 +279,9 @@
 
     /// Detects that the process was paused. Peers are then not timed out before the messages that
     /// they sent meanwhile are read.
-    fn note_time(&mut self, now: Instant) {
-        if now.saturating_since(self.last_step) >= STOOD_STILL {
-            self.judge_after = now + READ_FIRST;
+    fn detect_process_pause(&mut self, now: Instant) {
+        if now.saturating_since(self.last_step) >= PROCESS_PAUSE_THRESHOLD {
+            self.peer_timeouts_after = now + PROCESS_PAUSE_GRACE;
         }
         self.last_step = now;
     }
@@ -338,7 +338,7 @@
         message: LinkMessage,
         out: &mut Actions,
     ) {
-        self.directory.heard(now, link);
+        self.directory.record_received(now, link);
         self.offers.on_message(now, link);
         match message {
             LinkMessage::Request { sequence, request } => {
@@ -359,18 +359,18 @@
             LinkMessage::ConfigurationQuery(version) => self.on_query(link, version, out),
             LinkMessage::FreshnessQuery(number) => self.on_freshness_query(now, link, number, out),
             LinkMessage::Follow(follows) => self.on_follow(now, link, follows, out),
-            LinkMessage::StoreContact(age_micros) => self.on_store_news(now, link, age_micros),
+            LinkMessage::StoreContact(age_micros) => self.on_store_contact(now, link, age_micros),
             LinkMessage::StoreEpoch(epoch) => self.observe_epoch(now, epoch, Some(link), out),
             LinkMessage::FreshnessAnswer(answer) => {
                 self.observe_epoch(now, answer.epoch, Some(link), out);
                 self.on_freshness_answer(answer);
-                self.learn_version(now, link, answer.version, out);
+                self.observe_version(now, link, answer.version, out);
             }
             LinkMessage::TokenQuery(query) => self.on_token_query(now, link, query, out),
             LinkMessage::TokenAnswer(answer) => self.on_token_answer(now, answer, out),
             LinkMessage::CrashEvidence(evidence) => self.on_evidence(now, link, &evidence),
             LinkMessage::Configuration(configuration) => {
-                self.adopt(now, Arc::unwrap_or_clone(configuration), "peer", out);
+                self.apply_configuration(now, Arc::unwrap_or_clone(configuration), "peer", out);
             }
         }
     }
@@ -383,17 +383,17 @@
     }
 
     /// Does the work that is due and passes the results of one component to the others.
-    fn settle(&mut self, now: Instant, out: &mut Actions) {
+    fn run_due_work(&mut self, now: Instant, out: &mut Actions) {
         let table = self.table.clone();
         self.inbound.poll(now, table.as_deref(), out);
         // Evidence of a crash is sent before the results of its requests: peers use it to decide on
         // retries.
-        self.tell_evidence(now, out);
+        self.send_new_evidence(now, out);
         self.inbound.release_lost_requests(now, out);
         let (outbound, mut context) = self.split(out);
         outbound.poll(now, &mut context);
         self.deliver_local(now, out);
-        self.ask_for_tokens(now, out);
+        self.query_tokens(now, out);
         self.deliver_local(now, out);
         for call in self.outbound.take_call_updates() {
             self.inbound.on_call(call);
@@ -401,13 +401,13 @@
         for (id, request) in self.store.poll(now) {
             out.push(Action::CallStore { id, request });
         }
-        self.ask_for_configuration(now, out);
-        self.tell_followers(now, out);
+        self.query_configuration(now, out);
+        self.notify_followers(now, out);
         self.stop_inbound_when_due(now);
         self.report_changes(now, out);
         if now >= self.next_housekeeping {
-            self.next_housekeeping = now + HOUSEKEEPING;
-            self.keep_links(now, out);
+            self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
+            self.maintain_links(now, out);
         }
         self.exit_when_done(now, out);
     }
--- a/crates/rillgap-forward/src/node/stop.rs
+++ b/crates/rillgap-forward/src/node/stop.rs
@@ -11,10 +11,10 @@
 /// Time after the start of a planned stop during which the node does not exit and still accepts
 /// callers' requests: callers see within it that the node is not ready. Requests that arrive later,
 /// because too few nodes are ready, are rejected: the end of the grace period could cut them off.
-const STOP_NOTICE: Duration = Duration::from_millis(2_500);
+const STOP_NOTICE_PERIOD: Duration = Duration::from_millis(2_500);
 /// Fraction of the grace period for which the back end beside a stopping node still receives
 /// requests. No other node can reach it, so a shorter time would waste its capacity.
-const INBOUND_SHARE: f64 = 0.25;
+const INBOUND_GRACE_FRACTION: f64 = 0.25;
 /// Time before the end of the grace period at which the node exits even if requests are in flight.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
 
@@ -24,11 +24,11 @@
             return;
         }
         self.stopping_since = Some(now);
-        self.note_lifecycle("stopping", out);
+        self.log_lifecycle("stopping", out);
         if self.inbound.has_left() {
             self.store.unregister(now);
         }
-        self.inbound_stops_at = Some(now + self.settings.grace.mul_f64(INBOUND_SHARE));
+        self.inbound_stops_at = Some(now + self.settings.grace.mul_f64(INBOUND_GRACE_FRACTION));
     }
 
     pub(super) fn stop_inbound_when_due(&mut self, now: Instant) {
@@ -44,23 +44,23 @@
         };
         let elapsed = now.saturating_since(since);
         let in_flight = self.inbound.in_flight() + self.outbound.in_flight();
-        let is_done = self.notice_is_over(now) && in_flight == 0;
+        let is_done = self.stop_notice_elapsed(now) && in_flight == 0;
         let is_late = elapsed + STOP_MARGIN >= self.settings.grace;
         if self.exited || !(is_done || is_late) {
             return;
         }
         self.exited = true;
-        self.note_lifecycle("exiting", out);
+        self.log_lifecycle("exiting", out);
         out.push(Action::Exit);
     }
 
     /// Returns whether a planned stop began long enough ago for callers to have noticed it.
-    pub(super) fn notice_is_over(&self, now: Instant) -> bool {
+    pub(super) fn stop_notice_elapsed(&self, now: Instant) -> bool {
         self.stopping_since
-            .is_some_and(|since| now.saturating_since(since) >= STOP_NOTICE)
+            .is_some_and(|since| now.saturating_since(since) >= STOP_NOTICE_PERIOD)
     }
 
-    pub(super) fn note_lifecycle(&self, state: &'static str, out: &mut Actions) {
+    pub(super) fn log_lifecycle(&self, state: &'static str, out: &mut Actions) {
         out.push(Action::Log(LogRecord::Lifecycle {
             state,
             in_flight: self.inbound.in_flight() + self.outbound.in_flight(),
--- a/crates/rillgap-forward/src/node/store.rs
+++ b/crates/rillgap-forward/src/node/store.rs
@@ -21,29 +21,29 @@
         if let Some(epoch) = reply.epoch() {
             self.observe_epoch(now, epoch, None, out);
         }
-        let news = self.store.on_reply(now, request, reply);
-        self.note_store(&news, out);
-        match news {
+        let event = self.store.on_reply(now, request, reply);
+        self.log_store(&event, out);
+        match event {
             Some(StoreEvent::Configuration(configuration)) => {
-                self.adopt(now, configuration, "store", out);
+                self.apply_configuration(now, configuration, "store", out);
             }
             Some(StoreEvent::Nodes { list, is_complete }) => {
-                self.knows_members |= is_complete;
+                self.has_full_membership |= is_complete;
                 if list.unreadable > 0 {
                     let unreadable = list.unreadable;
                     out.push(Action::Log(LogRecord::UnreadableRecords { unreadable }));
                 }
-                self.directory.learn_list(now, &list);
+                self.directory.apply_node_list(now, &list);
             }
             _ => {}
         }
-        self.take_proof();
+        self.apply_store_proof();
     }
 
     /// Applies the proof of freshness that a reply of the store contains. A store that holds an
     /// older version than the one in force has lost later writes, possibly including a version that
     /// no node has received: its replies prove nothing until it has caught up.
-    fn take_proof(&mut self) {
+    fn apply_store_proof(&mut self) {
         let Some(proof) = self.store.take_proof() else {
             return;
         };
@@ -79,8 +79,8 @@
     }
 
     /// Logs when the store becomes unavailable or available again.
-    fn note_store(&mut self, news: &Option<StoreEvent>, out: &mut Actions) {
-        let failure = match news {
+    fn log_store(&mut self, event: &Option<StoreEvent>, out: &mut Actions) {
+        let failure = match event {
             Some(StoreEvent::Failed { call, failure }) => Some((*call, failure.clone())),
             _ => None,
         };
--- a/crates/rillgap-forward/src/node/tokens.rs
+++ b/crates/rillgap-forward/src/node/tokens.rs
@@ -15,29 +15,29 @@
 
 impl Node {
     /// Applies the set of tenants with a rate limit.
-    pub(super) fn limit_tenants(&mut self, now: Instant, table: &RouteTable) {
+    pub(super) fn apply_tenant_limits(&mut self, now: Instant, table: &RouteTable) {
         let tenants = &table.configuration().tenants;
         let limited = tenants.iter().filter(|tenant| tenant.limit.is_some());
         let hashes: Vec<TenantHash> = limited.map(|tenant| TenantHash::of(&tenant.name)).collect();
         // Nodes agree on the owners of buckets only if all of them know the same nodes.
         if !hashes.is_empty() && (!self.store.has_listed() || self.directory.is_partial()) {
-            self.knows_members = false;
+            self.has_full_membership = false;
             self.store.request_full_list(now);
         }
-        self.directory.set_limited(hashes);
+        self.directory.set_limited_tenants(hashes);
         self.buckets.retain(|tenant| table.tenant(tenant).is_some());
     }
 
     /// Offers to own buckets once all nodes are known, while the node hears from most of its peers.
     pub(super) fn offer_buckets(&mut self, now: Instant, out: &mut Actions) {
         let offers = self.table.is_some()
-            && self.knows_members
+            && self.has_full_membership
             && self.stopping_since.is_none()
-            && self.directory.hears_most(now);
-        if offers == self.owns_buckets_since.is_some() {
+            && self.directory.hears_from_majority(now);
+        if offers == self.can_own_buckets_since.is_some() {
             return;
         }
-        self.owns_buckets_since = offers.then_some(now);
+        self.can_own_buckets_since = offers.then_some(now);
         out.push(Action::Log(LogRecord::BucketOffer {
             offers,
             peers: self.directory.len(),
@@ -46,12 +46,15 @@
     }
 
     /// Queries the owners of buckets for the tokens that are needed.
-    pub(super) fn ask_for_tokens(&mut self, now: Instant, out: &mut Actions) {
+    pub(super) fn query_tokens(&mut self, now: Instant, out: &mut Actions) {
         for wanted in self.outbound.token_queries_due(now) {
             let hash = TenantHash::of(&wanted.tenant);
-            self.directory.use_tenant(hash);
-            match self.directory.bucket_owner(hash, self.owns_buckets_since) {
-                Owner::Local { since } => self.grant_here(now, wanted, since, out),
+            self.directory.mark_tenant_in_use(hash);
+            match self
+                .directory
+                .bucket_owner(hash, self.can_own_buckets_since)
+            {
+                Owner::Local { since } => self.grant_locally(now, wanted, since, out),
                 Owner::Peer(index, link) => {
                     self.directory.query_sent(now, index);
                     // An owner that does not answer may be down: the repeated query goes to its
@@ -82,7 +85,10 @@
         out: &mut Actions,
     ) {
         let hash = TenantHash::of(&query.tenant);
-        let result = match self.directory.bucket_owner(hash, self.owns_buckets_since) {
+        let result = match self
+            .directory
+            .bucket_owner(hash, self.can_own_buckets_since)
+        {
             Owner::Local { since } => {
                 let grant = self.grant(now, &query.tenant, since, query.wanted);
                 grant.map(|grant| TokenResult::Granted {
@@ -91,13 +97,13 @@
                 })
             }
             Owner::Peer(index, link) => {
-                self.look_after(now, index, link, out);
+                self.probe_owner(now, index, link, out);
                 Some(TokenResult::OwnedBy(self.record_of(index)))
             }
             Owner::Unlinked(index) => {
                 // The querying node may have found that this owner is down. Opening a link to it
                 // shows.
-                self.directory.use_tenant(hash);
+                self.directory.mark_tenant_in_use(hash);
                 Some(TokenResult::OwnedBy(self.record_of(index)))
             }
             Owner::Unavailable => None,
@@ -115,7 +121,7 @@
     }
 
     /// Probes the owner, so that its loss is noticed: the querying node may not have a link to it.
-    fn look_after(&mut self, now: Instant, owner: PeerIndex, link: LinkId, out: &mut Actions) {
+    fn probe_owner(&mut self, now: Instant, owner: PeerIndex, link: LinkId, out: &mut Actions) {
         self.directory.query_sent(now, owner);
         out.push(Action::SendOnLink {
             link,
@@ -137,20 +143,26 @@
                     tokens,
                     wait_millis,
                 };
-                self.take_tokens(now, &answer.tenant, answer.number, grant, out);
+                self.deliver_tokens(now, &answer.tenant, answer.number, grant, out);
             }
             // The query is repeated soon, then to this owner.
-            TokenResult::OwnedBy(record) => self.directory.learn(now, &record),
+            TokenResult::OwnedBy(record) => self.directory.add_or_update(now, &record),
         }
     }
 
-    fn grant_here(&mut self, now: Instant, wanted: TokenDemand, since: Instant, out: &mut Actions) {
+    fn grant_locally(
+        &mut self,
+        now: Instant,
+        wanted: TokenDemand,
+        since: Instant,
+        out: &mut Actions,
+    ) {
         if let Some(grant) = self.grant(now, &wanted.tenant, since, wanted.tokens) {
-            self.take_tokens(now, &wanted.tenant, wanted.number, grant, out);
+            self.deliver_tokens(now, &wanted.tenant, wanted.number, grant, out);
         }
     }
 
-    fn take_tokens(
+    fn deliver_tokens(
         &mut self,
         now: Instant,
         tenant: &str,
--- a/crates/rillgap-forward/src/peer.rs
+++ b/crates/rillgap-forward/src/peer.rs
@@ -10,21 +10,22 @@
 use crate::watcher_election;
 
 /// Initial and maximum backoff before a link is opened again; doubles after each failure.
-const RECONNECT_PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
+const RECONNECT_BACKOFF: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(1));
 
 /// Time after which a peer that has not answered a ping is suspected.
-const PING_PATIENCE: Duration = Duration::from_millis(150);
+const PING_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Time after the opening of a link for which a peer that has not served yet counts as able to
 /// serve: when a whole deployment starts, no back end is confirmed before the first configuration.
-const START_PATIENCE: Duration = Duration::from_secs(15);
+const STARTUP_GRACE_PERIOD: Duration = Duration::from_secs(15);
 
 /// Time after the opening of a link for which the peer may have no contact with the store yet.
-const NEWS_PATIENCE: Duration = Duration::from_secs(2);
+const STORE_CONTACT_GRACE_PERIOD: Duration = Duration::from_secs(2);
 
 /// Time without a message after which a peer does not count as watching the store: two of its
 /// reports are missing.
-const WATCHER_SILENCE: Duration = Duration::from_millis(1_600);
+const WATCHER_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 /// State of the link to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,17 +51,17 @@
     /// State of the link to the peer.
     pub link: LinkState,
     /// When the last message was received on the link in use.
-    pub heard_at: Instant,
+    pub last_received_at: Instant,
     /// When the last ping was sent.
-    pub pinged_at: Instant,
+    pub last_ping_at: Instant,
     /// When the first ping since the last received message was sent.
-    pinged_since: Option<Instant>,
+    first_unanswered_ping_at: Option<Instant>,
     /// Whether the peer has not answered a ping within the timeout.
     is_suspected: bool,
     /// Last status that the peer has reported.
     pub(crate) status: Status,
     /// Requests sent to the peer since its last report, minus those that have ended since.
-    pub unreported: i64,
+    pub in_flight_since_report: i64,
     /// Requests of this node that are in flight at the peer.
     pub in_flight: u32,
     /// When the first of the requests in flight was sent.
@@ -70,50 +71,50 @@
     /// Whether this node follows the peer for its contact with the store.
     pub(crate) is_followed: bool,
     /// Link on which the last `Follow(true)` was sent to the peer; `None` if it is not followed.
-    pub(crate) followed_on: Option<LinkId>,
+    pub(crate) follow_sent_on: Option<LinkId>,
     /// Hash that orders the peers by this node's preference; the lowest is preferred.
     pub(crate) preference: u64,
     /// Hash of the peer's name, which is its position in the order of watchers.
-    watch_place: u64,
+    name_hash: u64,
     /// When the link in use was put into use.
-    attached_at: Instant,
+    link_in_use_since: Instant,
     /// Whether the peer's back end has accepted requests since the link was put into use.
-    has_served: bool,
+    has_served_on_link: bool,
     /// Whether the last link was lost, or the last attempt to open one has failed.
-    has_failed: bool,
+    last_link_failed: bool,
     /// Since when the peer cannot own buckets: its link was lost, or it has reported so.
-    away_since: Instant,
+    bucket_ownership_lost_at: Instant,
     /// Since when the answer to a query for tokens is pending; `None` if none is.
-    asked_since: Option<Instant>,
-    pause: Duration,
+    query_pending_since: Option<Instant>,
+    reconnect_backoff: Duration,
 }
 
 impl Peer {
     pub(crate) fn new(record: NodeRecord, preference: u64, now: Instant) -> Self {
-        let watch_place = watcher_election::name_hash(&record.name);
+        let name_hash = watcher_election::name_hash(&record.name);
         Self {
             record,
             incarnation: 0,
             link: LinkState::Closed { retry_at: now },
-            heard_at: now,
-            pinged_at: now,
-            pinged_since: None,
+            last_received_at: now,
+            last_ping_at: now,
+            first_unanswered_ping_at: None,
             is_suspected: false,
             status: Status::default(),
-            unreported: 0,
+            in_flight_since_report: 0,
             in_flight: 0,
             busy_since: now,
             is_selected: false,
             is_followed: false,
-            followed_on: None,
+            follow_sent_on: None,
             preference,
-            watch_place,
-            attached_at: now,
-            has_served: false,
-            has_failed: false,
-            away_since: now,
-            asked_since: None,
-            pause: RECONNECT_PAUSE.0,
+            name_hash,
+            link_in_use_since: now,
+            has_served_on_link: false,
+            last_link_failed: false,
+            bucket_ownership_lost_at: now,
+            query_pending_since: None,
+            reconnect_backoff: RECONNECT_BACKOFF.0,
         }
     }
 
@@ -151,52 +152,57 @@
     pub(crate) fn may_serve(&self, now: Instant) -> bool {
         match self.link {
             LinkState::Open(_) => self.takes_requests() || self.is_starting(now),
-            LinkState::Opening(_) | LinkState::Closed { .. } => !self.has_failed,
+            LinkState::Opening(_) | LinkState::Closed { .. } => !self.last_link_failed,
         }
     }
 
     /// Returns whether the peer watches the store, according to a recent report.
-    pub(crate) fn watches(&self, now: Instant) -> bool {
-        let is_fresh = now.saturating_since(self.heard_at) < WATCHER_SILENCE;
+    pub(crate) fn is_watching_store(&self, now: Instant) -> bool {
+        let is_fresh = now.saturating_since(self.last_received_at) < WATCHER_TIMEOUT;
         self.status.is_watching && self.open_link().is_some() && is_fresh
     }
 
     /// Returns whether the last link to the peer was lost, or could not be opened.
-    pub(crate) const fn has_failed(&self) -> bool {
-        self.has_failed
+    pub(crate) const fn last_link_failed(&self) -> bool {
+        self.last_link_failed
     }
 
     /// Returns whether the peer may have a recent contact with the store: it has reported one, its
     /// link is new, or no attempt to reach it has failed.
-    pub(crate) fn may_have_news(&self, now: Instant, has_news: impl Fn(LinkId) -> bool) -> bool {
+    pub(crate) fn may_have_store_contact(
+        &self,
+        now: Instant,
+        has_store_contact: impl Fn(LinkId) -> bool,
+    ) -> bool {
         match self.link {
             LinkState::Open(link) => {
-                let is_new = now.saturating_since(self.attached_at) < NEWS_PATIENCE;
-                has_news(link) || is_new
+                let is_new =
+                    now.saturating_since(self.link_in_use_since) < STORE_CONTACT_GRACE_PERIOD;
+                has_store_contact(link) || is_new
             }
-            LinkState::Opening(_) | LinkState::Closed { .. } => !self.has_failed,
+            LinkState::Opening(_) | LinkState::Closed { .. } => !self.last_link_failed,
         }
     }
 
     /// Returns whether the peer precedes a node with this name hash in the order of watchers.
-    pub(crate) const fn precedes(&self, place: u64) -> bool {
-        self.watch_place < place
+    pub(crate) const fn precedes(&self, name_hash: u64) -> bool {
+        self.name_hash < name_hash
     }
 
     /// Returns whether the peer's back end may not have been confirmed yet.
     fn is_starting(&self, now: Instant) -> bool {
-        let is_new = now.saturating_since(self.attached_at) < START_PATIENCE;
-        is_new && !self.has_served && !self.status.is_stopping
+        let is_new = now.saturating_since(self.link_in_use_since) < STARTUP_GRACE_PERIOD;
+        is_new && !self.has_served_on_link && !self.status.is_stopping
     }
 
     /// Records a status that the peer has reported.
     pub(crate) fn observe_status(&mut self, now: Instant, status: Status) {
         if self.status.can_own_buckets && !status.can_own_buckets {
-            self.away_since = now;
+            self.bucket_ownership_lost_at = now;
         }
         self.status = status;
-        self.unreported = 0;
-        self.has_served |= self.takes_requests();
+        self.in_flight_since_report = 0;
+        self.has_served_on_link |= self.takes_requests();
     }
 
     const fn takes_requests(&self) -> bool {
@@ -204,9 +210,9 @@
     }
 
     /// Records that a message was received on the link.
-    pub fn heard(&mut self, now: Instant) {
-        self.heard_at = now;
-        self.asked_since = None;
+    pub fn record_received(&mut self, now: Instant) {
+        self.last_received_at = now;
+        self.query_pending_since = None;
         self.is_suspected = false;
     }
 
@@ -217,39 +223,41 @@
     }
 
     fn has_unanswered_ping(&self, now: Instant) -> bool {
-        self.pinged_since.is_some_and(|pinged_at| {
-            let is_old = now.saturating_since(pinged_at) >= PING_PATIENCE;
-            pinged_at > self.heard_at && is_old
+        self.first_unanswered_ping_at.is_some_and(|sent_at| {
+            let is_old = now.saturating_since(sent_at) >= PING_TIMEOUT;
+            sent_at > self.last_received_at && is_old
         })
     }
 
     /// Records that a ping is sent.
-    pub fn pinged(&mut self, now: Instant) {
-        let is_first = self.pinged_since.is_none_or(|since| since <= self.heard_at);
+    pub fn record_ping_sent(&mut self, now: Instant) {
+        let is_first = self
+            .first_unanswered_ping_at
+            .is_none_or(|since| since <= self.last_received_at);
         if is_first {
-            self.pinged_since = Some(now);
+            self.first_unanswered_ping_at = Some(now);
         }
-        self.pinged_at = now;
+        self.last_ping_at = now;
     }
 
     /// Returns the time without a message from the peer while requests or a query are pending
     /// there; zero if nothing is pending.
     pub(crate) fn unanswered_for(&self, now: Instant) -> Duration {
         let busy_since = (self.in_flight > 0).then_some(self.busy_since);
-        let since = busy_since.into_iter().chain(self.asked_since).min();
+        let since = busy_since.into_iter().chain(self.query_pending_since).min();
         since.map_or(Duration::ZERO, |since| {
-            now.saturating_since(self.heard_at.max(since))
+            now.saturating_since(self.last_received_at.max(since))
         })
     }
 
     /// Records that a query is sent and its answer is pending.
     pub(crate) fn query_sent(&mut self, now: Instant) {
-        self.asked_since.get_or_insert(now);
+        self.query_pending_since.get_or_insert(now);
     }
 
     /// Returns the hash of the peer's name.
     pub(crate) const fn name_hash(&self) -> u64 {
-        self.watch_place
+        self.name_hash
     }
 
     /// Returns whether the peer may own buckets, as far as this node can tell. A peer that no link
@@ -257,13 +265,13 @@
     pub(crate) const fn may_own_buckets(&self) -> bool {
         match self.link {
             LinkState::Open(_) => self.status.can_own_buckets,
-            LinkState::Opening(_) | LinkState::Closed { .. } => !self.has_failed,
+            LinkState::Opening(_) | LinkState::Closed { .. } => !self.last_link_failed,
         }
     }
 
     /// Returns since when the peer cannot own buckets. Only valid while it cannot.
-    pub(crate) const fn away_since(&self) -> Instant {
-        self.away_since
+    pub(crate) const fn bucket_ownership_lost_at(&self) -> Instant {
+        self.bucket_ownership_lost_at
     }
 
     /// Records that a request is sent.
@@ -272,39 +280,39 @@
             self.busy_since = now;
         }
         self.in_flight += 1;
-        self.unreported += 1;
+        self.in_flight_since_report += 1;
     }
 
     /// Records that a request has ended.
     pub(crate) fn request_ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.unreported -= 1;
+        self.in_flight_since_report -= 1;
     }
 
     /// Records a report of the peer's load.
     pub fn observe_load(&mut self, load: Load) {
         self.status.load = load;
-        self.unreported = 0;
+        self.in_flight_since_report = 0;
     }
 
     /// Returns the estimated number of requests ahead of a new one of this level at the back end,
     /// as a fraction of its limit; may exceed 1.
     pub fn utilization(&self, level: Level) -> f64 {
         let load = self.status.load;
-        let estimate = (i64::from(load.ahead_of(level)) + self.unreported).max(0);
+        let estimate = (i64::from(load.ahead_of(level)) + self.in_flight_since_report).max(0);
         estimate as f64 / f64::from(load.limit.max(1))
     }
 
     /// Replaces the record of the peer after its address or service has changed.
-    pub(crate) fn renew(&mut self, now: Instant, record: &NodeRecord) {
+    pub(crate) fn update_record(&mut self, now: Instant, record: &NodeRecord) {
         self.record = record.clone();
-        self.has_failed = false;
-        self.hurry(now);
+        self.last_link_failed = false;
+        self.reconnect_soon(now);
     }
 
     /// Resets the backoff and schedules a closed link to be opened at the next opportunity.
-    pub(crate) fn hurry(&mut self, now: Instant) {
-        self.pause = RECONNECT_PAUSE.0;
+    pub(crate) fn reconnect_soon(&mut self, now: Instant) {
+        self.reconnect_backoff = RECONNECT_BACKOFF.0;
         if let LinkState::Closed { retry_at } = &mut self.link {
             *retry_at = (*retry_at).min(now);
         }
@@ -313,31 +321,31 @@
     /// Records that a link is open, and puts it into use.
     pub(crate) fn attach(&mut self, now: Instant, link: LinkId) {
         self.link = LinkState::Open(link);
-        self.heard_at = now;
-        self.pinged_at = now;
-        self.pinged_since = None;
+        self.last_received_at = now;
+        self.last_ping_at = now;
+        self.first_unanswered_ping_at = None;
         self.is_suspected = false;
-        self.has_failed = false;
-        self.attached_at = now;
-        self.has_served = self.takes_requests();
-        self.asked_since = None;
-        self.unreported = 0;
+        self.last_link_failed = false;
+        self.link_in_use_since = now;
+        self.has_served_on_link = self.takes_requests();
+        self.query_pending_since = None;
+        self.in_flight_since_report = 0;
         self.in_flight = 0;
-        self.pause = RECONNECT_PAUSE.0;
+        self.reconnect_backoff = RECONNECT_BACKOFF.0;
     }
 
     /// Records that the link in use has ended, or could not be opened.
     pub(crate) fn detach(&mut self, now: Instant) {
         self.link = LinkState::Closed {
-            retry_at: now + self.pause,
+            retry_at: now + self.reconnect_backoff,
         };
-        self.pause = (self.pause * 2).min(RECONNECT_PAUSE.1);
-        if !self.has_failed {
-            self.away_since = now;
+        self.reconnect_backoff = (self.reconnect_backoff * 2).min(RECONNECT_BACKOFF.1);
+        if !self.last_link_failed {
+            self.bucket_ownership_lost_at = now;
         }
-        self.has_failed = true;
-        self.asked_since = None;
+        self.last_link_failed = true;
+        self.query_pending_since = None;
         self.in_flight = 0;
-        self.unreported = 0;
+        self.in_flight_since_report = 0;
     }
 }
--- a/crates/rillgap-forward/tests/spread.rs
+++ b/crates/rillgap-forward/tests/configuration_distribution.rs
@@ -24,7 +24,7 @@
 }
 
 /// Returns the links on which the node has queried for a configuration, in order.
-fn asked(test: &TestNode) -> Vec<LinkId> {
+fn queried_links(test: &TestNode) -> Vec<LinkId> {
     let query = |action: &Action| match action {
         Action::SendOnLink {
             link,
@@ -38,24 +38,24 @@
 /// A node whose process was paused accepts connections that its peers have closed meanwhile, and
 /// reads their end only later; the peers' next connections queue behind them.
 #[gtest]
-fn newer_version_is_asked_for_on_a_sound_link_after_links_that_have_ended() {
+fn newer_version_is_queried_on_a_working_link_after_others_have_ended() {
     let mut test = TestNode::configured("logbok");
     for number in [50, 51, 52] {
-        let given_up = accept(&mut test, "peer-a", number);
-        test.event(Event::LinkClosed(given_up));
+        let closed = accept(&mut test, "peer-a", number);
+        test.event(Event::LinkClosed(closed));
     }
-    let given_up = accept(&mut test, "peer-b", 60);
-    let sound = accept(&mut test, "peer-c", 70);
-    test.event(Event::LinkClosed(given_up));
+    let closed = accept(&mut test, "peer-b", 60);
+    let working = accept(&mut test, "peer-c", 70);
+    test.event(Event::LinkClosed(closed));
     test.pass(1_000);
-    expect_that!(asked(&test), contains(eq(&sound)));
+    expect_that!(queried_links(&test), contains(eq(&working)));
 }
 
 /// Lets time pass without answers, and returns the links on which the node has sent queries.
-fn asked_within(test: &mut TestNode, millis: u64) -> Vec<LinkId> {
+fn queried_links_within(test: &mut TestNode, millis: u64) -> Vec<LinkId> {
     test.actions.clear();
     test.pass(millis);
-    asked(test)
+    queried_links(test)
 }
 
 #[gtest]
@@ -65,15 +65,15 @@
     let second = accept(&mut test, "peer-b", 51);
     test.actions.clear();
     test.event(Event::LinkClosed(first));
-    expect_that!(asked(&test), elements_are![eq(&second)]);
+    expect_that!(queried_links(&test), elements_are![eq(&second)]);
 }
 
 #[gtest]
-fn unanswered_queries_go_round_the_peers_until_the_version_is_in_force() {
+fn unanswered_queries_rotate_over_the_peers_until_the_version_is_in_force() {
     let mut test = TestNode::configured("logbok");
     let links = [50, 51, 52].map(|link| accept(&mut test, &format!("peer-{link}"), link));
     test.pass(3_000);
-    let all = asked(&test);
+    let all = queried_links(&test);
     expect_that!(all.len(), le(6));
     for link in links {
         expect_that!(all, contains(eq(&link)));
@@ -84,22 +84,25 @@
         link: links[2],
         message,
     });
-    expect_that!(asked_within(&mut test, 3_000), is_empty());
+    expect_that!(queried_links_within(&mut test, 3_000), is_empty());
 }
 
 #[gtest]
-fn peer_that_was_heard_last_is_asked_before_silent_ones() {
+fn peer_with_the_latest_message_is_queried_first() {
     let mut test = TestNode::configured("logbok");
     let links = [50, 51, 52].map(|link| accept(&mut test, &format!("peer-{link}"), link));
     test.pass(100);
     let message = LinkMessage::Pong;
     let link = links[1];
     test.event(Event::Link { link, message });
-    expect_that!(asked_within(&mut test, 300), elements_are![eq(&link)]);
+    expect_that!(
+        queried_links_within(&mut test, 300),
+        elements_are![eq(&link)]
+    );
 }
 
 #[gtest]
-fn proof_of_a_newer_version_tells_that_the_peer_has_it() {
+fn freshness_answer_with_a_newer_version_triggers_a_query() {
     let mut test = TestNode::configured("logbok");
     let link = LinkId(50);
     let hello = hello("peer-a", 50, serving(SERVICE), 1);
@@ -115,5 +118,5 @@
         link,
         message: LinkMessage::FreshnessAnswer(answer),
     });
-    expect_that!(asked(&test), elements_are![eq(&link)]);
+    expect_that!(queried_links(&test), elements_are![eq(&link)]);
 }
--- a/crates/rillgap-forward/tests/control.rs
+++ b/crates/rillgap-forward/tests/control.rs
@@ -17,7 +17,7 @@
     settings,
 };
 
-const WAIT: Duration = Duration::from_secs(1);
+const WATCH_WAIT: Duration = Duration::from_secs(1);
 
 fn store() -> StoreSync {
     StoreSync::new(at(0), settings("own", SERVICE).record, false, WRITES)
@@ -49,7 +49,7 @@
 }
 
 #[gtest]
-fn list_that_is_planned_or_under_way_becomes_one_of_all_nodes() {
+fn full_list_request_replaces_a_pending_partial_list() {
     let own = settings("own", SERVICE).record;
     let part = StoreReply::Nodes {
         epoch: StoreEpoch::default(),
@@ -88,9 +88,9 @@
 }
 
 #[gtest]
-fn watch_goes_on_from_its_position_and_reads_anew_when_history_is_gone() {
+fn watch_resumes_from_its_position_and_rereads_when_that_has_expired() {
     let mut store = store();
-    store.set_watch(at(0), Some(WAIT));
+    store.set_watch(at(0), Some(WATCH_WAIT));
     let read = store.poll(at(0))[0].0;
     let reply = StoreReply::Configuration {
         position: StorePosition::new(StoreEpoch::default(), 40),
@@ -100,7 +100,7 @@
     let watch = store.poll(at(1));
     let expected = StoreRequest::WatchConfiguration {
         after: StorePosition::new(StoreEpoch::default(), 40),
-        wait: WAIT,
+        wait: WATCH_WAIT,
     };
     expect_that!(requests(&watch), elements_are![eq(&expected)]);
     store.on_reply(at(2), watch[0].0, failed("cut"));
@@ -118,7 +118,7 @@
 }
 
 #[gtest]
-fn calls_to_a_store_that_fails_are_spaced_out() {
+fn calls_to_a_failing_store_back_off() {
     let mut store = store();
     let mut calls = 0;
     for now in 0..10_000 {
@@ -150,7 +150,7 @@
 }
 
 #[gtest]
-fn node_that_the_store_does_not_reach_gets_the_configuration_from_a_peer() {
+fn node_without_store_contact_obtains_the_configuration_from_a_peer() {
     let mut test = TestNode::fresh("logbok");
     // The node's own read of the configuration is in flight.
     test.pass(3_100);
@@ -176,7 +176,7 @@
 }
 
 #[gtest]
-fn lost_link_is_opened_again() {
+fn lost_link_is_reopened() {
     let mut test = TestNode::configured("logbok");
     let link = test.connect("peer-a", 2, SERVICE);
     test.event(Event::LinkClosed(link));
@@ -190,7 +190,7 @@
 }
 
 #[gtest]
-fn node_that_stood_still_reads_what_has_arrived_before_it_judges_its_peers() {
+fn paused_process_reads_pending_messages_before_it_times_out_peers() {
     let mut test = TestNode::configured("logbok");
     test.connect("peer-a", 2, SERVICE);
     test.actions.clear();
@@ -207,7 +207,7 @@
 }
 
 #[gtest]
-fn planned_stop_waits_for_what_is_in_flight() {
+fn planned_stop_waits_for_requests_in_flight() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let mut slow = forwarded("a", false);
@@ -227,7 +227,7 @@
 }
 
 #[gtest]
-fn planned_stop_ends_within_the_grace() {
+fn planned_stop_ends_within_the_grace_period() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let mut endless = forwarded("a", false);
@@ -243,7 +243,7 @@
 }
 
 #[gtest]
-fn stopping_node_takes_no_callers_after_its_notice_but_finishes_the_chains_that_run() {
+fn stopping_node_rejects_callers_after_the_notice_period_but_finishes_running_chains() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let peer = test.connect("peer-a", 2, SERVICE);
@@ -268,7 +268,7 @@
 }
 
 #[gtest]
-fn record_is_removed_only_if_the_back_end_has_left() {
+fn node_record_is_removed_only_if_the_back_end_has_left() {
     for has_left in [false, true] {
         let mut test = TestNode::serving();
         if has_left {
@@ -291,7 +291,7 @@
 }
 
 #[gtest]
-fn request_that_arrives_after_the_decision_to_exit_is_refused_and_not_taken() {
+fn request_that_arrives_after_the_decision_to_exit_is_rejected() {
     let mut test = TestNode::configured("logbok");
     test.connect("peer-a", 2, SERVICE);
     test.event(Event::Stop);
--- a/crates/rillgap-forward/tests/links.rs
+++ b/crates/rillgap-forward/tests/links.rs
@@ -22,7 +22,7 @@
 /// Number of peers in a large deployment.
 const PEERS: usize = 294;
 /// Minimum number of peers for each service in each zone of that deployment.
-const AT_LEAST_LOCAL: usize = 6;
+const MIN_LOCAL_PEERS: usize = 6;
 
 fn record(number: usize) -> NodeRecord {
     let [high, low] = (number as u16).to_be_bytes();
@@ -80,15 +80,15 @@
 }
 
 #[gtest]
-fn links_are_opened_to_a_part_of_a_large_deployment_only() {
+fn links_are_opened_to_a_subset_of_a_large_deployment() {
     let test = node_that_lists(deployment());
     let links = opened(&test).len();
     expect_that!(links, le(PEERS / 4));
-    expect_that!(links, ge(SERVICES.len() * AT_LEAST_LOCAL));
+    expect_that!(links, ge(SERVICES.len() * MIN_LOCAL_PEERS));
 }
 
 #[gtest]
-fn links_are_opened_to_everybody_in_a_small_deployment() {
+fn links_are_opened_to_all_nodes_of_a_small_deployment() {
     const SMALL_ZONES: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
     let peer = |number: usize| NodeRecord {
         zone: SMALL_ZONES[number % SMALL_ZONES.len()].to_owned(),
@@ -101,7 +101,7 @@
 }
 
 #[gtest]
-fn subset_holds_peers_of_every_service_and_more_of_the_own_zone() {
+fn subset_contains_every_service_and_more_peers_of_the_own_zone() {
     let records = deployment();
     let by_address: BTreeMap<SocketAddr, NodeRecord> = records
         .iter()
@@ -127,7 +127,7 @@
 
 /// The subsets must distribute callers evenly over the back ends.
 #[gtest]
-fn preferences_spread_evenly_over_the_peers() {
+fn preferences_are_distributed_evenly_over_the_peers() {
     let names: Vec<String> = (0..PEERS).map(|number| record(number).name).collect();
     let mut chosen: BTreeMap<&str, usize> = BTreeMap::new();
     const WANTED: usize = 30;
@@ -146,7 +146,7 @@
 }
 
 #[gtest]
-fn peers_that_cannot_be_reached_are_replaced_and_tried_on() {
+fn unreachable_peers_are_replaced_and_retried() {
     let mut test = node_that_lists(deployment());
     let first = opened(&test);
     for (link, _) in &first {
@@ -215,7 +215,7 @@
 
 /// When a whole deployment starts, no back end serves before the first configuration.
 #[gtest]
-fn peers_that_have_not_served_yet_are_waited_for() {
+fn starting_peers_are_replaced_only_after_the_grace_period() {
     let (mut test, links) = node_with_subset(false);
     for _ in 0..10 {
         test.pass(1_000);
@@ -258,56 +258,56 @@
 
 /// Lets the node and the peer `name` open links to each other at the same time. Returns both links,
 /// the node's own first, and whether the node closes its own.
-fn open_both(name: &str) -> (TestNode, LinkId, LinkId, bool) {
+fn open_simultaneously(name: &str) -> (TestNode, LinkId, LinkId, bool) {
     let mut test = node_that_lists(vec![hello(name, 2, serving(SERVICE), 0).node]);
     let (own, _) = opened(&test)[0];
     let theirs = LinkId(900);
-    let greeting = hello(name, 2, serving(SERVICE), 0);
+    let their_hello = hello(name, 2, serving(SERVICE), 0);
     test.event(Event::LinkAccepted {
         link: theirs,
-        hello: greeting.clone(),
+        hello: their_hello.clone(),
     });
     test.event(Event::LinkOpened {
         link: own,
-        hello: greeting,
+        hello: their_hello,
     });
     let closes = |action: &Action| matches!(action, Action::CloseLink(link) if *link == own);
-    let is_given_up = test.actions.iter().any(closes);
-    (test, own, theirs, is_given_up)
+    let closes_own = test.actions.iter().any(closes);
+    (test, own, theirs, closes_own)
 }
 
 #[gtest]
-fn of_two_links_opened_at_once_both_ends_use_that_of_the_lower_name() {
+fn of_two_simultaneous_links_both_ends_use_that_of_the_lower_name() {
     // The node under test is named `own`.
-    let (mut test, _, theirs, is_given_up) = open_both("alpha");
-    expect_that!(is_given_up, eq(true));
+    let (mut test, _, theirs, closes_own) = open_simultaneously("alpha");
+    expect_that!(closes_own, eq(true));
     test.request(0, caller_request("a", "/safe/1"));
     expect_that!(test.sent()[0].0, eq(theirs));
 
-    let (mut test, own, _, is_given_up) = open_both("zeta");
-    expect_that!(is_given_up, eq(false));
+    let (mut test, own, _, closes_own) = open_simultaneously("zeta");
+    expect_that!(closes_own, eq(false));
     test.request(0, caller_request("a", "/safe/1"));
     expect_that!(test.sent()[0].0, eq(own));
 }
 
 #[gtest]
 fn spare_link_takes_over_when_the_one_in_use_ends() {
-    let (mut test, own, theirs, _) = open_both("zeta");
+    let (mut test, own, theirs, _) = open_simultaneously("zeta");
     test.event(Event::LinkClosed(own));
     test.request(0, caller_request("a", "/safe/1"));
     expect_that!(test.sent()[0].0, eq(theirs));
 }
 
 #[gtest]
-fn link_of_a_new_run_of_a_peer_replaces_that_of_the_earlier_one() {
+fn link_of_a_restarted_peer_replaces_the_earlier_link() {
     let mut test = TestNode::configured("logbok");
     let first = test.connect("peer-a", 2, SERVICE);
-    let mut greeting = hello("peer-a", 2, serving(SERVICE), 0);
-    greeting.incarnation += 1;
+    let mut their_hello = hello("peer-a", 2, serving(SERVICE), 0);
+    their_hello.incarnation += 1;
     let second = LinkId(901);
     test.event(Event::LinkAccepted {
         link: second,
-        hello: greeting,
+        hello: their_hello,
     });
     let closes = |action: &Action| matches!(action, Action::CloseLink(link) if *link == first);
     expect_that!(test.actions.iter().any(closes), eq(true));
@@ -316,13 +316,13 @@
 }
 
 #[gtest]
-fn status_goes_to_every_open_link() {
+fn status_is_sent_on_every_open_link() {
     let mut test = TestNode::configured("logbok");
     let first = test.connect("peer-a", 2, SERVICE);
     let second = test.connect("peer-b", 3, SERVICE);
     test.actions.clear();
     test.pass(3_100);
-    let told: BTreeSet<LinkId> = test
+    let receivers: BTreeSet<LinkId> = test
         .actions
         .iter()
         .filter_map(|action| match action {
@@ -333,19 +333,19 @@
             _ => None,
         })
         .collect();
-    expect_that!(told, eq(&BTreeSet::from([first, second])));
+    expect_that!(receivers, eq(&BTreeSet::from([first, second])));
 }
 
 /// Status reports are rare: an idle link may have been silent for longer than the timeout of a busy
 /// one.
 #[gtest]
-fn silence_before_a_request_does_not_count_against_the_peer() {
+fn silence_before_a_request_does_not_count_towards_the_timeout() {
     let mut test = TestNode::configured("logbok");
     let link = test.connect("peer-a", 2, SERVICE);
     test.pass(1_900);
-    let mut patient = caller_request("a", "/once/1");
-    patient.deadline = None;
-    test.request(0, patient);
+    let mut request = caller_request("a", "/once/1");
+    request.deadline = None;
+    test.request(0, request);
     test.actions.clear();
     test.pass(200);
     let closes = |action: &Action| matches!(action, Action::CloseLink(closed) if *closed == link);
