--- a/crates/rillgap-forward/src/directory/followed.rs
+++ b/crates/rillgap-forward/src/directory/followed.rs
@@ -36,8 +36,8 @@
 impl Directory {
     /// Adds the peers of a list of nodes that the store has returned.
     pub fn apply_node_list(&mut self, now: Instant, list: &NodeList) {
-        let own = watcher_election::name_hash(&self.own_name);
-        self.estimated_nodes = list.estimated_nodes(own);
+        let own_hash = watcher_election::name_hash(&self.own_name);
+        self.estimated_nodes = list.estimated_nodes(own_hash);
         let Some(following) = &list.successors else {
             for record in &list.lowest {
                 self.add_or_update(now, record);
@@ -46,7 +46,7 @@
         };
         let preferred = list.lowest.iter().skip(MAX_ADDED_FROM_LIST);
         let preferred = preferred.filter(|record| {
-            watcher_election::name_hash(&record.name) < own / PREFERRED_HASH_DIVISOR
+            watcher_election::name_hash(&record.name) < own_hash / PREFERRED_HASH_DIVISOR
         });
         let mut to_follow: Vec<_> = preferred.collect();
         to_follow
@@ -61,12 +61,12 @@
     /// Returns the approximate number of peers that precede this node in the order of watchers,
     /// without known peers that cannot be reached.
     pub fn count_preceding(&self) -> u64 {
-        let own = watcher_election::name_hash(&self.own_name);
-        let counts = |peer: &&Peer| peer.precedes(own) && !peer.last_link_failed();
-        let known = self.peers.iter().filter(counts).count();
-        let share = own as f64 / u64::MAX as f64;
+        let own_hash = watcher_election::name_hash(&self.own_name);
+        let is_counted = |peer: &&Peer| peer.precedes(own_hash) && !peer.last_link_failed();
+        let known = self.peers.iter().filter(is_counted).count();
+        let fraction = own_hash as f64 / u64::MAX as f64;
         let estimate = if self.is_partial() {
-            share * self.estimated_nodes as f64
+            fraction * self.estimated_nodes as f64
         } else {
             0.0
         };
@@ -85,16 +85,16 @@
         now: Instant,
         has_store_contact: impl Fn(LinkId) -> bool,
     ) {
-        let own = watcher_election::name_hash(&self.own_name);
+        let own_hash = watcher_election::name_hash(&self.own_name);
         let mut preceding: Vec<&mut Peer> = Vec::new();
         for peer in &mut self.peers {
             peer.is_followed = false;
-            if peer.precedes(own) {
+            if peer.precedes(own_hash) {
                 preceding.push(peer);
             }
         }
         preceding.sort_unstable_by_key(|peer| {
-            let is_near = peer.name_hash() >= own / PREFERRED_HASH_DIVISOR;
+            let is_near = peer.name_hash() >= own_hash / PREFERRED_HASH_DIVISOR;
             let order = if is_near {
                 peer.name_hash()
             } else {
@@ -121,10 +121,10 @@
                 peer.follow_sent_on = None;
                 continue;
             };
-            let wanted = peer.is_followed.then_some(link);
-            if peer.follow_sent_on != wanted {
-                peer.follow_sent_on = wanted;
-                let follows = wanted.is_some();
+            let expected = peer.is_followed.then_some(link);
+            if peer.follow_sent_on != expected {
+                peer.follow_sent_on = expected;
+                let follows = expected.is_some();
                 changes.push(FollowChange { link, follows });
             }
         }
@@ -134,7 +134,8 @@
     /// Returns whether the peer at the other end of a link precedes this node in the order of
     /// watchers.
     pub fn is_preceding(&mut self, link: LinkId) -> bool {
-        let own = watcher_election::name_hash(&self.own_name);
-        self.by_link(link).is_some_and(|peer| peer.precedes(own))
+        let own_hash = watcher_election::name_hash(&self.own_name);
+        self.by_link(link)
+            .is_some_and(|peer| peer.precedes(own_hash))
     }
 }
--- a/crates/rillgap-forward/src/directory/mod.rs
+++ b/crates/rillgap-forward/src/directory/mod.rs
@@ -44,7 +44,7 @@
     limited_tenants: Vec<TenantHash>,
     /// Limited tenants that this node has received requests of.
     tenants_in_use: BTreeSet<TenantHash>,
-    /// Number of queries for a proof so far; rotates the peers that are asked.
+    /// Number of queries for a proof so far; rotates the peers that are queried.
     proof_query_count: usize,
     /// Estimated number of nodes according to the last list; 0 before the first.
     estimated_nodes: usize,
--- a/crates/rillgap-forward/src/directory/owners.rs
+++ b/crates/rillgap-forward/src/directory/owners.rs
@@ -75,14 +75,14 @@
     /// Returns whether the node hears from at least half of the selected peers. A node that is cut
     /// off from the others does not.
     pub fn hears_from_majority(&self, now: Instant) -> bool {
-        let mut wanted = 0;
+        let mut selected = 0;
         let mut reachable = 0;
         for peer in self.peers.iter().filter(|peer| peer.is_selected) {
-            wanted += 1;
+            selected += 1;
             let is_recent = now.saturating_since(peer.last_received_at) < RECENT_CONTACT;
             reachable += usize::from(peer.open_link().is_some() && is_recent);
         }
-        reachable * 2 >= wanted
+        reachable * 2 >= selected
     }
 
     /// Selects the peers that tenants' buckets need links to. For a limited tenant with requests at
@@ -90,11 +90,11 @@
     /// this node owns, or would own next, it is the peer that comes first in the order of owners.
     /// Peers with a higher score that cannot own the bucket now are included.
     pub(super) fn select_bucket_owners(&mut self) {
-        let own = watcher_election::name_hash(&self.own_name);
+        let own_hash = watcher_election::name_hash(&self.own_name);
         for tenant in self.limited_tenants.iter().copied() {
             let (owner, next) = self.two_highest_scores(tenant);
-            let own_score = tenant.owner_score(own);
-            let wanted_from = if self.tenants_in_use.contains(&tenant) {
+            let own_score = tenant.owner_score(own_hash);
+            let min_score = if self.tenants_in_use.contains(&tenant) {
                 next
             } else if own_score > next {
                 // This node owns the bucket, or would own it next.
@@ -104,7 +104,7 @@
             };
             for peer in &mut self.peers {
                 let score = tenant.owner_score(peer.name_hash());
-                peer.is_selected |= score >= wanted_from && score > 0;
+                peer.is_selected |= score >= min_score && score > 0;
             }
         }
     }
--- a/crates/rillgap-forward/src/directory/proofs.rs
+++ b/crates/rillgap-forward/src/directory/proofs.rs
@@ -1,4 +1,4 @@
-//! Selection of the peers that are asked to prove that the configuration is the newest one.
+//! Selection of the peers that are queried for a proof that the configuration is the newest one.
 
 use rillgap_core::time::Instant;
 
--- a/crates/rillgap-forward/src/log_record.rs
+++ b/crates/rillgap-forward/src/log_record.rs
@@ -117,7 +117,7 @@
         service: String,
         /// Lowest priority of which any requests are admitted; 0 is the highest.
         priority: u8,
-        /// Share of that priority that is admitted, in percent.
+        /// Percentage of the requests of that priority that are admitted.
         admitted_percent: u32,
     },
     /// A peer has become reachable or unreachable.
--- a/crates/rillgap-forward/src/message.rs
+++ b/crates/rillgap-forward/src/message.rs
@@ -41,12 +41,12 @@
 /// precedence over that of the route.
 pub fn level_for_tenant(tenant_priority: u8, route_priority: u8, request_id: &str) -> Level {
     let priority = tenant_priority.min(LOWEST_PRIORITY);
-    let behind = match route_priority.cmp(&tenant_priority) {
+    let tier_offset = match route_priority.cmp(&tenant_priority) {
         Ordering::Less => 0,
         Ordering::Equal => 1,
         Ordering::Greater => 2,
     };
-    let tier = HIGHEST_TIER - priority * TIERS_PER_PRIORITY - behind;
+    let tier = HIGHEST_TIER - priority * TIERS_PER_PRIORITY - tier_offset;
     Level::in_tier(tier, request_id.as_bytes())
 }
 
@@ -186,8 +186,8 @@
     /// service sheds calls of one priority, the same chains complete; in order of arrival, every
     /// chain would lose a call now and then.
     pub fn position_in_rank(&self) -> u8 {
-        let within = self.level.0 % Level::PER_TIER;
-        let group = within * u32::from(POSITIONS_PER_RANK) / Level::PER_TIER;
+        let level_in_tier = self.level.0 % Level::PER_TIER;
+        let group = level_in_tier * u32::from(POSITIONS_PER_RANK) / Level::PER_TIER;
         POSITIONS_PER_RANK - 1 - u8::try_from(group).unwrap_or(0)
     }
 
@@ -196,9 +196,9 @@
     /// The priority of the root applies to its whole chain. Within a priority, calls precede new
     /// requests: if a call is shed, the work already done for its chain is wasted.
     pub fn rank(&self) -> u8 {
-        let last = if self.is_call { 0 } else { 1 };
-        let below = HIGHEST_TIER - self.level.tier().min(HIGHEST_TIER);
-        below * 2 + last
+        let class = if self.is_call { 0 } else { 1 };
+        let tiers_below_highest = HIGHEST_TIER - self.level.tier().min(HIGHEST_TIER);
+        tiers_below_highest * 2 + class
     }
 }
 
@@ -344,7 +344,7 @@
         /// granted.
         wait_millis: u32,
     },
-    /// Another node, given here, owns the bucket.
+    /// The bucket is owned by this other node.
     OwnedBy(NodeRecord),
 }
 
--- a/crates/rillgap-forward/src/node/configuration_distribution.rs
+++ b/crates/rillgap-forward/src/node/configuration_distribution.rs
@@ -100,7 +100,7 @@
         });
     }
 
-    /// Queries a peer that has offered a newer configuration for it.
+    /// Sends a query for a newer configuration to a peer that has offered it.
     pub(super) fn query_configuration(&mut self, now: Instant, out: &mut Actions) {
         let Some(query) = self.offers.take_due(now) else {
             return;
--- a/crates/rillgap-forward/src/node/evidence.rs
+++ b/crates/rillgap-forward/src/node/evidence.rs
@@ -25,11 +25,11 @@
         }
         let source = self.evidence_source.take();
         let updates = crashes.take_updates(now);
-        let all = self.directory.open_links();
-        send_evidence(&updates.for_all, all, source, out);
+        let all_links = self.directory.open_links();
+        send_evidence(&updates.for_all, all_links, source, out);
         let service = self.inbound.service();
-        let beside = self.directory.linked(service);
-        let links = beside.filter_map(|(_, peer)| peer.open_link());
+        let same_service = self.directory.linked(service);
+        let links = same_service.filter_map(|(_, peer)| peer.open_link());
         send_evidence(&updates.for_service, links, source, out);
     }
 
--- a/crates/rillgap-forward/src/node/follow.rs
+++ b/crates/rillgap-forward/src/node/follow.rs
@@ -12,7 +12,7 @@
 use crate::message::LinkMessage;
 use crate::watcher_election::PrecedingNodes;
 
-/// Time after the start after which the node decides whether to watch the store even if it has not
+/// Time since the start after which the node decides whether to watch the store even if it has not
 /// listed the other nodes.
 const LIST_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -42,8 +42,8 @@
 
     /// Sends the age of the last contact with the store to the followers.
     pub(super) fn notify_followers(&mut self, now: Instant, out: &mut Actions) {
-        let own = self.store.last_contact_at(now);
-        if let Some((followers, age)) = self.watch_relay.take_due(now, own) {
+        let own_contact = self.store.last_contact_at(now);
+        if let Some((followers, age)) = self.watch_relay.take_due(now, own_contact) {
             out.extend(
                 followers
                     .into_iter()
--- a/crates/rillgap-forward/src/node/freshness.rs
+++ b/crates/rillgap-forward/src/node/freshness.rs
@@ -67,10 +67,10 @@
         if Some(answer.epoch) < self.store.epoch() {
             return;
         }
-        let own = self.configuration_version();
+        let own_version = self.configuration_version();
         let age = Duration::from_micros(answer.age_micros);
         self.freshness
-            .on_answer(answer.number, answer.version, age, own);
+            .on_answer(answer.number, answer.version, age, own_version);
     }
 
     /// Logs when the node begins or ceases to serve requests with keys.
--- a/crates/rillgap-forward/src/node/links.rs
+++ b/crates/rillgap-forward/src/node/links.rs
@@ -23,7 +23,7 @@
 /// Minimum and maximum silence on a link with requests in flight after which the peer is pinged. In
 /// between the delay is the peer's mean service time multiplied by `PING_DELAY_FACTOR`: most
 /// requests are answered by then.
-const PING_DELAY_BOUNDS: (Duration, Duration) =
+const PING_DELAY_RANGE: (Duration, Duration) =
     (Duration::from_millis(250), Duration::from_millis(600));
 const PING_DELAY_FACTOR: f64 = 1.5;
 /// Time without a message after which a link with requests in flight is closed.
@@ -80,16 +80,16 @@
         self.on_offer(now, link, hello.configuration_version, out);
     }
 
-    /// Records the store epoch that the peer reports, and sends it a later one.
+    /// Records the store epoch in the peer's `Hello`, and sends the node's own epoch if it is later.
     fn exchange_epochs(&mut self, now: Instant, link: LinkId, hello: &Hello, out: &mut Actions) {
         if let Some(epoch) = hello.store_epoch {
             self.observe_epoch(now, epoch, Some(link), out);
         }
-        let own = self
+        let own_epoch = self
             .store
             .epoch()
-            .filter(|own| Some(*own) > hello.store_epoch);
-        if let Some(epoch) = own {
+            .filter(|own_epoch| Some(*own_epoch) > hello.store_epoch);
+        if let Some(epoch) = own_epoch {
             let message = LinkMessage::StoreEpoch(epoch);
             out.push(Action::SendOnLink { link, message });
         }
@@ -110,7 +110,7 @@
     fn end_link(&mut self, now: Instant, link: LinkId, out: &mut Actions) {
         self.watch_relay.link_ended(link);
         self.inbound.on_link_closed(now, link, out);
-        let (outbound, mut context) = self.split(out);
+        let (outbound, mut context) = self.split_outbound(out);
         outbound.on_link_closed(now, link, &mut context);
     }
 
@@ -121,11 +121,11 @@
         self.update_watch(now, out);
         self.query_freshness(now, out);
         self.offer_buckets(now, out);
-        self.report_when_due(now, out);
+        self.send_status_when_due(now, out);
     }
 
     /// Sends the periodic status report, at once if the node begins or ceases to watch the store.
-    fn report_when_due(&mut self, now: Instant, out: &mut Actions) {
+    fn send_status_when_due(&mut self, now: Instant, out: &mut Actions) {
         let is_watching = self.store.is_watching(now);
         if now < self.next_status && is_watching == self.reported_watching {
             return;
@@ -228,7 +228,7 @@
 /// Returns the time without a message on a busy link after which the peer is pinged.
 fn ping_delay(peer: &Peer) -> Duration {
     let mean = Duration::from_micros(u64::from(peer.status().load.mean_micros));
-    let (shortest, longest) = PING_DELAY_BOUNDS;
+    let (shortest, longest) = PING_DELAY_RANGE;
     mean.mul_f64(PING_DELAY_FACTOR).clamp(shortest, longest)
 }
 
--- a/crates/rillgap-forward/src/node/mod.rs
+++ b/crates/rillgap-forward/src/node/mod.rs
@@ -39,8 +39,8 @@
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two events after which the node's own process counts as having been paused.
 const PROCESS_PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
-/// Time after a process pause during which no link is closed for silence: the messages that arrived
-/// during the pause are read first.
+/// Time after a process pause during which no link times out: the messages that arrived during the
+/// pause are read first.
 const PROCESS_PAUSE_GRACE: Duration = Duration::from_millis(400);
 
 /// One node. The driver passes it events through [`Node::handle`] and executes the resulting
@@ -77,7 +77,7 @@
     next_link: u64,
     next_housekeeping: Instant,
     next_status: Instant,
-    last_step: Instant,
+    last_event_at: Instant,
     peer_timeouts_after: Instant,
     stopping_since: Option<Instant>,
     inbound_stops_at: Option<Instant>,
@@ -115,7 +115,7 @@
             next_link: 0,
             next_housekeeping: now,
             next_status: now,
-            last_step: now,
+            last_event_at: now,
             peer_timeouts_after: now,
             stopping_since: None,
             inbound_stops_at: None,
@@ -212,7 +212,7 @@
                 request,
             } => self.on_request(now, connection, pipeline_index, request, out),
             Event::CallerDisconnected(connection) => {
-                let (outbound, mut context) = self.split(out);
+                let (outbound, mut context) = self.split_outbound(out);
                 outbound.on_caller_gone(connection, &mut context);
             }
             Event::LinkOpened { link, hello } => self.on_link_opened(now, link, &hello, out),
@@ -260,9 +260,12 @@
         .fold(self.next_housekeeping, Instant::min)
     }
 
-    fn split<'a>(&'a mut self, out: &'a mut Actions) -> (&'a mut Outbound, OutboundContext<'a>) {
-        let refuses_callers = self.stop_notice_elapsed(self.last_step);
-        let now = self.last_step;
+    fn split_outbound<'a>(
+        &'a mut self,
+        out: &'a mut Actions,
+    ) -> (&'a mut Outbound, OutboundContext<'a>) {
+        let refuses_callers = self.stop_notice_elapsed(self.last_event_at);
+        let now = self.last_event_at;
         let context = OutboundContext {
             table: self.table.as_deref(),
             inbound: &self.inbound,
@@ -280,10 +283,10 @@
     /// Detects that the process was paused. Peers are then not timed out before the messages that
     /// they sent meanwhile are read.
     fn detect_process_pause(&mut self, now: Instant) {
-        if now.saturating_since(self.last_step) >= PROCESS_PAUSE_THRESHOLD {
+        if now.saturating_since(self.last_event_at) >= PROCESS_PAUSE_THRESHOLD {
             self.peer_timeouts_after = now + PROCESS_PAUSE_GRACE;
         }
-        self.last_step = now;
+        self.last_event_at = now;
     }
 
     fn on_request(
@@ -295,7 +298,7 @@
         out: &mut Actions,
     ) {
         let origin = self.origin(&request);
-        let (outbound, mut context) = self.split(out);
+        let (outbound, mut context) = self.split_outbound(out);
         outbound.on_request(
             now,
             connection,
@@ -346,7 +349,7 @@
             }
             LinkMessage::Cancel(sequence) => self.inbound.on_cancel(now, link, sequence, out),
             LinkMessage::Response(response) => {
-                let (outbound, mut context) = self.split(out);
+                let (outbound, mut context) = self.split_outbound(out);
                 outbound.on_response(now, link, response, &mut context);
             }
             LinkMessage::Status(status) => self.on_status(now, link, status),
@@ -390,7 +393,7 @@
         // retries.
         self.send_new_evidence(now, out);
         self.inbound.release_lost_requests(now, out);
-        let (outbound, mut context) = self.split(out);
+        let (outbound, mut context) = self.split_outbound(out);
         outbound.poll(now, &mut context);
         self.deliver_local(now, out);
         self.query_tokens(now, out);
--- a/crates/rillgap-forward/src/node/store.rs
+++ b/crates/rillgap-forward/src/node/store.rs
@@ -47,9 +47,10 @@
         let Some(proof) = self.store.take_proof() else {
             return;
         };
-        let own = self.configuration_version();
-        if proof.version >= own {
-            self.freshness.record_proof(proof.at, proof.version, own);
+        let own_version = self.configuration_version();
+        if proof.version >= own_version {
+            self.freshness
+                .record_proof(proof.at, proof.version, own_version);
         }
     }
 
--- a/crates/rillgap-forward/src/node/tokens.rs
+++ b/crates/rillgap-forward/src/node/tokens.rs
@@ -47,31 +47,31 @@
 
     /// Queries the owners of buckets for the tokens that are needed.
     pub(super) fn query_tokens(&mut self, now: Instant, out: &mut Actions) {
-        for wanted in self.outbound.token_queries_due(now) {
-            let hash = TenantHash::of(&wanted.tenant);
+        for demand in self.outbound.token_queries_due(now) {
+            let hash = TenantHash::of(&demand.tenant);
             self.directory.mark_tenant_in_use(hash);
             match self
                 .directory
                 .bucket_owner(hash, self.can_own_buckets_since)
             {
-                Owner::Local { since } => self.grant_locally(now, wanted, since, out),
+                Owner::Local { since } => self.grant_locally(now, demand, since, out),
                 Owner::Peer(index, link) => {
                     self.directory.query_sent(now, index);
                     // An owner that does not answer may be down: the repeated query goes to its
                     // successor too, which then probes the owner.
                     let next = self.directory.next_owner_link(hash, index);
-                    let next = next.filter(|_| wanted.is_repeated);
-                    send_query(wanted, next.into_iter().chain([link]), out);
+                    let next = next.filter(|_| demand.is_repeated);
+                    send_query(demand, next.into_iter().chain([link]), out);
                 }
-                // A link to the owner is opened soon if the owner is up; if it is down, its
-                // successor may know.
+                // A link to the owner is opened soon if the owner is up. If it is down, its successor
+                // may already have noticed.
                 Owner::Unlinked(index) => {
                     let next = self.directory.next_owner_link(hash, index);
-                    send_query(wanted, next, out);
+                    send_query(demand, next, out);
                 }
                 Owner::Unavailable => {
-                    let (outbound, mut context) = self.split(out);
-                    outbound.on_no_owner(now, &wanted.tenant, &mut context);
+                    let (outbound, mut context) = self.split_outbound(out);
+                    outbound.on_no_owner(now, &demand.tenant, &mut context);
                 }
             }
         }
@@ -153,12 +153,12 @@
     fn grant_locally(
         &mut self,
         now: Instant,
-        wanted: TokenDemand,
+        demand: TokenDemand,
         since: Instant,
         out: &mut Actions,
     ) {
-        if let Some(grant) = self.grant(now, &wanted.tenant, since, wanted.tokens) {
-            self.deliver_tokens(now, &wanted.tenant, wanted.number, grant, out);
+        if let Some(grant) = self.grant(now, &demand.tenant, since, demand.tokens) {
+            self.deliver_tokens(now, &demand.tenant, demand.number, grant, out);
         }
     }
 
@@ -177,7 +177,7 @@
                 wait_millis: grant.wait_millis,
             }));
         }
-        let (outbound, mut context) = self.split(out);
+        let (outbound, mut context) = self.split_outbound(out);
         outbound.on_tokens(
             now,
             tenant,
@@ -191,23 +191,31 @@
     /// Takes tokens out of a bucket that this node owns. Returns `None` if this node's
     /// configuration does not contain the tenant yet; a tenant without a limit here gets all tokens
     /// that it asks for.
-    fn grant(&mut self, now: Instant, tenant: &str, since: Instant, wanted: u32) -> Option<Grant> {
+    fn grant(
+        &mut self,
+        now: Instant,
+        tenant: &str,
+        since: Instant,
+        requested: u32,
+    ) -> Option<Grant> {
         let tenant = self.table.as_ref()?.tenant(tenant)?.clone();
         Some(match tenant.limit {
-            Some(limit) => self.buckets.grant(now, &tenant.name, limit, since, wanted),
+            Some(limit) => self
+                .buckets
+                .grant(now, &tenant.name, limit, since, requested),
             None => Grant {
-                tokens: wanted,
+                tokens: requested,
                 wait_millis: 0,
             },
         })
     }
 }
 
-fn send_query(wanted: TokenDemand, links: impl IntoIterator<Item = LinkId>, out: &mut Actions) {
+fn send_query(demand: TokenDemand, links: impl IntoIterator<Item = LinkId>, out: &mut Actions) {
     let query = TokenQuery {
-        number: wanted.number,
-        tenant: wanted.tenant,
-        wanted: wanted.tokens,
+        number: demand.number,
+        tenant: demand.tenant,
+        wanted: demand.tokens,
     };
     for link in links {
         out.push(Action::SendOnLink {
--- a/crates/rillgap-forward/src/peer.rs
+++ b/crates/rillgap-forward/src/peer.rs
@@ -10,7 +10,7 @@
 use crate::watcher_election;
 
 /// Initial and maximum backoff before a link is opened again; doubles after each failure.
-const RECONNECT_BACKOFF: (Duration, Duration) =
+const RECONNECT_BACKOFF_RANGE: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_secs(1));
 
 /// Time after which a peer that has not answered a ping is suspected.
@@ -114,7 +114,7 @@
             last_link_failed: false,
             bucket_ownership_lost_at: now,
             query_pending_since: None,
-            reconnect_backoff: RECONNECT_BACKOFF.0,
+            reconnect_backoff: RECONNECT_BACKOFF_RANGE.0,
         }
     }
 
@@ -312,7 +312,7 @@
 
     /// Resets the backoff and schedules a closed link to be opened at the next opportunity.
     pub(crate) fn reconnect_soon(&mut self, now: Instant) {
-        self.reconnect_backoff = RECONNECT_BACKOFF.0;
+        self.reconnect_backoff = RECONNECT_BACKOFF_RANGE.0;
         if let LinkState::Closed { retry_at } = &mut self.link {
             *retry_at = (*retry_at).min(now);
         }
@@ -331,7 +331,7 @@
         self.query_pending_since = None;
         self.in_flight_since_report = 0;
         self.in_flight = 0;
-        self.reconnect_backoff = RECONNECT_BACKOFF.0;
+        self.reconnect_backoff = RECONNECT_BACKOFF_RANGE.0;
     }
 
     /// Records that the link in use has ended, or could not be opened.
@@ -339,7 +339,7 @@
         self.link = LinkState::Closed {
             retry_at: now + self.reconnect_backoff,
         };
-        self.reconnect_backoff = (self.reconnect_backoff * 2).min(RECONNECT_BACKOFF.1);
+        self.reconnect_backoff = (self.reconnect_backoff * 2).min(RECONNECT_BACKOFF_RANGE.1);
         if !self.last_link_failed {
             self.bucket_ownership_lost_at = now;
         }
--- a/crates/rillgap-forward/tests/control.rs
+++ b/crates/rillgap-forward/tests/control.rs
@@ -59,7 +59,7 @@
             unreadable: 0,
         },
     };
-    for is_under_way in [false, true] {
+    for is_in_flight in [false, true] {
         let mut store = store();
         let register = store.poll(at(0))[0].0;
         let reply = StoreReply::Registered {
@@ -67,7 +67,7 @@
             is_new: false,
         };
         store.on_reply(at(2), register, reply);
-        if is_under_way {
+        if is_in_flight {
             let list = store.poll(at(2))[0].0;
             store.request_full_list(at(3));
             store.on_reply(at(4), list, part.clone());
@@ -75,15 +75,15 @@
         } else {
             store.request_full_list(at(2));
         }
-        let whole = store.poll(at(600)).pop().map(|(_, request)| request);
-        let is_whole = matches!(
-            whole,
+        let full = store.poll(at(600)).pop().map(|(_, request)| request);
+        let is_full = matches!(
+            full,
             Some(StoreRequest::ListNodes {
                 extent: ListExtent::Whole,
                 ..
             })
         );
-        expect_that!(is_whole, eq(true), "under way: {is_under_way}");
+        expect_that!(is_full, eq(true), "in flight: {is_in_flight}");
     }
 }
 
@@ -159,7 +159,7 @@
         link,
         message: LinkMessage::ConfigurationOffer(7),
     });
-    let asked = |test: &TestNode| {
+    let is_queried = |test: &TestNode| {
         test.actions.iter().any(|action| {
             matches!(
                 action,
@@ -170,9 +170,9 @@
             )
         })
     };
-    expect_that!(asked(&test), eq(false));
+    expect_that!(is_queried(&test), eq(false));
     test.pass(201);
-    expect_that!(asked(&test), eq(true));
+    expect_that!(is_queried(&test), eq(true));
 }
 
 #[gtest]
--- a/crates/rillgap-forward/tests/links.rs
+++ b/crates/rillgap-forward/tests/links.rs
@@ -130,19 +130,19 @@
 fn preferences_are_distributed_evenly_over_the_peers() {
     let names: Vec<String> = (0..PEERS).map(|number| record(number).name).collect();
     let mut chosen: BTreeMap<&str, usize> = BTreeMap::new();
-    const WANTED: usize = 30;
+    const SUBSET_SIZE: usize = 30;
     for own in &names {
         let mut others: Vec<&String> = names.iter().filter(|name| *name != own).collect();
         others.sort_by_key(|name| preference(own, name));
-        for name in others.into_iter().take(WANTED) {
+        for name in others.into_iter().take(SUBSET_SIZE) {
             *chosen.entry(name).or_default() += 1;
         }
     }
     expect_that!(chosen.len(), eq(PEERS));
     let least = chosen.values().min().copied().unwrap_or(0);
     let most = chosen.values().max().copied().unwrap_or(0);
-    expect_that!(least, ge(WANTED / 3));
-    expect_that!(most, le(WANTED * 2));
+    expect_that!(least, ge(SUBSET_SIZE / 3));
+    expect_that!(most, le(SUBSET_SIZE * 2));
 }
 
 #[gtest]
