--- a/crates/rillgap-forward/src/node/evidence.rs
+++ b/crates/rillgap-forward/src/node/evidence.rs
@@ -15,9 +15,9 @@
         self.evidence_source = (!exonerates).then_some(link);
     }
 
-    /// Sends changed evidence to the peers: that of several crashes to all, that of a single one only
-    /// to peers with the same service. Every node forwards what is new to it, so that the evidence
-    /// reaches all of them.
+    /// Sends changed evidence to the peers: that of several crashes to all, that of a single one
+    /// only to peers with the same service. Every node forwards what is new to it, so that the
+    /// evidence reaches all of them.
     pub(super) fn send_new_evidence(&mut self, now: Instant, out: &mut Actions) {
         let crashes = self.inbound.crashes_mut();
         for change in crashes.take_changes() {
--- a/crates/rillgap-forward/src/node/links.rs
+++ b/crates/rillgap-forward/src/node/links.rs
@@ -80,7 +80,8 @@
         self.on_offer(now, link, hello.configuration_version, out);
     }
 
-    /// Records the store epoch in the peer's `Hello`, and sends the node's own epoch if it is later.
+    /// Records the store epoch in the peer's `Hello`, and sends the node's own epoch if it is
+    /// later.
     fn exchange_epochs(&mut self, now: Instant, link: LinkId, hello: &Hello, out: &mut Actions) {
         if let Some(epoch) = hello.store_epoch {
             self.observe_epoch(now, epoch, Some(link), out);
--- a/crates/rillgap-forward/src/node/tokens.rs
+++ b/crates/rillgap-forward/src/node/tokens.rs
@@ -63,8 +63,8 @@
                     let next = next.filter(|_| demand.is_repeated);
                     send_query(demand, next.into_iter().chain([link]), out);
                 }
-                // A link to the owner is opened soon if the owner is up. If it is down, its successor
-                // may already have noticed.
+                // A link to the owner is opened soon if the owner is up. If it is down, its
+                // successor may already have noticed.
                 Owner::Unlinked(index) => {
                     let next = self.directory.next_owner_link(hash, index);
                     send_query(demand, next, out);
