--- a/crates/rillgap-forward/src/node/evidence.rs
+++ b/crates/rillgap-forward/src/node/evidence.rs
@@ -1,4 +1,4 @@
-//! Spread of the evidence against requests under which back ends end.
+//! Distribution of the evidence against requests that are suspected of crashing back ends.
 
 use rillgap_core::time::Instant;
 
@@ -15,25 +15,26 @@
         self.evidence_source = (!exonerates).then_some(link);
     }
 
-    /// Tells the peers what has changed. Links form one net, and each node passes on what is news to it, so
-    /// that all nodes learn it.
-    pub(super) fn tell_evidence(&mut self, now: Instant, out: &mut Actions) {
+    /// Sends changed evidence to the peers: that of several crashes to all, that of a single one
+    /// only to peers with the same service. Every node forwards what is new to it, so that the
+    /// evidence reaches all of them.
+    pub(super) fn send_new_evidence(&mut self, now: Instant, out: &mut Actions) {
         let crashes = self.inbound.crashes_mut();
         for change in crashes.take_changes() {
             out.push(Action::Log(LogRecord::SuspicionChanged(change)));
         }
         let source = self.evidence_source.take();
-        let news = crashes.take_updates(now);
-        let all = self.directory.open_links();
-        send_evidence(&news.for_all, all, source, out);
+        let updates = crashes.take_updates(now);
+        let all_links = self.directory.open_links();
+        send_evidence(&updates.for_all, all_links, source, out);
         let service = self.inbound.service();
-        let beside = self.directory.linked(service);
-        let links = beside.filter_map(|(_, peer)| peer.open_link());
-        send_evidence(&news.for_service, links, source, out);
+        let same_service = self.directory.linked(service);
+        let links = same_service.filter_map(|(_, peer)| peer.open_link());
+        send_evidence(&updates.for_service, links, source, out);
     }
 
-    /// Tells a peer at the other end of a new link what it may not know.
-    pub(super) fn introduce_evidence(
+    /// Sends the evidence known here to the peer at the other end of a new link.
+    pub(super) fn send_known_evidence(
         &self,
         now: Instant,
         link: LinkId,
