--- a/crates/rillgap-forward/src/configuration.rs
+++ b/crates/rillgap-forward/src/configuration.rs
@@ -17,47 +17,47 @@
     AtMostOnce,
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that receives part of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Share, relative to the sum of the route's weights.
+    /// Weight of the service, relative to the sum of the route's weights.
     pub weight: u32,
 }
 
-/// A route.
+/// A route: the requests that it matches, how they are handled, and the services that receive them.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Route {
     /// Name of the route.
     pub name: String,
-    /// Host that requests must name, in lower case.
+    /// Host of the requests, in lower case.
     pub host: String,
-    /// Beginning of the paths that belong to the route.
+    /// Prefix of the paths that belong to the route.
     pub path_prefix: String,
     /// Whether requests may run more than once.
     pub repeatability: Repeatability,
-    /// Longest time for which a request is held, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub timeout_millis: u32,
-    /// Time within which an answer is of full use, in milliseconds.
+    /// Target latency in milliseconds: an answer within this time has its full value.
     pub target_latency_millis: u32,
-    /// Rank; 0 is served first.
+    /// Priority; requests with 0 are served first.
     pub priority: u8,
-    /// Services that take the route's requests.
+    /// Services that receive the route's requests.
     pub services: Vec<WeightedService>,
-    /// Most back ends that one request may be sent to.
+    /// Maximum number of back ends to which one request may be sent.
     pub max_attempts: u32,
-    /// Whether callers need no key although the deployment has tenants.
+    /// Whether callers need no key even if the configuration has tenants.
     pub is_public: bool,
 }
 
 impl Route {
-    /// Returns the longest time for which a request is held.
+    /// Returns the timeout of a request.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(u64::from(self.timeout_millis))
     }
 
-    /// Returns the time within which an answer is of full use.
+    /// Returns the target latency: an answer within this time has its full value.
     pub fn target_latency(&self) -> Duration {
         Duration::from_millis(u64::from(self.target_latency_millis))
     }
@@ -68,49 +68,49 @@
     }
 }
 
-/// A service.
+/// A service: back ends that are interchangeable.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Service {
     /// Name of the service.
     pub name: String,
     /// Path of the health endpoint of its back ends.
     pub health_path: String,
-    /// Most connections that one back end takes.
+    /// Maximum number of connections to one back end.
     pub max_connections: u32,
 }
 
-/// Most requests of a tenant, summed over all nodes: a token bucket.
+/// Rate limit of a tenant, summed over all nodes, as a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub struct RateLimit {
-    /// Tokens that come in each second; above zero.
+    /// Tokens added per second; above zero.
     pub per_second: f64,
-    /// Most tokens that the bucket holds; one at least, so that a request can ever pass.
+    /// Maximum number of tokens in the bucket; at least one, or no request could ever pass.
     pub burst: f64,
 }
 
-/// An organization whose callers are told by their keys.
+/// An organization whose callers are identified by their keys.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Tenant {
-    /// Name.
+    /// Name of the tenant.
     pub name: String,
     /// Digests of its keys.
     pub keys: Vec<KeyDigest>,
-    /// Priority that goes before that of the route, if it has one of its own.
+    /// Priority that takes precedence over that of the route; `None` to use the route's.
     pub priority: Option<u8>,
-    /// Most requests; `None` for any number.
+    /// Rate limit; `None` for no limit.
     pub limit: Option<RateLimit>,
 }
 
-/// Bounds on what callers send.
+/// Limits on what callers send.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CallerLimits {
-    /// Longest request head in bytes.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: u32,
-    /// Longest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u64,
-    /// Longest time for a head to arrive, in milliseconds.
+    /// Timeout for the arrival of a request head, in milliseconds.
     pub head_timeout_millis: u32,
-    /// Longest time for which a connection may rest, in milliseconds.
+    /// Maximum idle time of a connection, in milliseconds.
     pub idle_timeout_millis: u32,
 }
 
@@ -125,22 +125,22 @@
     }
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct Configuration {
-    /// Version; grows with every change.
+    /// Version; increases with every change.
     pub version: u64,
-    /// Routes.
+    /// Routes of all services.
     pub routes: Vec<Route>,
-    /// Services.
+    /// Services that routes may refer to.
     pub services: Vec<Service>,
-    /// Tenants; while there are none, callers need no key.
+    /// Tenants; without any, callers need no key.
     pub tenants: Vec<Tenant>,
-    /// Bounds on what callers send.
+    /// Limits on what callers send.
     pub limits: CallerLimits,
 }
 
-/// A configuration with an index of its routes.
+/// A configuration with indexes of its routes, tenants and keys.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     configuration: Configuration,
@@ -176,17 +176,18 @@
         }
     }
 
-    /// Returns the configuration.
+    /// Returns the indexed configuration.
     pub const fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// Returns the version.
+    /// Returns the version of the configuration.
     pub const fn version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// Returns the route for a host and a request target: the longest prefix that begins the path.
+    /// Returns the route for a host and a request target: the one with the longest prefix of the
+    /// path.
     pub fn lookup(&self, host: &str, target: &str) -> Option<&Arc<Route>> {
         let path = target.split(['?', '#']).next().unwrap_or_default();
         let routes = match self.by_host.get(host) {
@@ -198,12 +199,12 @@
             .find(|route| path.starts_with(route.path_prefix.as_str()))
     }
 
-    /// Returns whether callers have to show a key, on routes that are not public.
+    /// Returns whether callers must present a key on routes that are not public.
     pub fn has_tenants(&self) -> bool {
         !self.tenants.is_empty()
     }
 
-    /// Returns the tenant that holds a key.
+    /// Returns the tenant to which a key belongs.
     pub fn tenant_of_key(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
         self.by_key.get(key)
     }
--- a/crates/rillgap-forward/src/configuration_offers.rs
+++ b/crates/rillgap-forward/src/configuration_offers.rs
@@ -1,9 +1,9 @@
-//! Newer configurations that peers have told of, kept until one is in force.
+//! Newer configuration versions offered by peers, kept until one of them is in force.
 //!
-//! A peer tells the version that it has once on a link: with the introduction, and when it changes. So
-//! what was told is remembered for each link for as long as the link lives, and a query that brings
-//! nothing is made again, on another link where there is one. The node may not know yet that a link has
-//! ended, above all after it stood still, so no single query can be relied on.
+//! A peer offers a version only once per link: with its hello, and when its version changes. Offers
+//! are therefore kept for each link until the link ends, and a query that brings no configuration
+//! is retried, if possible on another link. No single query is reliable, since the node may not
+//! have detected yet that a link has ended, in particular after its process was suspended.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,35 +12,35 @@
 
 use crate::id::LinkId;
 
-/// First and longest time after which a query that has brought nothing is made again. A configuration
-/// crosses a link within some ten milliseconds; the longest pause leaves two queries within the shortest
-/// time in which the users want a configuration in force (2 s).
+/// Initial and maximum backoff after a query that has brought no configuration. A configuration
+/// crosses a link within some ten milliseconds; the maximum leaves time for two queries within the
+/// shortest time in which users require a configuration to be in force (2 s).
 const QUERY_PATIENCE: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(1));
 
-/// What the peer at the other end of one link has told.
+/// The offer of the peer on one link.
 #[derive(Clone, Copy, Debug)]
 struct Offer {
     version: u64,
-    /// Queries that were sent on the link.
+    /// Number of queries sent on the link.
     queries: u32,
-    /// When anything was heard on the link.
+    /// When the last message arrived on the link.
     heard_at: Instant,
 }
 
 /// A query for a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigurationQuery {
-    /// Link to ask on.
+    /// Link on which to send the query.
     pub link: LinkId,
-    /// Version that the peer has told of.
+    /// Version that the peer has offered.
     pub version: u64,
 }
 
-/// Newer configurations that peers have told of.
+/// Newer configuration versions offered by peers.
 #[derive(Clone, Debug)]
 pub struct ConfigurationOffers {
     by_link: BTreeMap<LinkId, Offer>,
-    /// The last query, as long as its answer may still come.
+    /// The last query, while its answer may still arrive.
     asked: Option<ConfigurationQuery>,
     /// When the next query is due; meaningless while there is no offer.
     ask_at: Instant,
@@ -59,8 +59,9 @@
 }
 
 impl ConfigurationOffers {
-    /// Takes in that the peer on a link has a version that is newer than the one in force. It is asked
-    /// for at `ask_at` at the earliest. Returns whether no other peer has told of it before.
+    /// Records that the peer on a link offers a version newer than the one in force. The first
+    /// query for it is sent no earlier than `ask_at`. Returns whether no other peer has offered it
+    /// before.
     pub fn on_offer(&mut self, now: Instant, link: LinkId, version: u64, ask_at: Instant) -> bool {
         let is_first = self.highest() < Some(version);
         let queries = self.by_link.get(&link).map_or(0, |offer| offer.queries);
@@ -78,14 +79,14 @@
         is_first
     }
 
-    /// Takes in that something has arrived on a link.
+    /// Records that a message has arrived on a link.
     pub fn on_message(&mut self, now: Instant, link: LinkId) {
         if let Some(offer) = self.by_link.get_mut(&link) {
             offer.heard_at = now;
         }
     }
 
-    /// Takes in that a link has ended. A query that was sent on it is made again at once.
+    /// Removes the offer of a link that has ended. An outstanding query on it is retried at once.
     pub fn link_ended(&mut self, now: Instant, link: LinkId) {
         self.by_link.remove(&link);
         if self.asked.is_some_and(|asked| asked.link == link) {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Takes in which version is in force.
+    /// Drops the offers that are not newer than the version in force.
     pub fn on_configuration_in_force(&mut self, version: u64) {
         self.by_link.retain(|_, offer| offer.version > version);
         self.asked = self.asked.filter(|asked| asked.version > version);
@@ -105,8 +106,8 @@
         (!self.by_link.is_empty()).then_some(self.ask_at)
     }
 
-    /// Returns the query that is due, if one is: on the link that was asked least often, of those on the
-    /// one that was heard last.
+    /// Returns the query that is due, if any. It goes to the link with the fewest queries so far,
+    /// among equals to the one with the latest message.
     pub fn take_due(&mut self, now: Instant) -> Option<ConfigurationQuery> {
         if self.ask_at > now {
             return None;
--- a/crates/rillgap-forward/src/credential.rs
+++ b/crates/rillgap-forward/src/credential.rs
@@ -1,11 +1,11 @@
-//! Keys of callers: only digests are kept, compared and passed on.
+//! Keys of callers: only their digests are kept, compared and forwarded.
 
 use std::fmt;
 
 use bitcode::{Decode, Encode};
 use sha2::{Digest, Sha256};
 
-/// Digest of a key. The key itself is not kept anywhere; nothing that is printed tells the digest.
+/// Digest of a key. The key itself is never stored, and `Debug` does not reveal the digest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct KeyDigest([u8; 32]);
 
@@ -22,14 +22,14 @@
     }
 }
 
-/// What a request shows of its caller.
+/// Credential that a request presents.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
+    /// No credential.
     #[default]
     Absent,
-    /// A key.
+    /// One well-formed key.
     Key(KeyDigest),
-    /// Something that is no key of the expected form, or several keys.
+    /// A credential that does not have the form of a key, or several keys.
     Malformed,
 }
--- a/crates/rillgap-forward/src/freshness.rs
+++ b/crates/rillgap-forward/src/freshness.rs
@@ -1,42 +1,44 @@
-//! Proof of how fresh the node's configuration is.
+//! Proof that the node's configuration is recent enough.
 //!
-//! A key that an operator takes away must stop working everywhere within a bound, also at a node that
-//! is cut off. A node therefore serves requests with keys only while it can prove that its
-//! configuration was the newest one not long ago. Let `p` be the time of the proof: every
-//! configuration that was accepted before `p` is known here. A request that is handled at `t` was sent
-//! at `t` or earlier, so while `t - p` is below the bound no key that was taken away longer than the
-//! bound before the request was sent is accepted. Nothing need be checked again after that: what
-//! counts is when the request was sent.
+//! A key that an operator revokes must stop working everywhere within a bound, also at a node that
+//! is partitioned from all others. A node therefore serves requests with keys only while it can
+//! prove that its configuration was the newest one not long ago. Let `p` be the time of the proof:
+//! every configuration that was accepted before `p` is known to the node. A request that is handled
+//! at `t` was sent at `t` or earlier, so while `t - p` is below the bound, no key is accepted that
+//! was revoked longer than the bound before the request was sent. The key is not checked again
+//! after that, since the time at which the request was sent is what counts.
 //!
-//! A proof is either a read of the store, or the word of a peer. Both count from the moment at which
-//! they were *asked for*: an answer may have lain in a socket for any time. The time is that of the
-//! steady clock, which goes on while the process stands still.
+//! A proof is either a read of the store or the statement of a peer. Both count from the moment at
+//! which they were *requested*, since an answer may have waited in a socket for any time. The times
+//! are those of the monotonic clock, which continues while the process is suspended.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use rillgap_core::time::Instant;
 
-/// Share of the bound that is kept for the drift of clocks and the driver's own steps.
+/// Fraction of the bound that is reserved for clock drift and the time steps of the driver.
 const MARGIN_SHARE: f64 = 0.05;
-/// Share of the bound after which a proof is renewed from peers: several tries fit into the rest.
+/// Fraction of the bound after which a proof is renewed by queries to peers; the rest of the bound
+/// leaves time for several attempts.
 const RENEW_SHARE: f64 = 0.12;
-/// Share of the bound after which more peers are asked at once.
+/// Fraction of the bound after which more peers are queried at once.
 const URGENT_SHARE: f64 = 0.45;
-/// Peers that are asked at a time, usually and when the proof is getting old.
+/// Number of peers that are queried at a time: normally, and when the proof is old.
 const WIDTH: (usize, usize) = (1, 4);
-/// Time after which another peer is asked.
+/// Time after which another peer is queried.
 const QUERY_PATIENCE: Duration = Duration::from_millis(250);
-/// Time after which an answer is not expected any more.
+/// Time after which an answer is no longer accepted.
 const QUERY_LIFE: Duration = Duration::from_secs(5);
-/// Share of the bound for which a watch of the store waits at most.
+/// Maximum wait of a watch of the store, as a fraction of the bound.
 const WATCH_SHARE: f64 = 0.14;
 
-/// Number of a query to a peer, used once.
+/// Number of a query to a peer; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueryNumber(pub u64);
 
-/// Time of a proof: microseconds of the steady clock, negative before the process started.
+/// Time of a proof in microseconds of the monotonic clock; negative before the start of the
+/// process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ProofTime(i64);
 
@@ -54,13 +56,13 @@
     }
 }
 
-/// What is known of the freshness of the node's configuration.
+/// Proofs of the freshness of the node's configuration, and the queries to peers for them.
 #[derive(Clone, Debug)]
 pub struct Freshness {
-    /// Age up to which a proof is good; `None` if no proof is needed.
+    /// Age below which a proof is valid; `None` if no proof is required.
     bound: Option<Duration>,
     proven_at: Option<ProofTime>,
-    /// Proof of a version that the node does not have yet.
+    /// Proof of a version that is not yet in force on this node.
     ahead: Option<(u64, ProofTime)>,
     queries: BTreeMap<QueryNumber, Instant>,
     next_query: u64,
@@ -68,9 +70,10 @@
 }
 
 impl Freshness {
-    /// Creates the state of a fresh node, which has no proof.
+    /// Creates the state of a node that starts, which has no proof.
     ///
-    /// `revocation` is the time within which a key that was taken away must have stopped working.
+    /// `revocation` is the time within which a revoked key must have stopped working; `None` if no
+    /// proof is required.
     pub fn new(revocation: Option<Duration>) -> Self {
         Self {
             bound: revocation.map(|revocation| revocation.mul_f64(1.0 - MARGIN_SHARE)),
@@ -88,18 +91,19 @@
             .is_none_or(|bound| self.proof_age(now).is_some_and(|age| age < bound))
     }
 
-    /// Returns the age of the proof.
+    /// Returns the age of the proof; `None` if there is none.
     pub fn proof_age(&self, now: Instant) -> Option<Duration> {
         self.proven_at.map(|at| at.age(now))
     }
 
-    /// Returns for how long a watch of the store may wait: its answer proves nothing later than its
-    /// start.
+    /// Returns the maximum wait of a watch of the store, whose answer proves nothing later than its
+    /// start; `None` if no proof is required.
     pub fn max_watch_wait(&self) -> Option<Duration> {
         self.bound.map(|bound| bound.mul_f64(WATCH_SHARE))
     }
 
-    /// Takes in that `version` was the newest one at a time. `own` is the version in force here.
+    /// Records that `version` was the newest one at a time. `own` is the version in force on this
+    /// node.
     pub fn record_proof(&mut self, at: Instant, version: u64, own: u64) {
         self.take(ProofTime::of(at, Duration::ZERO), version, own);
     }
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Takes in that a version is in force here.
+    /// Records that a version is in force on this node.
     pub fn on_configuration_in_force(&mut self, own: u64) {
         if let Some((version, at)) = self.ahead.filter(|(version, _)| *version <= own) {
             self.ahead = None;
@@ -120,8 +124,8 @@
         }
     }
 
-    /// Takes in that the store has come back from a copy: what it has said before, itself or through peers, may
-    /// not hold any more, so a new proof is needed.
+    /// Drops all proofs, since the store was restored from a backup: what it or peers have stated
+    /// before may no longer hold.
     pub fn on_store_restored(&mut self) {
         self.proven_at = None;
         self.ahead = None;
@@ -129,7 +133,7 @@
         self.queried_at = None;
     }
 
-    /// Returns how many peers are to be asked now, if any.
+    /// Returns how many peers to query now; `None` if no query is due.
     pub fn queries_due(&self, now: Instant) -> Option<usize> {
         let bound = self.bound?;
         let is_asked = self
@@ -145,7 +149,7 @@
         }
     }
 
-    /// Begins a query; its number belongs into the message.
+    /// Records a new query and returns its number, which is part of the message.
     pub fn begin_query(&mut self, now: Instant) -> QueryNumber {
         self.queried_at = Some(now);
         self.queries
@@ -156,12 +160,12 @@
         number
     }
 
-    /// Takes in a peer's answer: `version` was the newest one `age` before the peer answered.
+    /// Handles a peer's answer: `version` was the newest one `age` before the peer answered.
     pub fn on_answer(&mut self, number: QueryNumber, version: u64, age: Duration, own: u64) {
         let Some(asked_at) = self.queries.get(&number).copied() else {
             return;
         };
-        // The peer answered after it was asked, so its proof is at least this young.
+        // The peer answered after the query was sent, so its proof is at least this recent.
         self.take(ProofTime::of(asked_at, age), version, own);
     }
 }
--- a/crates/rillgap-forward/src/incarnation.rs
+++ b/crates/rillgap-forward/src/incarnation.rs
@@ -1,23 +1,24 @@
-//! One run of a back end, from its start to its end.
+//! One process lifetime of a back end.
 //!
-//! A back end may start again under the identifier that it had. It then holds and knows nothing of before, so
-//! nothing that was learned of the earlier run holds for the later one: the identifier and the start together
-//! tell runs apart. Requests and answers of the health endpoint name the identifier alone; there, the latest run
-//! that has announced itself is meant, since one address is held by one process.
+//! A back end may restart under the identifier that it had before. It has then lost all state, so
+//! what was recorded about the earlier incarnation does not hold for the later one: the identifier
+//! and the start time together distinguish incarnations. Requests and answers of the health
+//! endpoint contain the identifier alone; there it denotes the latest incarnation that has
+//! announced itself, since one process at a time holds an address.
 
 use std::fmt;
 
-/// One run of a back end.
+/// One process lifetime of a back end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
-    /// Identifier that the back end gives itself.
+    /// Identifier that the back end has chosen.
     pub id: String,
-    /// Unix time of its start in milliseconds, if it tells.
+    /// Unix time of its start in milliseconds; `None` if the back end does not state it.
     pub started_at_millis: Option<u64>,
 }
 
 impl Incarnation {
-    /// Creates the incarnation of a back end that does not tell when it has started.
+    /// Creates the incarnation of a back end that does not state its start.
     pub fn without_start(id: &str) -> Self {
         Self {
             id: id.to_owned(),
@@ -25,8 +26,8 @@
         }
     }
 
-    /// Returns whether this is an earlier run under the identifier of `other`. One that does not tell its start
-    /// is earlier than one that does.
+    /// Returns whether this is an earlier incarnation under the identifier of `other`. An
+    /// incarnation without a start is earlier than one with a start.
     pub fn precedes(&self, other: &Self) -> bool {
         self.id == other.id && self.started_at_millis < other.started_at_millis
     }
--- a/crates/rillgap-forward/src/rate_limit/bucket.rs
+++ b/crates/rillgap-forward/src/rate_limit/bucket.rs
@@ -1,4 +1,4 @@
-//! Buckets of the tenants that this node owns.
+//! Token buckets of the tenants that this node owns.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,32 +7,34 @@
 
 use crate::configuration::RateLimit;
 
-/// Time over which demand is averaged.
+/// Time constant of the decaying average of the demand.
 const DEMAND_MEMORY: Duration = Duration::from_secs(1);
-/// Least and longest time after which a node that got too little asks again, in milliseconds.
+/// Minimum and maximum time after which a node that received too few tokens queries again, in
+/// milliseconds.
 const WAIT_MILLIS: (f64, f64) = (20.0, 1_000.0);
 
-/// What an owner gives to a node that asked for tokens.
+/// Reply of an owner to a query for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Tokens.
+    /// Number of tokens granted.
     pub tokens: u32,
-    /// Time before which it need not ask again, in milliseconds; 0 if it got what it wanted.
+    /// Time before which the node need not query again, in milliseconds; 0 if it received all
+    /// tokens that it requested.
     pub wait_millis: u32,
 }
 
-/// Tokens of one tenant.
+/// Token bucket of one tenant.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     tokens: f64,
     filled_at: Instant,
     owned_since: Instant,
-    /// Tokens that are asked for, a second.
+    /// Tokens requested per second, a decaying average.
     demand: f64,
 }
 
 impl Bucket {
-    /// A bucket whose owner cannot know what was spent before it owned it starts empty.
+    /// Creates an empty bucket: a new owner cannot know how many tokens were spent before.
     fn new(owned_since: Instant) -> Self {
         Self {
             tokens: 0.0,
@@ -50,14 +52,14 @@
     }
 }
 
-/// Buckets of the tenants that this node owns.
+/// Token buckets of the tenants that this node owns.
 #[derive(Clone, Debug, Default)]
 pub struct Buckets {
     buckets: BTreeMap<String, Bucket>,
 }
 
 impl Buckets {
-    /// Takes tokens out of a tenant's bucket, which the node has owned without a break since
+    /// Takes tokens from a tenant's bucket, which this node has owned without interruption since
     /// `owned_since`.
     pub fn grant(
         &mut self,
@@ -79,7 +81,8 @@
                 wait_millis: 0,
             };
         }
-        // Where more is asked for than comes in, each of the nodes that ask gets its turn more rarely.
+        // If more tokens are requested than are refilled, the wait grows by the same ratio, so that
+        // each requesting node queries less often.
         let excess = (bucket.demand / limit.per_second).max(1.0);
         let lacking = f64::from(missing) - bucket.tokens;
         let millis = lacking.max(0.0) / limit.per_second * excess * 1_000.0;
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Forgets tenants that are gone.
+    /// Drops the buckets of tenants that no longer exist.
     pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
         self.buckets.retain(|tenant, _| exists(tenant));
     }
--- a/crates/rillgap-forward/src/rate_limit/entry.rs
+++ b/crates/rillgap-forward/src/rate_limit/entry.rs
@@ -1,8 +1,8 @@
-//! Tokens at the node where requests come in.
+//! Admission of tenants' requests on the entry node, by tokens.
 //!
-//! A request of a tenant with a limit needs a token. Tokens are asked for ahead of need, by the rate at
-//! which the tenant's requests have come in here; a request that finds none waits for the answer of
-//! the bucket's owner, which takes a round trip.
+//! A request of a tenant with a limit needs a token. Tokens are prefetched from the owner of the
+//! tenant's bucket, based on the rate at which this node receives the tenant's requests. A request
+//! that finds no token waits for a reply of the owner, which takes a round trip.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -11,37 +11,40 @@
 
 use super::TOKEN_LIFE;
 
-/// Longest time for which a request waits for tokens: several round trips between zones and the
-/// opening of a link.
+/// Maximum time for which a request waits for tokens: several round trips between zones and the
+/// time to open a link.
 const LONGEST_HOLD: Duration = Duration::from_millis(250);
-/// Time after which a query without an answer is made again.
+/// Time after which an unanswered query is sent again.
 const QUERY_PATIENCE: Duration = Duration::from_millis(80);
-/// Time of demand for which tokens are asked ahead; below their life, so that few are void.
+/// Period of expected demand for which tokens are prefetched; shorter than their lifetime, so that
+/// few expire unused.
 const AHEAD: Duration = Duration::from_millis(200);
-/// Time over which the rate of a tenant's requests is averaged.
+/// Time constant of the decaying average of a tenant's request rate.
 const RATE_MEMORY: Duration = Duration::from_secs(1);
-/// Time without requests after which a tenant is forgotten.
+/// Time without requests after which the account of a tenant is dropped.
 const IDLE: Duration = Duration::from_secs(30);
-/// Shortest time after which a refused caller is asked back, in milliseconds.
+/// Minimum time after which a rejected caller is asked to retry, in milliseconds.
 const LEAST_RETRY_MILLIS: u64 = 200;
 
-/// Tokens of one grant that are left.
+/// Unused tokens of one grant.
 #[derive(Clone, Copy, Debug)]
 struct Tokens {
     void_at: Instant,
     left: u32,
 }
 
-/// What a node knows of one tenant.
+/// State of one tenant on this node.
 #[derive(Clone, Debug)]
 struct Account<K> {
     tokens: VecDeque<Tokens>,
     waiting: VecDeque<(K, Instant)>,
-    /// Queries without an answer, by their numbers; those older than the life of a token are dropped.
+    /// When each unanswered query was sent, by number. Queries older than the lifetime of a token
+    /// are dropped.
     queries: BTreeMap<u64, Instant>,
-    /// Since when queries have to be repeated.
+    /// When a query was first repeated because its predecessors had no answer; `None` once an
+    /// answer has arrived.
     silent_since: Option<Instant>,
-    /// The owner has nothing before this time.
+    /// Time before which the owner has no tokens to grant.
     empty_until: Instant,
     rate: f64,
     requested_at: Instant,
@@ -67,14 +70,15 @@
         self.requested_at = now;
     }
 
-    /// Grants may come out of the order in which they were asked for.
+    /// Drops expired tokens wherever they are in the queue: grants may arrive in another order than
+    /// their queries were sent.
     fn drop_void(&mut self, now: Instant) {
         self.tokens.retain(|tokens| tokens.void_at > now);
     }
 
     fn take(&mut self, now: Instant) -> bool {
         self.drop_void(now);
-        // Grants that are used up stay until they are void: a token may be given back.
+        // Used-up grants are kept until they expire, since a token may be returned to them.
         let Some(tokens) = self.tokens.iter_mut().find(|tokens| tokens.left > 0) else {
             return false;
         };
@@ -82,7 +86,7 @@
         true
     }
 
-    /// Notes that the owner is asked; returns whether an earlier query has no answer yet.
+    /// Records a query to the owner; returns whether an earlier query is still unanswered.
     fn ask(&mut self, now: Instant, number: u64) -> bool {
         let is_repeated = !self.queries.is_empty();
         if is_repeated {
@@ -94,8 +98,8 @@
         is_repeated
     }
 
-    /// Returns how long a request may wait for tokens: once the owner has been silent for a while,
-    /// only as long as it takes to hear of another one.
+    /// Returns how long a request may wait for tokens. If the owner has not answered for a while,
+    /// it is only the time that it takes to learn the name of another owner.
     fn longest_hold(&self, now: Instant) -> Duration {
         let silence = self.silent_since.map(|since| now.saturating_since(since));
         match silence {
@@ -108,7 +112,7 @@
         self.tokens.iter().map(|tokens| tokens.left).sum()
     }
 
-    /// Returns how many tokens to ask for now, if any.
+    /// Returns how many tokens to query now; `None` if no query is due.
     fn wanted(&mut self, now: Instant) -> Option<u32> {
         let last = self.queries.values().next_back();
         let is_asked = last.is_some_and(|at| now.saturating_since(*at) < QUERY_PATIENCE);
@@ -124,51 +128,51 @@
     }
 }
 
-/// Whether a request may go on.
+/// Admission decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It has its token.
+    /// The request has its token.
     Granted,
-    /// It waits for the owner's answer.
+    /// The request waits for the owner's answer.
     Waiting,
-    /// The limit is reached.
+    /// The tenant is at its limit.
     Refused {
-        /// Time after which there may be room, in milliseconds.
+        /// Time after which tokens may be available again, in milliseconds.
         retry_after_millis: u32,
     },
 }
 
-/// Tokens to ask the owner for.
+/// A demand for tokens, to be sent to the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TokenDemand {
-    /// Number of the query, used once.
+    /// Number of the query; never reused.
     pub number: u64,
-    /// Tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Tokens.
+    /// Number of tokens requested.
     pub tokens: u32,
-    /// Whether an earlier query has no answer yet.
+    /// Whether an earlier query for this tenant is still unanswered.
     pub is_repeated: bool,
 }
 
-/// Requests that have waited and may go on, or are refused.
+/// Waiting requests for which an answer of the owner has decided the admission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Released<K> {
-    /// May go on.
+    /// Requests that have their token.
     pub granted: Vec<K>,
-    /// Are refused: the limit is reached.
+    /// Requests that are rejected: the tenant is at its limit.
     pub refused: Vec<K>,
-    /// Time after which there may be room for those, in milliseconds.
+    /// Time after which tokens may be available again for the rejected requests, in milliseconds.
     pub retry_after_millis: u32,
 }
 
-/// Tokens of a node, by tenant. `K` identifies a request.
+/// Tokens of an entry node, by tenant. `K` identifies a request.
 #[derive(Clone, Debug)]
 pub struct EntryLimiter<K> {
     accounts: BTreeMap<String, Account<K>>,
-    /// Tenants whose account has changed since the last look.
+    /// Tenants whose account has changed since the last call of [`Self::queries_due`].
     touched: BTreeSet<String>,
-    /// Tenants with requests that wait.
+    /// Tenants with waiting requests.
     waiting: BTreeSet<String>,
     next_query: u64,
     next_sweep: Instant,
@@ -187,7 +191,8 @@
 }
 
 impl<K: Copy> EntryLimiter<K> {
-    /// Takes a token for a request of a tenant.
+    /// Takes a token for a request of a tenant. A request without a token waits, or is rejected
+    /// while the owner has none to grant.
     pub fn admit(&mut self, now: Instant, tenant: &str, key: K) -> Admission {
         if !self.accounts.contains_key(tenant) {
             self.accounts.insert(tenant.to_owned(), Account::new(now));
@@ -215,10 +220,11 @@
         }
     }
 
-    /// Gives back the token of a request that has not run and never will.
+    /// Returns the token of a request that was not executed and never will be.
     pub fn return_token(&mut self, now: Instant, tenant: &str) {
         if let Some(account) = self.accounts.get_mut(tenant) {
-            // It was taken out of the youngest grant or an older one; its life is not made longer.
+            // The token belonged to the latest grant or an earlier one. The expiry of the latest
+            // grant, to which it is added, does not change.
             if let Some(tokens) = account
                 .tokens
                 .back_mut()
@@ -229,7 +235,7 @@
         }
     }
 
-    /// Returns what to ask the owners for.
+    /// Returns the demands for tokens to send to the owners.
     pub fn queries_due(&mut self, now: Instant) -> Vec<TokenDemand> {
         let mut due: BTreeSet<String> = std::mem::take(&mut self.touched);
         due.extend(self.waiting.iter().cloned());
@@ -253,7 +259,7 @@
         wanted
     }
 
-    /// Takes in the owner's answer; returns the requests that need not wait any more.
+    /// Handles the owner's answer; returns the waiting requests for which it decides the admission.
     pub fn on_grant(
         &mut self,
         now: Instant,
@@ -263,7 +269,7 @@
         wait_millis: u32,
     ) -> Option<Released<K>> {
         let account = self.accounts.get_mut(tenant)?;
-        // Of an answer that took longer than a token lives, the query is forgotten.
+        // The query is no longer recorded if its answer took longer than the lifetime of a token.
         let asked_at = account.queries.remove(&number)?;
         account.silent_since = None;
         if tokens > 0 {
@@ -296,7 +302,7 @@
         Some(released)
     }
 
-    /// Returns the requests of a tenant that wait, and lets them go: there is no owner.
+    /// Removes and returns the waiting requests of a tenant: there is no owner.
     pub fn release_all(&mut self, tenant: &str) -> Vec<K> {
         self.waiting.remove(tenant);
         let Some(account) = self.accounts.get_mut(tenant) else {
@@ -306,7 +312,7 @@
         account.waiting.drain(..).map(|(key, _)| key).collect()
     }
 
-    /// Returns the requests that have waited for too long.
+    /// Removes and returns the requests that have waited for the maximum time.
     pub fn take_overdue(&mut self, now: Instant) -> Vec<K> {
         let mut overdue = Vec::new();
         let accounts = &mut self.accounts;
--- a/crates/rillgap-forward/src/rate_limit/mod.rs
+++ b/crates/rillgap-forward/src/rate_limit/mod.rs
@@ -1,9 +1,10 @@
-//! Limits on the requests of a tenant, summed over all nodes.
+//! Rate limits on the requests of a tenant, summed over all nodes.
 //!
-//! Each tenant's bucket of tokens has one *owner* among the nodes ([`ownership`]). The nodes where
-//! requests come in ask it for tokens ahead of need and spend them ([`entry`]); the owner takes them
-//! out of the bucket ([`bucket`]). Tokens live for [`TOKEN_LIFE`]. `docs/design/tenants.md` has the
-//! argument for the bound and the ways that were weighed.
+//! Each tenant's token bucket has one *owner* among the nodes ([`ownership`]). The entry nodes,
+//! which receive the tenant's requests, prefetch tokens from the owner and spend them ([`entry`]);
+//! the owner takes them from the bucket ([`bucket`]). Tokens expire after [`TOKEN_LIFE`].
+//! `docs/design/tenants.md` derives the bound that follows for the sum of requests and compares the
+//! alternatives.
 
 pub mod bucket;
 pub mod entry;
@@ -11,6 +12,7 @@
 
 use std::time::Duration;
 
-/// Time after its request was sent at which a token is void: what a lost owner has given out cannot
-/// add up with what its successor gives out.
+/// Lifetime of a token, counted from the sending of the query for it. It is so short that tokens
+/// granted by a lost owner have expired before its successor grants new ones, so the two do not add
+/// up.
 pub const TOKEN_LIFE: Duration = Duration::from_millis(300);
--- a/crates/rillgap-forward/src/rate_limit/ownership.rs
+++ b/crates/rillgap-forward/src/rate_limit/ownership.rs
@@ -1,10 +1,11 @@
-//! Which node owns the bucket of a tenant.
+//! Determines which node owns the token bucket of a tenant.
 //!
-//! Rendezvous hashing over the names of all nodes gives every tenant an order of nodes that all agree
-//! on without talking. The first of them that is available owns the bucket. A node that is asked gives
-//! tokens only if it is the first in its *own* view: two nodes that hear of each other never both
-//! own a bucket. A node offers to own buckets only while it hears of most of its peers, so
-//! one that is cut off stops before its successor, which has lost it, begins.
+//! Rendezvous hashing over the names of all nodes gives every tenant an order of nodes, on which
+//! all nodes agree without communication. The first available node in this order owns the bucket. A
+//! node that receives a query grants tokens only if it is the first one in its *own* view: two
+//! nodes that are in contact with each other never both own a bucket. A node offers to own buckets
+//! only while it is in contact with most of its peers, so a partitioned node stops granting before
+//! its successor, which has lost contact with it, begins.
 
 use rillgap_core::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
@@ -12,7 +13,7 @@
 use crate::directory::PeerIndex;
 use crate::id::LinkId;
 
-/// Identifies a tenant in the order of its possible owners.
+/// Hash of a tenant's name, which determines the order of the possible owners of its bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantHash(u64);
 
@@ -22,8 +23,8 @@
         Self(xxh3_64(tenant.as_bytes()))
     }
 
-    /// Returns the place of a node, by the hash of its name, among the possible owners: the highest
-    /// comes first.
+    /// Returns the score of a node, given the hash of its name, as a possible owner: the node with
+    /// the highest score comes first.
     pub const fn owner_score(self, node: u64) -> u64 {
         // The finalizer of MurmurHash3 (Appleby, public domain): every bit depends on every other.
         let mut bits = self.0 ^ node;
@@ -35,18 +36,18 @@
     }
 }
 
-/// The owner of a tenant's bucket, as one node sees it.
+/// The owner of a tenant's bucket in the view of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
-    /// The node itself.
+    /// This node.
     Local {
-        /// Since when it has been the first that is available.
+        /// Since when this node has been the first available one.
         since: Instant,
     },
     /// A peer with an open link.
     Peer(PeerIndex, LinkId),
     /// A peer to which a link is being opened.
     Unlinked(PeerIndex),
-    /// Nobody: the node hears of no peer that could be, and is cut off itself.
+    /// No owner: this node has no contact with any possible owner and is itself partitioned.
     Unavailable,
 }
--- a/crates/rillgap-forward/src/store_epoch.rs
+++ b/crates/rillgap-forward/src/store_epoch.rs
@@ -1,19 +1,20 @@
 //! Epochs of the store, and positions within one.
 //!
-//! A store may be lost and come back from a copy that is some seconds old. What was written since is gone, and
-//! its revisions are given out again for other changes. Everything that rests on what the store has said
-//! therefore belongs to one epoch, which rises with each such return: a position to watch from, a proof that
-//! a configuration is the newest, the belief that the own record is stored. An answer of an earlier epoch
-//! than one that is known proves nothing: it was late, or came from a store that is not in charge any more.
+//! A store may be lost and restored from a backup that is some seconds old. Later writes are then
+//! lost, and their revisions are assigned again to other changes. All state that relies on replies
+//! of the store therefore belongs to one epoch, which rises with each restore: the position to
+//! watch from, the proof that a configuration is the newest, and the information that the node's
+//! own record is stored. A reply from an earlier epoch than the highest known one proves nothing:
+//! it is late, or comes from a store that is no longer in use.
 
 use bitcode::{Decode, Encode};
 
-/// Epoch of the store; rises by one with each return from a copy. A store that tells none is in the first one
-/// for ever.
+/// Epoch of the store; rises by one with each restore from a backup. A store that reports no epoch
+/// always is in the first one, 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct StoreEpoch(pub u64);
 
-/// Place in the history of the store.
+/// Position in the history of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StorePosition {
     epoch: StoreEpoch,
@@ -21,17 +22,17 @@
 }
 
 impl StorePosition {
-    /// Creates the position of a revision that the store has named in an epoch.
+    /// Creates the position of a revision that the store has reported in an epoch.
     pub const fn new(epoch: StoreEpoch, revision: u64) -> Self {
         Self { epoch, revision }
     }
 
-    /// Returns the epoch.
+    /// Returns the epoch to which the revision belongs.
     pub const fn epoch(self) -> StoreEpoch {
         self.epoch
     }
 
-    /// Returns the revision, which means something in this epoch alone.
+    /// Returns the revision, which is meaningful only within its epoch.
     pub const fn revision(self) -> u64 {
         self.revision
     }
--- a/crates/rillgap-forward/src/store_sync/call.rs
+++ b/crates/rillgap-forward/src/store_sync/call.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, their answers, and what follows from them.
+//! Requests to the store, its replies, and the events that result from them.
 
 use std::time::Duration;
 
@@ -9,34 +9,34 @@
 use crate::store_epoch::{StoreEpoch, StorePosition};
 use crate::watcher_election;
 
-/// Number of a call, used once.
+/// Identifier of a request to the store; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreRequestId(pub u64);
 
-/// A call to the store.
+/// A request to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// Read the newest configuration, linearizably.
+    /// Reads the newest configuration; the read is linearizable.
     ReadConfiguration,
-    /// Wait for a configuration after this position.
+    /// Waits until the store holds a newer configuration than at a position (long polling).
     WatchConfiguration {
-        /// Position of the last read or watch.
+        /// Position returned by the last read or watch.
         after: StorePosition,
-        /// Time after which it answers although nothing has changed.
+        /// Time after which the store replies even if nothing has changed.
         wait: Duration,
     },
-    /// Make sure that the store holds this record.
+    /// Ensures that the store holds this record.
     Register(NodeRecord),
-    /// Read records of nodes: those with the lowest places, and those that follow a place.
+    /// Reads the records of nodes: those with the lowest name hashes, and the successors of `from`.
     ListNodes {
-        /// The place from which on records are wanted.
+        /// Name hash after which the successors begin.
         from: u64,
-        /// Whether the answer may be some seconds old, which is cheaper.
+        /// Whether the reply may be some seconds old, which costs the store less.
         allow_stale: bool,
-        /// How many are wanted.
+        /// How many records to return.
         extent: ListExtent,
     },
-    /// Remove the record of a node.
+    /// Removes the record of a node.
     Unregister {
         /// Name of the node.
         name: String,
@@ -56,60 +56,65 @@
     }
 }
 
-/// Answer of the store.
+/// A reply of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
-    /// The configuration, if it was asked for and there is a (newer) one.
+    /// The result of reading or watching the configuration.
     Configuration {
-        /// Position to watch from.
+        /// Position from which to watch next.
         position: StorePosition,
-        /// The configuration.
+        /// The configuration; `None` if the store holds none, or none newer than the watched
+        /// position.
         configuration: Option<Configuration>,
     },
-    /// The position of a watch is not known (any more).
+    /// The store does not hold the history at the position of a watch, or no longer holds it.
+    /// Contains
+    /// the epoch of the reply.
     PositionExpired(StoreEpoch),
     /// The record is stored.
     Registered {
-        /// Epoch in which it is.
+        /// Epoch in which the record is stored.
         epoch: StoreEpoch,
-        /// Whether the store knew no record of the node before.
+        /// Whether the store held no record of the node before.
         is_new: bool,
     },
-    /// Records of nodes.
+    /// The records of nodes.
     Nodes {
-        /// Epoch in which they were read.
+        /// Epoch in which the records were read.
         epoch: StoreEpoch,
         /// The records.
         list: NodeList,
     },
-    /// The record is removed.
+    /// The record is removed. Contains the epoch of the reply.
     Unregistered(StoreEpoch),
-    /// No or an unusable answer.
+    /// The request failed: no reply arrived, or an unusable one.
     Failed(StoreFailure),
 }
 
-/// How many records a list is to hold.
+/// How many records a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListExtent {
-    /// Those with the lowest places, and those that follow a place: as many as one answer of the store holds.
+    /// The records with the lowest name hashes and the successors of one name hash: of each, as
+    /// many as the store returns in one reply.
     Part,
-    /// All.
+    /// The records of all nodes.
     Whole,
 }
 
-/// Records of nodes, in the order of their places.
+/// Records of nodes, in ascending order of their name hashes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeList {
-    /// Those with the lowest places.
+    /// Records with the lowest name hashes.
     pub lowest: Vec<NodeRecord>,
-    /// Those that follow the place that was asked for, where `lowest` does not hold all.
+    /// Successors of the requested name hash, continued at the lowest one after the highest; `None`
+    /// if `lowest` holds all records.
     pub successors: Option<Vec<NodeRecord>>,
-    /// Entries beside them that are no records: another writer has left them.
+    /// Number of entries in the store that are not node records, left there by another writer.
     pub unreadable: usize,
 }
 
 impl NodeList {
-    /// Returns whether it holds this record.
+    /// Returns whether the list contains exactly this record.
     pub fn holds(&self, record: &NodeRecord) -> bool {
         let following = self.successors.iter().flatten();
         self.lowest
@@ -118,7 +123,8 @@
             .any(|other| other == record)
     }
 
-    /// Returns about how many nodes there are: by how closely the listed ones follow each other.
+    /// Estimates the number of nodes from the distances between the name hashes listed after
+    /// `from`.
     pub fn estimated_nodes(&self, from: u64) -> usize {
         let Some(following) = &self.successors else {
             return self.lowest.len();
@@ -134,7 +140,7 @@
 }
 
 impl StoreReply {
-    /// Returns the epoch in which the store has answered, if it has.
+    /// Returns the epoch of the store at the time of the reply; `None` if the request failed.
     pub const fn epoch(&self) -> Option<StoreEpoch> {
         match self {
             Self::Configuration { position, .. } => Some(position.epoch()),
@@ -147,32 +153,32 @@
     }
 }
 
-/// Why a call to the store has failed.
+/// Why a request to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreFailure {
     /// [`ResultCode::StoreUnavailable`] or [`ResultCode::StoreProtocol`].
     pub code: ResultCode,
-    /// What was said or missing.
+    /// What the store replied, or what was missing; for logs.
     pub detail: String,
 }
 
-/// What to do after an answer.
+/// Result of a request to the store that the node has to handle.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreEvent {
-    /// A configuration.
+    /// The store returned a configuration.
     Configuration(Configuration),
-    /// Peers.
+    /// The store returned a list of nodes.
     Nodes {
-        /// Their records.
+        /// The records.
         list: NodeList,
-        /// Whether the list is young enough to be relied on.
+        /// Whether the list is recent enough and contains as many records as the node needs.
         is_complete: bool,
     },
-    /// The store could not be asked.
+    /// A request to the store failed.
     Failed {
-        /// Name of the call.
+        /// Name of the request, see [`StoreRequest::name`].
         call: &'static str,
-        /// Why.
+        /// Reason of the failure.
         failure: StoreFailure,
     },
 }
--- a/crates/rillgap-forward/src/store_sync/chain.rs
+++ b/crates/rillgap-forward/src/store_sync/chain.rs
@@ -1,4 +1,5 @@
-//! Calls to the store of which one is under way at a time, made again after a pause when they fail.
+//! Sequence of requests to the store: at most one is in flight, and a failed one is retried with
+//! backoff.
 
 use std::time::Duration;
 
@@ -7,22 +8,22 @@
 
 use super::call::{StoreEvent, StoreFailure, StoreRequest, StoreRequestId};
 
-/// First and longest pause after a failed call.
+/// Initial and maximum backoff after a failed request.
 const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
 
-/// Least share of a pause; the rest differs from node to node.
+/// Fraction of the backoff that every node waits; the rest is multiplied by the node's jitter.
 const SHORTEST_PAUSE_SHARE: f64 = 0.5;
 
-/// One chain of calls, of which one is under way at a time.
+/// A sequence of requests to the store, of which at most one is in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Chain {
     pub next: Option<StoreRequest>,
     due: Instant,
     pub under_way: Option<(StoreRequestId, StoreRequest)>,
-    /// When the call under way, or the last one, was made.
+    /// When the request in flight, or the last one, was sent.
     pub made_at: Instant,
     pause: Duration,
-    /// Number from 0 to 1 that is the node's own.
+    /// Jitter of this node, from 0 to 1. Differs from node to node.
     spread: f64,
 }
 
@@ -68,8 +69,8 @@
         self.next = next;
     }
 
-    /// Plans to make a call again. Pauses differ from node to node, so that calls that failed together do not come
-    /// together again.
+    /// Schedules a retry. The backoff differs from node to node, so that requests that failed
+    /// together are not retried together.
     fn retry(&mut self, now: Instant, next: StoreRequest, spread: f64) {
         self.due = now
             + self
@@ -79,7 +80,7 @@
         self.next = Some(next);
     }
 
-    /// Makes a call again after a pause: it has failed.
+    /// Schedules a retry of a failed request.
     pub fn on_failure(
         &mut self,
         now: Instant,
@@ -91,11 +92,11 @@
         Some(StoreEvent::Failed { call, failure })
     }
 
-    /// Makes a call again after a pause: its answer belongs to another kind of call.
+    /// Schedules a retry of a request whose reply belongs to another kind of request.
     pub fn on_mismatch(&mut self, now: Instant, request: StoreRequest) -> Option<StoreEvent> {
         let failure = StoreFailure {
             code: ResultCode::StoreProtocol,
-            detail: "answer to another kind of call".to_owned(),
+            detail: "reply belongs to another kind of request".to_owned(),
         };
         self.on_failure(now, request, failure)
     }
--- a/crates/rillgap-forward/src/store_sync/mod.rs
+++ b/crates/rillgap-forward/src/store_sync/mod.rs
@@ -1,14 +1,19 @@
-//! What a node asks of the store: the configuration, its own record and the first peers.
+//! Requests of a node to the store: for the configuration, its own record and its first peers.
 //!
-//! The store is the only address that all nodes know. A node registers itself and then lists others: those
-//! with the lowest places, which watch the store for all, and those that follow its own place, so that a
-//! list does not grow with the deployment. The list may be some seconds old where the own record shows that it is young
-//! enough. The configuration comes from peers; a node that gets none reads it, later the more nodes there are,
-//! so that few of many that start at once do. Nodes that have to (see [`watcher_election`](crate::watcher_election)) watch
-//! the configuration by calls that wait.
+//! The store is the only address that all nodes know. A node registers its record and then lists
+//! other nodes: those with the lowest name hashes, which watch the store for all others, and the
+//! successors of its own name hash. The size of this list does not depend on the size of the
+//! deployment. The list may be some seconds old: if it contains the node's own record, it is recent
+//! enough.
 //!
-//! When the store has come back from a copy (see [`store_epoch`](crate::store_epoch)), the node reads anew what
-//! it watches and writes its record again.
+//! A node usually receives the configuration from its peers. If it receives none, it reads the
+//! configuration from the store after a delay that grows with the number of nodes and differs from
+//! node to node, so that only a few of many nodes that start together read it. The nodes that are
+//! elected as watchers (see [`watcher_election`](crate::watcher_election)) watch the configuration by long
+//! polling.
+//!
+//! When the store is restored from a backup (see [`store_epoch`](crate::store_epoch)), the node
+//! reads what it watches again and writes its record again.
 
 mod call;
 mod chain;
@@ -28,53 +33,54 @@
 use crate::store_epoch::{StoreEpoch, StorePosition};
 use crate::watcher_election;
 
-/// Longest time for an answer that need not wait. A slow store answers within a third of it; one that was silent and is
-/// back is called again soon.
+/// Timeout of a request, in addition to the wait of a watch. A slow store replies within a third of
+/// it; after an outage, a short timeout lets the node call a recovered store again soon.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Pause between the first registration of a node and its list of the others. When a whole deployment
-/// starts, each node then sees nearly all others, and its links are spread evenly. A node that comes
-/// back lists at once: the store knows the others already.
+/// Delay between the registration of a new node and its list when a whole deployment starts for the
+/// first time: each node then lists nearly all others, so that links are spread evenly. A node that
+/// restarts lists at once, since the store already holds the records of the others.
 const FIRST_LIST_PAUSE: Duration = Duration::from_millis(500);
 
-/// Time after which a list in which the own record was missing is made again.
+/// Delay before the list is requested again if it is incomplete, usually because it lacks the
+/// node's own record.
 const LIST_AGAIN_PAUSE: Duration = Duration::from_millis(500);
-/// Lists that may be old before one is made that is not.
+/// Number of incomplete lists after which the node requests one that may not be stale.
 const MOST_OLD_LISTS: u32 = 8;
-/// Time for each other node over which nodes that have no configuration spread their reads of it. Nodes that
-/// start at the same moment get it from the first of them that reads.
+/// Time per other node over which nodes without a configuration spread their reads of it. Nodes
+/// that start at the same moment receive it from the first of them that reads it.
 const READ_PACE: Duration = Duration::from_millis(2);
-/// Longest time for which a node without a configuration waits for peers after its list.
+/// Maximum time for which a node without a configuration waits for its peers after its list.
 const LONGEST_READ_PAUSE: Duration = Duration::from_secs(2);
-/// The same after its start if it gets no list.
+/// Time after its start at which a node reads the configuration even if it has received no list.
 const READ_WITHOUT_LIST: Duration = Duration::from_secs(3);
 
-/// Time beyond the wait of a watch after which a node does not say any more that it watches.
+/// Time beyond the wait of a watch after which a node without a reply no longer counts as watching.
 const LATE_ANSWER: Duration = Duration::from_millis(600);
 
-/// Share of the store's rate of writing calls that the nodes of a deployment use when they write their records again:
-/// all hear of the store's return at nearly the same moment.
+/// Fraction of the store's write rate that the nodes of a deployment use together to write their
+/// records again: the restore of the store becomes known to all of them at nearly the same moment.
 const REGISTRATION_RATE_SHARE: f64 = 0.75;
 
-/// What a node knows of the configuration's place in the store.
+/// State of the node's watch of the configuration.
 #[derive(Clone, Copy, Debug, Default)]
 struct Watch {
-    /// Position to go on from; `None` before the first read and after the history was forgotten.
+    /// Position to continue from; `None` before the first read and after the position has expired.
     position: Option<StorePosition>,
-    /// Version of the configuration that the store has held there; 0 for none.
+    /// Version of the configuration that the store held at `position`; 0 for none.
     version: u64,
-    /// Time for which the watch waits; `None` if the node need not watch.
+    /// Time for which a watch request waits; `None` if the node need not watch.
     wait: Option<Duration>,
-    /// When the node began to watch, or heard of the store last.
+    /// Start of the watch or time of the last reply; `None` after a failed request.
     fresh_since: Option<Instant>,
-    /// Proof by the last call whose answer tells the newest configuration.
+    /// Proof from the last reply that established the newest configuration.
     proof: Option<StoreProof>,
 }
 
-/// Which configuration was the newest one in the store.
+/// Proof of which configuration was the newest one in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreProof {
-    /// When the call was made that has shown it.
+    /// When the request was sent whose reply is the proof.
     pub at: Instant,
     /// Version of the configuration; 0 for none.
     pub version: u64,
@@ -89,31 +95,31 @@
     }
 }
 
-/// Calls of one node to the store.
+/// State of one node's requests to the store.
 #[derive(Clone, Debug)]
 pub struct StoreSync {
     record: NodeRecord,
-    /// Highest epoch that any answer or peer has told of.
+    /// Highest epoch reported by the store or a peer; `None` if there was no report.
     epoch: Option<StoreEpoch>,
-    /// Whether the record may have been lost with the last return of the store.
+    /// Whether the record may have been lost when the store was restored.
     is_registration_due: bool,
-    /// Whether the back end is gone for good, and the record with it.
+    /// Whether the back end has left for good, so that the record has to be removed.
     is_leaving: bool,
     /// Whether the whole deployment starts for the first time.
     is_first_start: bool,
-    /// Writing calls a second that the store takes from all nodes together.
+    /// Write requests per second that the store accepts from all nodes together.
     writes_per_second: f64,
-    /// About how many nodes there are.
+    /// Estimated number of nodes.
     nodes: usize,
-    /// Whether the record was new to the store.
+    /// Whether the store held no record of this node before it registered.
     is_new: bool,
-    /// Whether a list that can be relied on was read.
+    /// Whether a complete list was received.
     has_listed: bool,
-    /// How many records are wanted.
+    /// How many records to request.
     extent: ListExtent,
-    /// Lists in which the own record was missing.
+    /// Number of incomplete lists received.
     old_lists: u32,
-    /// Whether a configuration is in force here.
+    /// Whether a configuration is in force on this node.
     has_configuration: bool,
     ids: u64,
     configuration: Chain,
@@ -122,8 +128,9 @@
 }
 
 impl StoreSync {
-    /// Creates the calls of a fresh node. `is_first_start` says whether all other nodes start now as well, for the
-    /// first time; `writes_per_second` is what the store takes from all nodes together.
+    /// Creates the state of a node that starts. `is_first_start` says whether all other nodes start
+    /// at the same time, for the first time; `writes_per_second` is the write rate that the store
+    /// accepts from all nodes together.
     pub fn new(
         now: Instant,
         record: NodeRecord,
@@ -152,7 +159,7 @@
         }
     }
 
-    /// Returns the calls that are due.
+    /// Returns the requests that are due.
     pub fn poll(&mut self, now: Instant) -> Vec<(StoreRequestId, StoreRequest)> {
         let ids = &mut self.ids;
         let configuration = self.configuration.take_due(now, ids);
@@ -167,8 +174,9 @@
         configuration.into_iter().chain(membership).min()
     }
 
-    /// Begins or ends the watch: `wait` is how long each call waits, `None` if the node need not
-    /// watch. A call that is under way goes on. Returns whether the watch has begun or ended.
+    /// Starts or stops the watch: `wait` is the time for which each request waits, `None` if the
+    /// node need not watch. A request in flight is not cancelled. Returns whether the watch was
+    /// started or stopped.
     pub fn set_watch(&mut self, now: Instant, wait: Option<Duration>) -> bool {
         let before = std::mem::replace(&mut self.watch.wait, wait);
         let begins = wait.is_some() && before.is_none();
@@ -181,7 +189,7 @@
         before.is_some() != wait.is_some()
     }
 
-    /// Returns the next call about the configuration, if one is needed.
+    /// Returns the next request for the configuration, if one is needed.
     fn next_call(&self) -> Option<StoreRequest> {
         match (self.watch.position, self.watch.wait) {
             (Some(after), Some(wait)) => Some(StoreRequest::WatchConfiguration { after, wait }),
@@ -193,7 +201,8 @@
         }
     }
 
-    /// Lists all nodes: the node must agree with all others on something that follows from their names.
+    /// Requests a list of all nodes. It is needed where all nodes must derive the same result from
+    /// the names of all nodes.
     pub fn request_full_list(&mut self, now: Instant) {
         if self.extent == ListExtent::Whole {
             return;
@@ -208,7 +217,7 @@
         }
     }
 
-    /// Takes in that a configuration is in force: it need not be read any more.
+    /// Records that a configuration is in force, so that it no longer needs to be read.
     pub fn on_configuration_in_force(&mut self) {
         self.has_configuration = true;
         if self.watch.wait.is_none() {
@@ -216,33 +225,34 @@
         }
     }
 
-    /// Returns whether a list of nodes was read that can be relied on.
+    /// Returns whether a complete list of nodes was received.
     pub const fn has_listed(&self) -> bool {
         self.has_listed
     }
 
-    /// Returns when the store was last heard of, by a node that watches it.
+    /// Returns the time of the last contact with the store; `None` if the node does not watch it.
     pub fn last_contact_at(&self, now: Instant) -> Option<Instant> {
         self.watch.fresh_since.filter(|_| self.is_watching(now))
     }
 
-    /// Returns whether the node watches the configuration and has lately heard of the store.
+    /// Returns whether the node watches the configuration and has a recent contact with the store.
     pub fn is_watching(&self, now: Instant) -> bool {
         self.watch.position.is_some() && self.watch.is_fresh(now)
     }
 
-    /// Returns what the last answer has proved of the newest configuration, and forgets it.
+    /// Takes the proof of the newest configuration that the last reply has provided, if any.
     pub const fn take_proof(&mut self) -> Option<StoreProof> {
         self.watch.proof.take()
     }
 
-    /// Returns the highest epoch of the store that is known, if any answer or peer has told one.
+    /// Returns the highest epoch reported by the store or a peer; `None` if there was no report.
     pub const fn epoch(&self) -> Option<StoreEpoch> {
         self.epoch
     }
 
-    /// Takes in that the store has reached an epoch. Returns whether it has come back from a copy since the
-    /// node heard of it first: then what rested on earlier epochs is void.
+    /// Records an epoch of the store. Returns whether it is higher than an epoch recorded before,
+    /// which means that the store was restored from a backup: state that relies on earlier epochs
+    /// is then invalid.
     pub fn observe_epoch(&mut self, now: Instant, epoch: StoreEpoch) -> bool {
         let before = self.epoch;
         self.epoch = before.max(Some(epoch));
@@ -255,7 +265,8 @@
         has_returned
     }
 
-    /// Drops the position that belongs to an earlier epoch; a watch that is to be made from it becomes a read.
+    /// Drops the position, which belongs to an earlier epoch. A scheduled watch from it becomes a
+    /// read.
     fn forget_position(&mut self) {
         self.watch.position = None;
         self.watch.proof = None;
@@ -264,8 +275,9 @@
         }
     }
 
-    /// Writes the record again once no other call about it is under way. A list that was to be made waits: it would be
-    /// made in vain as long as the own record is missing.
+    /// Schedules another write of the record if one is due, none is scheduled yet, and no request
+    /// of the same sequence is in flight. It replaces a scheduled list, which would be incomplete
+    /// as long as the node's own record is missing.
     fn register_again_when_idle(&mut self, now: Instant) {
         let is_planned = matches!(
             self.membership.next,
@@ -280,8 +292,9 @@
         self.membership.proceed(due, Some(self.registration()));
     }
 
-    /// Returns the call that lists nodes. A newcomer asks for the newest state, so that it is known soon; in all other
-    /// cases the list is young enough if it holds the own record.
+    /// Returns the request for a list of nodes. A node that joins a running deployment requests the
+    /// newest state, so that it becomes known to its peers soon. In all other cases a list is
+    /// recent enough if it contains the node's own record.
     fn list(&self) -> StoreRequest {
         let is_newcomer = self.is_new && !self.is_first_start;
         StoreRequest::ListNodes {
@@ -300,7 +313,7 @@
             }
         );
         self.nodes = list.estimated_nodes(watcher_election::name_hash(&self.record.name));
-        // One that was under way when all nodes came to be wanted may be a part.
+        // A list that was in flight when all nodes were requested may be partial.
         let is_enough = self.extent == ListExtent::Part || list.successors.is_none();
         let is_complete = is_enough && (is_newest || list.holds(&self.record));
         if is_complete {
@@ -315,7 +328,7 @@
         StoreEvent::Nodes { list, is_complete }
     }
 
-    /// Plans a read of the configuration for the case that no peer tells one.
+    /// Schedules a read of the configuration in case no peer sends it.
     fn read_when_nobody_tells(&mut self, now: Instant) {
         if self.has_configuration || self.configuration.under_way.is_some() {
             return;
@@ -334,18 +347,18 @@
         StoreRequest::Register(self.record.clone())
     }
 
-    /// Returns whether a call is under way that would bring a newer configuration.
+    /// Returns whether a request is in flight that may return a newer configuration.
     pub const fn has_configuration_call_in_flight(&self) -> bool {
         self.configuration.under_way.is_some()
     }
 
-    /// Removes the node's record: its back end is gone for good.
+    /// Schedules the removal of the node's record: its back end has left for good.
     pub fn unregister(&mut self, now: Instant) {
         self.is_leaving = true;
         self.membership.proceed(now, Some(self.registration()));
     }
 
-    /// Takes in an answer.
+    /// Handles a reply of the store.
     pub fn on_reply(
         &mut self,
         now: Instant,
@@ -363,14 +376,15 @@
         news
     }
 
-    /// Turns an answer of an earlier epoch into a failure: the store has come back from a copy since.
+    /// Turns a reply from an earlier epoch into a failure: the store was restored from a backup
+    /// since.
     fn refuse_outdated(&self, reply: StoreReply) -> StoreReply {
         if reply.epoch().is_none_or(|epoch| Some(epoch) >= self.epoch) {
             return reply;
         }
         StoreReply::Failed(StoreFailure {
             code: ResultCode::StoreUnavailable,
-            detail: "answer of an earlier epoch".to_owned(),
+            detail: "reply from an earlier epoch of the store".to_owned(),
         })
     }
 
@@ -394,8 +408,8 @@
                 self.configuration.proceed(now, self.next_call());
                 None
             }
-            // A watch that broke off goes on from its position: nothing is missed, or the store says
-            // that it has forgotten.
+            // A failed watch continues from its position, so that no change is missed. If the store
+            // no longer holds that position, it says so in its reply.
             StoreReply::Failed(failure) => {
                 self.watch.fresh_since = None;
                 let news = self.configuration.on_failure(now, request, failure);
@@ -409,8 +423,8 @@
         }
     }
 
-    /// Moves the watch on to the position of an answer. A watch from a position of an earlier epoch has missed
-    /// what was written between: the configuration has to be read.
+    /// Advances the watch to the position of a reply. A watch from a position of an earlier epoch
+    /// has missed the writes in between, so the configuration has to be read again.
     fn advance(
         &mut self,
         now: Instant,
@@ -467,7 +481,7 @@
     }
 }
 
-/// Returns the place of a node as a share of all places.
+/// Returns the name hash of a node as a fraction of the range of hashes.
 fn place_share(name: &str) -> f64 {
     watcher_election::name_hash(name) as f64 / u64::MAX as f64
 }
--- a/crates/rillgap-forward/src/watch_relay.rs
+++ b/crates/rillgap-forward/src/watch_relay.rs
@@ -1,9 +1,9 @@
-//! News of the store, passed on from the nodes that watch it to all others.
+//! Relays the age of the last contact with the store from the nodes that watch it to all others.
 //!
-//! A watch that is answered shows that its node would have heard of a change. Each node follows some nodes that
-//! precede it in the order of watchers, and passes on the freshest news that it has to those that follow it.
-//! News keep the age of the answer they began with, and go only from preceding to following nodes: they cannot
-//! run in circles and seem younger than they are.
+//! An answered watch proves that its node would have received a change. Each node follows some
+//! nodes that precede it in the order of watchers, and forwards the latest contact that it knows to
+//! its own followers. A report states the age of the original answer, and reports are sent only
+//! from preceding to following nodes: they cannot circulate and appear more recent than they are.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,40 +12,44 @@
 
 use crate::id::LinkId;
 
-/// Age up to which news count: a watch that is answered each second is told on within some milliseconds.
+/// Age below which a contact is recent: a watch is answered each second, and its report reaches the
+/// followers within some milliseconds.
 const FRESH: Duration = Duration::from_millis(1_600);
-/// Least advance with which news are passed on: those of a second watcher with nearly the same age are not.
+/// Minimum advance of the latest contact for which a report is sent; suppresses reports of a second
+/// watcher whose contact has nearly the same age.
 const LEAST_ADVANCE: Duration = Duration::from_millis(300);
-/// Time after which a node that has no fresh news says so again, as a sign of life.
+/// Interval at which a node without a recent contact repeats this report, as a keepalive.
 const NO_NEWS_INTERVAL: Duration = Duration::from_millis(700);
 
-/// What a followed node has told last.
+/// Last report of a followed node.
 #[derive(Clone, Copy, Debug)]
 struct Report {
-    /// When it has told.
+    /// When the report arrived.
     told_at: Instant,
-    /// When a watching node had heard of the store; `None` if the followed one knows of none lately.
+    /// When a watching node had contact with the store; `None` if the followed node has no recent
+    /// contact.
     heard_at: Option<Instant>,
 }
 
-/// News of the store that a node has from those that it follows, and what it has told its followers.
+/// Contacts with the store that followed nodes have reported, and what was reported to followers.
 #[derive(Clone, Debug, Default)]
 pub struct WatchRelay {
     reports: BTreeMap<LinkId, Report>,
     followers: BTreeSet<LinkId>,
-    /// News that the followers were told last, and when.
+    /// When the last report was sent to the followers, and the contact that it stated.
     told: Option<(Instant, Option<Instant>)>,
 }
 
 impl WatchRelay {
-    /// Takes in what a followed node tells: the age of its news, `None` if it has no fresh ones.
+    /// Records a report of a followed node: the age of its latest contact, `None` if none is
+    /// recent.
     pub fn on_contact_report(&mut self, now: Instant, link: LinkId, age: Option<Duration>) {
         let heard_at = age.map(|age| now - age);
         let told_at = now;
         self.reports.insert(link, Report { told_at, heard_at });
     }
 
-    /// Takes in that the peer on a link follows this node, or does not any more.
+    /// Records whether the peer on a link follows this node.
     pub fn set_follower(&mut self, link: LinkId, follows: bool) {
         if follows {
             self.followers.insert(link);
@@ -54,24 +58,24 @@
         }
     }
 
-    /// Takes in that the node does not follow the peer on a link any more.
+    /// Records that this node no longer follows the peer on a link.
     pub fn unfollow(&mut self, link: LinkId) {
         self.reports.remove(&link);
     }
 
-    /// Takes in that a link has ended.
+    /// Removes the state of a link that has ended.
     pub fn link_ended(&mut self, link: LinkId) {
         self.reports.remove(&link);
         self.followers.remove(&link);
     }
 
-    /// Returns whether the peer on a link has told fresh news.
+    /// Returns whether the peer on a link has reported a recent contact.
     pub fn is_fresh(&self, now: Instant, link: LinkId) -> bool {
         let report = self.reports.get(&link);
         report.is_some_and(|report| is_fresh(now, report.heard_at))
     }
 
-    /// Returns the number of followed nodes with fresh news.
+    /// Returns the number of followed nodes with a recent contact.
     pub fn fresh_count(&self, now: Instant) -> usize {
         let reports = self.reports.values();
         reports
@@ -79,19 +83,20 @@
             .count()
     }
 
-    /// Returns whether a followed node has told anything of late.
+    /// Returns whether a report of any followed node arrived recently.
     pub fn has_recent_report(&self, now: Instant) -> bool {
         let mut reports = self.reports.values();
         reports.any(|report| now.saturating_since(report.told_at) < FRESH)
     }
 
-    /// Returns the age of the news for a new follower.
+    /// Returns the age of the latest contact, for the first report to a new follower. `own` is this
+    /// node's own last contact with the store, if it watches it.
     pub fn contact_age(&self, now: Instant, own: Option<Instant>) -> Option<Duration> {
         self.news(now, own).map(|at| now.saturating_since(at))
     }
 
-    /// Returns the followers and the age of the news that they are to be told now, if they are. `own` is when the
-    /// node itself has heard of the store, if it watches it.
+    /// Returns the followers and the age of the latest contact if a report to them is due. `own` is
+    /// this node's own last contact with the store, if it watches it.
     pub fn take_due(
         &mut self,
         now: Instant,
--- a/crates/rillgap-forward/src/watcher_election.rs
+++ b/crates/rillgap-forward/src/watcher_election.rs
@@ -1,55 +1,59 @@
-//! Which nodes watch the store for the others.
+//! Elects the nodes that watch the store for the others.
 //!
-//! Calls to the store are priced, and a watch by every node costs one call a node for each change and
-//! each renewal. The nodes therefore have an order that all agree on without talking, since it follows from
-//! their names, and each follows two nodes that precede it (see [`watch_relay`](crate::watch_relay)): while these
-//! have fresh news of the store, from their own watch or by those that they follow, it need not watch. So the first
-//! two nodes of the order watch, however many there are.
+//! Requests to the store cost money, and if every node watched it, each change and each renewal of
+//! a watch would cost one request per node. All nodes therefore agree on an order without
+//! communication, since it is that of the hashes of their names, and each node follows two nodes
+//! that precede it (see [`watch_relay`](crate::watch_relay)). While these have a recent contact
+//! with the store, by their own watch or through the nodes that they follow, the node need not
+//! watch. The first two nodes of the order thus watch, however many nodes there are.
 //!
-//! When the news stop, the first nodes of the order take over, and more of them the longer it lasts: if the
-//! store is away for all, few nodes call it meanwhile. A node that does not even hear of those that precede it
-//! may be cut off from them, and watches for itself.
+//! When recent contacts cease, the first nodes of the order take over, and more of them the longer
+//! this lasts: if the store is unreachable for all nodes, only few of them call it meanwhile. A
+//! node that receives no reports from the nodes that precede it may be partitioned from them, and
+//! watches the store itself.
 
 use std::time::Duration;
 
 use rillgap_core::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Nodes with fresh news that a node follows, so that it need not watch.
+/// Number of followed nodes with a recent contact at which a node need not watch.
 const ENOUGH_WATCHERS: usize = 2;
-/// Nodes that take over first when the news stop: so many that the store hardly refuses all of them, and no more
-/// however many nodes there are.
+/// Number of nodes that take over first when recent contacts cease: so many that the store is
+/// unlikely to reject all of them, and no more in a larger deployment.
 const FIRST_TO_TAKE_OVER: u64 = 16;
-/// Time by which each of them lets the one before it go ahead.
+/// Delay of each of these nodes relative to the preceding one.
 const TAKE_OVER_STEP: Duration = Duration::from_millis(20);
-/// Time in which the number of those that may take over doubles.
+/// Time in which the number of nodes that may take over doubles.
 const TAKE_OVER_DOUBLES: Duration = Duration::from_secs(1);
-/// Time for which a watch waits. One whose connection has silently died is noticed when it is over, so the bound
-/// on a configuration's way to all nodes depends on it.
+/// Time for which a watch request waits. A watch on a dead connection is detected only after this
+/// time, so the bound on how soon a configuration reaches all nodes depends on it.
 const WAIT: Duration = Duration::from_secs(1);
-/// Time after its start in which a node does not watch yet: links are up by then, so it hears of those
-/// that precede it.
+/// Time after its start during which a node does not watch: by its end links are open, and the node
+/// has received reports from the nodes that precede it.
 const START_PATIENCE: Duration = Duration::from_millis(1_500);
-/// Longest time after which a node that hears of nobody watches; the nodes of a part that is cut off differ in it.
+/// Maximum delay after which a node that receives no reports watches. The delay differs between the
+/// nodes of a partition.
 const ALONE_STAGGER: Duration = Duration::from_millis(300);
 
-/// Returns the place of a node in the order; the lowest watches first.
+/// Returns the hash of a node's name, which determines the order: the node with the lowest hash
+/// watches first.
 pub fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// What a node sees of those that precede it in the order.
+/// State of the nodes that precede this one in the order, in its own view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrecedingNodes {
-    /// Followed ones that have fresh news of the store.
+    /// Number of followed nodes that have a recent contact with the store.
     pub fresh_count: usize,
-    /// Whether any of the followed ones was heard of late.
+    /// Whether a report of any followed node arrived recently.
     pub has_recent_report: bool,
-    /// All that are known.
+    /// Number of all known preceding nodes.
     pub known_count: u64,
 }
 
-/// Whether a node watches the store.
+/// Decides whether a node watches the store.
 #[derive(Clone, Debug)]
 pub struct WatcherElection {
     name_hash: u64,
@@ -58,7 +62,7 @@
 }
 
 impl WatcherElection {
-    /// Creates the duty of a fresh node.
+    /// Creates the state of a node that starts.
     pub fn new(name: &str) -> Self {
         Self {
             name_hash: name_hash(name),
@@ -67,12 +71,13 @@
         }
     }
 
-    /// Returns the node's place in the order.
+    /// Returns the hash of the node's name.
     pub const fn name_hash(&self) -> u64 {
         self.name_hash
     }
 
-    /// Returns for how long the node's watch is to wait; `None` if it need not watch.
+    /// Returns the time for which each watch request of the node waits; `None` if it need not
+    /// watch.
     pub fn update(&mut self, now: Instant, preceding: PrecedingNodes) -> Option<Duration> {
         if preceding.fresh_count >= ENOUGH_WATCHERS {
             self.needed_since = None;
@@ -96,7 +101,7 @@
     }
 }
 
-/// Returns how many nodes may take over after a time without news.
+/// Returns how many nodes may take over after a time without recent contacts.
 fn may_take_over(needed_for: Duration) -> u64 {
     let doublings = needed_for.as_micros() / TAKE_OVER_DOUBLES.as_micros();
     let doublings = u32::try_from(doublings).unwrap_or(u32::MAX);
--- a/crates/rillgap-forward/tests/freshness.rs
+++ b/crates/rillgap-forward/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! How long a configuration is trusted without a new proof.
+//! How long a node relies on its configuration without a new proof.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
 fn word_of_a_peer_counts_from_the_question_not_from_the_answer() {
     let mut freshness = Freshness::new(Some(REVOCATION));
     let number = freshness.begin_query(at(1_000));
-    // The answer has lain in a socket for three seconds.
+    // The answer has waited in a socket for three seconds.
     freshness.on_answer(number, 7, millis(500), 7);
     expect_that!(freshness.proof_age(at(4_000)), some(eq(millis(3_500))));
 }
--- a/crates/rillgap-forward/tests/rate_limit.rs
+++ b/crates/rillgap-forward/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants: buckets at their owners, tokens at the entries.
+//! Rate limits of tenants: token buckets at their owners, admission on the entry nodes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -65,7 +65,7 @@
     expect_that!(granted(&mut buckets, 60_000, 40).wait_millis, gt(0));
 }
 
-/// Asks for what an entry wants and hands in what the bucket gives; returns the requests let go.
+/// Grants the tokens that an entry node demands from the buckets; returns the requests that go on.
 fn exchange(entry: &mut EntryLimiter<u32>, buckets: &mut Buckets, now: u64) -> Vec<u32> {
     let mut let_go = Vec::new();
     for wanted in entry.queries_due(at(now)) {
@@ -146,7 +146,7 @@
     entry.admit(at(1_000), TENANT, 1);
     let first = entry.queries_due(at(1_000)).remove(0);
     let second = entry.queries_due(at(1_100)).remove(0);
-    // The second question is answered first, by another owner.
+    // The second query is answered first, by another owner.
     entry.on_grant(at(1_110), TENANT, second.number, 2, 0);
     entry.on_grant(at(1_120), TENANT, first.number, 5, 0);
     let late = at(1_350);
@@ -209,7 +209,7 @@
     expect_that!(owned.len(), eq(10));
 }
 
-/// Draws numbers that follow from a seed.
+/// Deterministic random numbers from a seed.
 struct Draw(u64);
 
 impl Draw {
@@ -222,8 +222,9 @@
     }
 }
 
-/// The bound of `docs/design/tenants.md`: in each window no more requests pass than came into the bucket
-/// in the window, its burst, and what came in while a token lives.
+/// Checks the bound of `docs/design/tenants.md`: in any window, no more requests pass than the
+/// tokens added to the bucket in it, the burst, and the tokens added during the lifetime of a
+/// token.
 #[gtest]
 fn sum_over_all_entries_stays_within_the_bound_whatever_owners_are_lost() {
     const WINDOW: u64 = 5_000;
@@ -236,7 +237,7 @@
         let mut in_flight: Vec<(u64, usize, u64, Grant)> = Vec::new();
         for now in 0..20_000 {
             if draw.below(2_000) == 0 {
-                // The owner is lost and its successor, which knows nothing, takes over.
+                // The owner is lost, and its successor takes over without its state.
                 buckets = Buckets::default();
                 owned_since = now;
             }
@@ -249,7 +250,7 @@
             for wanted in entries[entry].queries_due(at(now)) {
                 let since = at(owned_since);
                 let grant = buckets.grant(at(now), TENANT, LIMIT, since, wanted.tokens);
-                // Answers take any time, and some are lost.
+                // Answers take a random time, and some are lost.
                 if draw.below(10) > 0 {
                     let arrives = now + draw.below(400);
                     in_flight.push((arrives, entry, wanted.number, grant));
--- a/crates/rillgap-forward/tests/store_return.rs
+++ b/crates/rillgap-forward/tests/store_return.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from a copy: what rests on an earlier epoch does not hold any more.
+//! A store that is restored from a backup: state that relies on an earlier epoch is invalid.
 
 mod support;
 
@@ -19,10 +19,10 @@
 const BEFORE: StoreEpoch = StoreEpoch(3);
 const AFTER: StoreEpoch = StoreEpoch(4);
 const WAIT: Duration = Duration::from_secs(1);
-/// Nodes of a large deployment, and the writing calls a second that its store takes.
+/// Nodes of a large deployment, and the write rate of its store.
 const NODES: usize = 1_900;
 const FLEET_WRITES: f64 = 3_200.0;
-/// Time within which the records are to be complete again, in milliseconds.
+/// Time within which all records must be written again, in milliseconds.
 const COMPLETE_WITHIN: u64 = 2_000;
 
 fn configured(epoch: StoreEpoch, revision: u64, version: Option<u64>) -> StoreReply {
@@ -39,10 +39,10 @@
     }
 }
 
-/// A node's calls after its start in [`BEFORE`], while it watches from revision 40.
+/// Requests of a node that has started in [`BEFORE`] and watches from revision 40.
 struct Calls {
     store: StoreSync,
-    /// Calls without an answer yet.
+    /// Unanswered requests.
     open: Vec<StoreRequestId>,
 }
 
@@ -78,13 +78,14 @@
         self.store.on_reply(now, id, reply);
     }
 
-    /// Answers the watch that is under way.
+    /// Answers the watch in flight.
     fn answer_watch(&mut self, now: Instant, reply: StoreReply) {
-        let watch = self.open.pop().expect("a watch that waits");
+        let watch = self.open.pop().expect("a watch in flight");
         self.reply(now, watch, reply);
     }
 
-    /// Makes the calls that are due and answers those that `answer` knows; returns them all.
+    /// Sends the requests that are due, and replies to those for which `answer` returns a reply;
+    /// returns all of them.
     fn step(
         &mut self,
         now: Instant,
@@ -101,7 +102,8 @@
     }
 }
 
-/// Lets a store return while a node watches; returns the calls of the next two seconds, each answered in [`AFTER`].
+/// Restores the store while a node watches it; returns the requests of the next two seconds, each
+/// answered in [`AFTER`].
 fn calls_after_return(epoch: StoreEpoch) -> Vec<StoreRequest> {
     let mut calls = Calls::watching();
     calls.store.observe_epoch(at(100), epoch);
@@ -158,7 +160,7 @@
         store.on_reply(at(0), id, nodes);
         store.on_configuration_in_force();
         store.observe_epoch(at(0), AFTER);
-        let due = store.next_wake().expect("a call");
+        let due = store.next_wake().expect("a scheduled request");
         by_tenth[(due.as_micros() / 100_000) as usize] += 1;
     }
     expect_that!(by_tenth, each(le(FLEET_WRITES as u64 / 10)));
@@ -186,7 +188,8 @@
     expect_that!(again, contains(eq(&StoreRequest::ReadConfiguration)));
 }
 
-/// A node that knows [`BEFORE`] by the store and has version 7 in force, with a link to a peer.
+/// A node that has received [`BEFORE`] from the store and has version 7 in force, with a link to a
+/// peer.
 fn node_with_peer() -> (TestNode, LinkId) {
     let mut test = TestNode::fresh("logbok");
     test.answer_store(
@@ -218,7 +221,7 @@
     (test, link)
 }
 
-/// The same node after the return, when it has read the copy, which holds version 6.
+/// The same node after the restore, when it has read the backup, which contains version 6.
 fn node_that_reads_the_copy() -> TestNode {
     let (mut test, link) = node_with_peer();
     let message = LinkMessage::StoreEpoch(AFTER);
--- a/crates/rillgap-forward/tests/watch.rs
+++ b/crates/rillgap-forward/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Which nodes watch the store for the others.
+//! Election of the nodes that watch the store for the others.
 
 mod support;
 
@@ -18,7 +18,7 @@
 /// Name of the node under test.
 const OWN: &str = "own";
 
-/// Time after its start at which a node that hears of nobody watches at the latest, in milliseconds.
+/// Maximum time after its start at which a node that receives no reports watches, in milliseconds.
 const STARTED: u64 = 3_000;
 
 fn preceding(fresh_count: usize, known_count: u64) -> PrecedingNodes {
@@ -29,7 +29,7 @@
     }
 }
 
-/// The duty of a node that has had news for a while, which stop now.
+/// State of a node that has followed nodes with recent contacts, which now cease.
 fn duty_without_news() -> WatcherElection {
     let mut duty = WatcherElection::new(OWN);
     duty.update(at(0), preceding(2, 500));
@@ -106,7 +106,7 @@
     hello(name, last, serving(SERVICE), 1)
 }
 
-/// Lets a followed peer tell that it has heard of the store just now, or that it does not any more.
+/// Reports that a followed peer has contact with the store now, or that it has no recent contact.
 fn report(test: &mut TestNode, link: LinkId, is_watching: bool) {
     let message = LinkMessage::StoreContact(is_watching.then_some(0));
     test.event(Event::Link { link, message });
@@ -139,7 +139,7 @@
     })
 }
 
-/// Lets time pass while the watchers report.
+/// Advances the time while the watchers report.
 fn pass_with_reports(test: &mut TestNode, links: &[LinkId], millis: u64) {
     for _ in 0..millis / 500 {
         test.pass(500);
@@ -200,7 +200,7 @@
     expect_that!(test.actions.iter().filter(|a| query(a)).count(), eq(2));
 }
 
-/// The store's side of a watch.
+/// A store client with a watch in flight, and the request of this watch.
 fn watching_store() -> (StoreSync, StoreRequestId) {
     let mut store = StoreSync::new(at(0), settings(OWN, SERVICE).record, false, WRITES);
     store.set_watch(at(0), Some(WAIT));
