--- a/crates/rillgap-forward/src/freshness.rs
+++ b/crates/rillgap-forward/src/freshness.rs
@@ -18,20 +18,20 @@
 use rillgap_core::time::Instant;
 
 /// Fraction of the bound that is reserved for clock drift and the time steps of the driver.
-const MARGIN_SHARE: f64 = 0.05;
+const SAFETY_MARGIN_FRACTION: f64 = 0.05;
 /// Fraction of the bound after which a proof is renewed by queries to peers; the rest of the bound
 /// leaves time for several attempts.
-const RENEW_SHARE: f64 = 0.12;
+const RENEW_FRACTION: f64 = 0.12;
 /// Fraction of the bound after which more peers are queried at once.
-const URGENT_SHARE: f64 = 0.45;
+const URGENT_FRACTION: f64 = 0.45;
 /// Number of peers that are queried at a time: normally, and when the proof is old.
-const WIDTH: (usize, usize) = (1, 4);
+const QUERY_FANOUT: (usize, usize) = (1, 4);
 /// Time after which another peer is queried.
-const QUERY_PATIENCE: Duration = Duration::from_millis(250);
+const QUERY_INTERVAL: Duration = Duration::from_millis(250);
 /// Time after which an answer is no longer accepted.
-const QUERY_LIFE: Duration = Duration::from_secs(5);
+const QUERY_LIFETIME: Duration = Duration::from_secs(5);
 /// Maximum wait of a watch of the store, as a fraction of the bound.
-const WATCH_SHARE: f64 = 0.14;
+const MAX_WATCH_FRACTION: f64 = 0.14;
 
 /// Number of a query to a peer; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -60,10 +60,10 @@
 #[derive(Clone, Debug)]
 pub struct Freshness {
     /// Age below which a proof is valid; `None` if no proof is required.
-    bound: Option<Duration>,
+    max_proof_age: Option<Duration>,
     proven_at: Option<ProofTime>,
     /// Proof of a version that is not yet in force on this node.
-    ahead: Option<(u64, ProofTime)>,
+    pending_proof: Option<(u64, ProofTime)>,
     queries: BTreeMap<QueryNumber, Instant>,
     next_query: u64,
     queried_at: Option<Instant>,
@@ -76,9 +76,10 @@
     /// proof is required.
     pub fn new(revocation: Option<Duration>) -> Self {
         Self {
-            bound: revocation.map(|revocation| revocation.mul_f64(1.0 - MARGIN_SHARE)),
+            max_proof_age: revocation
+                .map(|revocation| revocation.mul_f64(1.0 - SAFETY_MARGIN_FRACTION)),
             proven_at: None,
-            ahead: None,
+            pending_proof: None,
             queries: BTreeMap::new(),
             next_query: 0,
             queried_at: None,
@@ -87,8 +88,8 @@
 
     /// Returns whether requests with keys may be served.
     pub fn is_proven(&self, now: Instant) -> bool {
-        self.bound
-            .is_none_or(|bound| self.proof_age(now).is_some_and(|age| age < bound))
+        self.max_proof_age
+            .is_none_or(|max_age| self.proof_age(now).is_some_and(|age| age < max_age))
     }
 
     /// Returns the age of the proof; `None` if there is none.
@@ -99,28 +100,35 @@
     /// Returns the maximum wait of a watch of the store, whose answer proves nothing later than its
     /// start; `None` if no proof is required.
     pub fn max_watch_wait(&self) -> Option<Duration> {
-        self.bound.map(|bound| bound.mul_f64(WATCH_SHARE))
+        self.max_proof_age
+            .map(|max_age| max_age.mul_f64(MAX_WATCH_FRACTION))
     }
 
-    /// Records that `version` was the newest one at a time. `own` is the version in force on this
-    /// node.
-    pub fn record_proof(&mut self, at: Instant, version: u64, own: u64) {
-        self.take(ProofTime::of(at, Duration::ZERO), version, own);
+    /// Records that `version` was the newest one at a time. `own_version` is the version in force
+    /// on this node.
+    pub fn record_proof(&mut self, at: Instant, version: u64, own_version: u64) {
+        self.apply_proof(ProofTime::of(at, Duration::ZERO), version, own_version);
     }
 
-    fn take(&mut self, at: ProofTime, version: u64, own: u64) {
-        if own >= version {
+    fn apply_proof(&mut self, at: ProofTime, version: u64, own_version: u64) {
+        if own_version >= version {
             self.proven_at = self.proven_at.max(Some(at));
-        } else if self.ahead.is_none_or(|(ahead, _)| ahead <= version) {
-            self.ahead = Some((version, at));
+        } else if self
+            .pending_proof
+            .is_none_or(|(pending, _)| pending <= version)
+        {
+            self.pending_proof = Some((version, at));
         }
     }
 
     /// Records that a version is in force on this node.
-    pub fn on_configuration_in_force(&mut self, own: u64) {
-        if let Some((version, at)) = self.ahead.filter(|(version, _)| *version <= own) {
-            self.ahead = None;
-            self.take(at, version, own);
+    pub fn on_configuration_in_force(&mut self, own_version: u64) {
+        if let Some((version, at)) = self
+            .pending_proof
+            .filter(|(version, _)| *version <= own_version)
+        {
+            self.pending_proof = None;
+            self.apply_proof(at, version, own_version);
         }
     }
 
@@ -128,24 +136,24 @@
     /// before may no longer hold.
     pub fn on_store_restored(&mut self) {
         self.proven_at = None;
-        self.ahead = None;
+        self.pending_proof = None;
         self.queries.clear();
         self.queried_at = None;
     }
 
     /// Returns how many peers to query now; `None` if no query is due.
     pub fn queries_due(&self, now: Instant) -> Option<usize> {
-        let bound = self.bound?;
-        let is_asked = self
+        let max_proof_age = self.max_proof_age?;
+        let is_queried = self
             .queried_at
-            .is_some_and(|at| now.saturating_since(at) < QUERY_PATIENCE);
-        if is_asked {
+            .is_some_and(|at| now.saturating_since(at) < QUERY_INTERVAL);
+        if is_queried {
             return None;
         }
         match self.proof_age(now) {
-            Some(age) if age < bound.mul_f64(RENEW_SHARE) => None,
-            Some(age) if age < bound.mul_f64(URGENT_SHARE) => Some(WIDTH.0),
-            _ => Some(WIDTH.1),
+            Some(age) if age < max_proof_age.mul_f64(RENEW_FRACTION) => None,
+            Some(age) if age < max_proof_age.mul_f64(URGENT_FRACTION) => Some(QUERY_FANOUT.0),
+            _ => Some(QUERY_FANOUT.1),
         }
     }
 
@@ -153,7 +161,7 @@
     pub fn begin_query(&mut self, now: Instant) -> QueryNumber {
         self.queried_at = Some(now);
         self.queries
-            .retain(|_, at| now.saturating_since(*at) < QUERY_LIFE);
+            .retain(|_, at| now.saturating_since(*at) < QUERY_LIFETIME);
         self.next_query += 1;
         let number = QueryNumber(self.next_query);
         self.queries.insert(number, now);
@@ -161,11 +169,17 @@
     }
 
     /// Handles a peer's answer: `version` was the newest one `age` before the peer answered.
-    pub fn on_answer(&mut self, number: QueryNumber, version: u64, age: Duration, own: u64) {
-        let Some(asked_at) = self.queries.get(&number).copied() else {
+    pub fn on_answer(
+        &mut self,
+        number: QueryNumber,
+        version: u64,
+        age: Duration,
+        own_version: u64,
+    ) {
+        let Some(sent_at) = self.queries.get(&number).copied() else {
             return;
         };
         // The peer answered after the query was sent, so its proof is at least this recent.
-        self.take(ProofTime::of(asked_at, age), version, own);
+        self.apply_proof(ProofTime::of(sent_at, age), version, own_version);
     }
 }
--- a/crates/rillgap-forward/src/rate_limit/bucket.rs
+++ b/crates/rillgap-forward/src/rate_limit/bucket.rs
@@ -8,10 +8,10 @@
 use crate::configuration::RateLimit;
 
 /// Time constant of the decaying average of the demand.
-const DEMAND_MEMORY: Duration = Duration::from_secs(1);
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(1);
 /// Minimum and maximum time after which a node that received too few tokens queries again, in
 /// milliseconds.
-const WAIT_MILLIS: (f64, f64) = (20.0, 1_000.0);
+const WAIT_RANGE_MILLIS: (f64, f64) = (20.0, 1_000.0);
 
 /// Reply of an owner to a query for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     tokens: f64,
-    filled_at: Instant,
+    refilled_at: Instant,
     owned_since: Instant,
     /// Tokens requested per second, a decaying average.
     demand: f64,
@@ -38,17 +38,17 @@
     fn new(owned_since: Instant) -> Self {
         Self {
             tokens: 0.0,
-            filled_at: owned_since,
+            refilled_at: owned_since,
             owned_since,
             demand: 0.0,
         }
     }
 
-    fn fill(&mut self, now: Instant, limit: RateLimit) {
-        let elapsed = now.saturating_since(self.filled_at).as_secs_f64();
-        self.filled_at = self.filled_at.max(now);
+    fn refill(&mut self, now: Instant, limit: RateLimit) {
+        let elapsed = now.saturating_since(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
         self.tokens = (self.tokens + elapsed * limit.per_second).min(limit.burst);
-        self.demand *= (-elapsed / DEMAND_MEMORY.as_secs_f64()).exp();
+        self.demand *= (-elapsed / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
     }
 }
 
@@ -70,8 +70,8 @@
         wanted: u32,
     ) -> Grant {
         let bucket = self.bucket(tenant, owned_since);
-        bucket.fill(now, limit);
-        bucket.demand += f64::from(wanted) / DEMAND_MEMORY.as_secs_f64();
+        bucket.refill(now, limit);
+        bucket.demand += f64::from(wanted) / DEMAND_TIME_CONSTANT.as_secs_f64();
         let tokens = (bucket.tokens as u32).min(wanted);
         bucket.tokens -= f64::from(tokens);
         let missing = wanted - tokens;
@@ -84,12 +84,12 @@
         // If more tokens are requested than are refilled, the wait grows by the same ratio, so that
         // each requesting node queries less often.
         let excess = (bucket.demand / limit.per_second).max(1.0);
-        let lacking = f64::from(missing) - bucket.tokens;
-        let millis = lacking.max(0.0) / limit.per_second * excess * 1_000.0;
-        let (least, longest) = WAIT_MILLIS;
+        let shortfall = f64::from(missing) - bucket.tokens;
+        let millis = shortfall.max(0.0) / limit.per_second * excess * 1_000.0;
+        let (min_wait, max_wait) = WAIT_RANGE_MILLIS;
         Grant {
             tokens,
-            wait_millis: millis.clamp(least, longest) as u32,
+            wait_millis: millis.clamp(min_wait, max_wait) as u32,
         }
     }
 
--- a/crates/rillgap-forward/src/rate_limit/entry.rs
+++ b/crates/rillgap-forward/src/rate_limit/entry.rs
@@ -9,43 +9,43 @@
 
 use rillgap_core::time::Instant;
 
-use super::TOKEN_LIFE;
+use super::TOKEN_LIFETIME;
 
 /// Maximum time for which a request waits for tokens: several round trips between zones and the
 /// time to open a link.
-const LONGEST_HOLD: Duration = Duration::from_millis(250);
+const MAX_HOLD: Duration = Duration::from_millis(250);
 /// Time after which an unanswered query is sent again.
-const QUERY_PATIENCE: Duration = Duration::from_millis(80);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(80);
 /// Period of expected demand for which tokens are prefetched; shorter than their lifetime, so that
 /// few expire unused.
-const AHEAD: Duration = Duration::from_millis(200);
+const PREFETCH_HORIZON: Duration = Duration::from_millis(200);
 /// Time constant of the decaying average of a tenant's request rate.
-const RATE_MEMORY: Duration = Duration::from_secs(1);
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(1);
 /// Time without requests after which the account of a tenant is dropped.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Minimum time after which a rejected caller is asked to retry, in milliseconds.
-const LEAST_RETRY_MILLIS: u64 = 200;
+const MIN_RETRY_AFTER_MILLIS: u64 = 200;
 
 /// Unused tokens of one grant.
 #[derive(Clone, Copy, Debug)]
-struct Tokens {
-    void_at: Instant,
-    left: u32,
+struct TokenBatch {
+    expires_at: Instant,
+    remaining: u32,
 }
 
 /// State of one tenant on this node.
 #[derive(Clone, Debug)]
 struct Account<K> {
-    tokens: VecDeque<Tokens>,
+    tokens: VecDeque<TokenBatch>,
     waiting: VecDeque<(K, Instant)>,
     /// When each unanswered query was sent, by number. Queries older than the lifetime of a token
     /// are dropped.
     queries: BTreeMap<u64, Instant>,
     /// When a query was first repeated because its predecessors had no answer; `None` once an
     /// answer has arrived.
-    silent_since: Option<Instant>,
+    unanswered_since: Option<Instant>,
     /// Time before which the owner has no tokens to grant.
-    empty_until: Instant,
+    exhausted_until: Instant,
     rate: f64,
     requested_at: Instant,
 }
@@ -56,75 +56,78 @@
             tokens: VecDeque::new(),
             waiting: VecDeque::new(),
             queries: BTreeMap::new(),
-            silent_since: None,
-            empty_until: now,
+            unanswered_since: None,
+            exhausted_until: now,
             rate: 0.0,
             requested_at: now,
         }
     }
 
     fn count_request(&mut self, now: Instant) {
-        let memory = RATE_MEMORY.as_secs_f64();
+        let time_constant = RATE_TIME_CONSTANT.as_secs_f64();
         let elapsed = now.saturating_since(self.requested_at).as_secs_f64();
-        self.rate = self.rate * (-elapsed / memory).exp() + 1.0 / memory;
+        self.rate = self.rate * (-elapsed / time_constant).exp() + 1.0 / time_constant;
         self.requested_at = now;
     }
 
     /// Drops expired tokens wherever they are in the queue: grants may arrive in another order than
     /// their queries were sent.
-    fn drop_void(&mut self, now: Instant) {
-        self.tokens.retain(|tokens| tokens.void_at > now);
+    fn drop_expired(&mut self, now: Instant) {
+        self.tokens.retain(|tokens| tokens.expires_at > now);
     }
 
     fn take(&mut self, now: Instant) -> bool {
-        self.drop_void(now);
+        self.drop_expired(now);
         // Used-up grants are kept until they expire, since a token may be returned to them.
-        let Some(tokens) = self.tokens.iter_mut().find(|tokens| tokens.left > 0) else {
+        let Some(tokens) = self.tokens.iter_mut().find(|tokens| tokens.remaining > 0) else {
             return false;
         };
-        tokens.left -= 1;
+        tokens.remaining -= 1;
         true
     }
 
     /// Records a query to the owner; returns whether an earlier query is still unanswered.
-    fn ask(&mut self, now: Instant, number: u64) -> bool {
+    fn record_query(&mut self, now: Instant, number: u64) -> bool {
         let is_repeated = !self.queries.is_empty();
         if is_repeated {
-            self.silent_since.get_or_insert(now);
+            self.unanswered_since.get_or_insert(now);
         }
         self.queries
-            .retain(|_, at| now.saturating_since(*at) < TOKEN_LIFE);
+            .retain(|_, at| now.saturating_since(*at) < TOKEN_LIFETIME);
         self.queries.insert(number, now);
         is_repeated
     }
 
     /// Returns how long a request may wait for tokens. If the owner has not answered for a while,
-    /// it is only the time that it takes to learn the name of another owner.
-    fn longest_hold(&self, now: Instant) -> Duration {
-        let silence = self.silent_since.map(|since| now.saturating_since(since));
-        match silence {
-            Some(silence) if silence >= LONGEST_HOLD => QUERY_PATIENCE,
-            _ => LONGEST_HOLD,
+    /// it is just long enough for an answer that names another owner.
+    fn max_hold(&self, now: Instant) -> Duration {
+        let unanswered_for = self
+            .unanswered_since
+            .map(|since| now.saturating_since(since));
+        match unanswered_for {
+            Some(unanswered_for) if unanswered_for >= MAX_HOLD => QUERY_TIMEOUT,
+            _ => MAX_HOLD,
         }
     }
 
-    fn left(&self) -> u32 {
-        self.tokens.iter().map(|tokens| tokens.left).sum()
+    fn remaining(&self) -> u32 {
+        self.tokens.iter().map(|tokens| tokens.remaining).sum()
     }
 
     /// Returns how many tokens to query now; `None` if no query is due.
-    fn wanted(&mut self, now: Instant) -> Option<u32> {
-        let last = self.queries.values().next_back();
-        let is_asked = last.is_some_and(|at| now.saturating_since(*at) < QUERY_PATIENCE);
-        if is_asked || now < self.empty_until {
+    fn tokens_to_query(&mut self, now: Instant) -> Option<u32> {
+        let latest_query = self.queries.values().next_back();
+        let is_query_outstanding =
+            latest_query.is_some_and(|at| now.saturating_since(*at) < QUERY_TIMEOUT);
+        if is_query_outstanding || now < self.exhausted_until {
             return None;
         }
-        self.drop_void(now);
+        self.drop_expired(now);
         let waiting = u32::try_from(self.waiting.len()).unwrap_or(u32::MAX);
-        let ahead = (self.rate * AHEAD.as_secs_f64()) as u32;
-        let left = self.left();
-        let is_due = waiting > 0 || left * 2 < ahead;
-        is_due.then(|| (waiting + ahead).saturating_sub(left).max(1))
+        let prefetch_target = (self.rate * PREFETCH_HORIZON.as_secs_f64()) as u32;
+        let remaining = self.remaining();
+        let is_due = waiting > 0 || remaining * 2 < prefetch_target;
+        is_due.then(|| (waiting + prefetch_target).saturating_sub(remaining).max(1))
     }
 }
 
@@ -157,7 +160,7 @@
 
 /// Waiting requests for which an answer of the owner has decided the admission.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Released<K> {
+pub struct ReleasedRequests<K> {
     /// Requests that have their token.
     pub granted: Vec<K>,
     /// Requests that are rejected: the tenant is at its limit.
@@ -166,12 +169,12 @@
     pub retry_after_millis: u32,
 }
 
-/// Tokens of an entry node, by tenant. `K` identifies a request.
+/// Admits requests on an entry node by their tenants' tokens. `K` identifies a request.
 #[derive(Clone, Debug)]
 pub struct EntryLimiter<K> {
     accounts: BTreeMap<String, Account<K>>,
     /// Tenants whose account has changed since the last call of [`Self::queries_due`].
-    touched: BTreeSet<String>,
+    changed: BTreeSet<String>,
     /// Tenants with waiting requests.
     waiting: BTreeSet<String>,
     next_query: u64,
@@ -182,7 +185,7 @@
     fn default() -> Self {
         Self {
             accounts: BTreeMap::new(),
-            touched: BTreeSet::new(),
+            changed: BTreeSet::new(),
             waiting: BTreeSet::new(),
             next_query: 0,
             next_sweep: Instant::default(),
@@ -202,17 +205,17 @@
         };
         account.count_request(now);
         let is_granted = account.waiting.is_empty() && account.take(now);
-        if !is_granted && now < account.empty_until {
+        if !is_granted && now < account.exhausted_until {
             return Admission::Refused {
-                retry_after_millis: retry_after(now, account.empty_until),
+                retry_after_millis: retry_after(now, account.exhausted_until),
             };
         }
         if !is_granted {
-            let until = now + account.longest_hold(now);
+            let until = now + account.max_hold(now);
             account.waiting.push_back((key, until));
             insert(&mut self.waiting, tenant);
         }
-        insert(&mut self.touched, tenant);
+        insert(&mut self.changed, tenant);
         if is_granted {
             Admission::Granted
         } else {
@@ -228,27 +231,27 @@
             if let Some(tokens) = account
                 .tokens
                 .back_mut()
-                .filter(|tokens| tokens.void_at > now)
+                .filter(|tokens| tokens.expires_at > now)
             {
-                tokens.left += 1;
+                tokens.remaining += 1;
             }
         }
     }
 
     /// Returns the demands for tokens to send to the owners.
     pub fn queries_due(&mut self, now: Instant) -> Vec<TokenDemand> {
-        let mut due: BTreeSet<String> = std::mem::take(&mut self.touched);
+        let mut due: BTreeSet<String> = std::mem::take(&mut self.changed);
         due.extend(self.waiting.iter().cloned());
-        let mut wanted = Vec::new();
+        let mut demands = Vec::new();
         for tenant in due {
             let Some(account) = self.accounts.get_mut(&tenant) else {
                 continue;
             };
-            if let Some(tokens) = account.wanted(now) {
+            if let Some(tokens) = account.tokens_to_query(now) {
                 self.next_query += 1;
                 let number = self.next_query;
-                let is_repeated = account.ask(now, number);
-                wanted.push(TokenDemand {
+                let is_repeated = account.record_query(now, number);
+                demands.push(TokenDemand {
                     number,
                     tenant,
                     tokens,
@@ -256,7 +259,7 @@
                 });
             }
         }
-        wanted
+        demands
     }
 
     /// Handles the owner's answer; returns the waiting requests for which it decides the admission.
@@ -267,24 +270,24 @@
         number: u64,
         tokens: u32,
         wait_millis: u32,
-    ) -> Option<Released<K>> {
+    ) -> Option<ReleasedRequests<K>> {
         let account = self.accounts.get_mut(tenant)?;
         // The query is no longer recorded if its answer took longer than the lifetime of a token.
-        let asked_at = account.queries.remove(&number)?;
-        account.silent_since = None;
+        let queried_at = account.queries.remove(&number)?;
+        account.unanswered_since = None;
         if tokens > 0 {
-            account.tokens.push_back(Tokens {
-                void_at: asked_at + TOKEN_LIFE,
-                left: tokens,
+            account.tokens.push_back(TokenBatch {
+                expires_at: queried_at + TOKEN_LIFETIME,
+                remaining: tokens,
             });
         }
         if wait_millis > 0 {
-            account.empty_until = now + Duration::from_millis(u64::from(wait_millis));
+            account.exhausted_until = now + Duration::from_millis(u64::from(wait_millis));
         }
-        let mut released = Released {
+        let mut released = ReleasedRequests {
             granted: Vec::new(),
             refused: Vec::new(),
-            retry_after_millis: retry_after(now, account.empty_until),
+            retry_after_millis: retry_after(now, account.exhausted_until),
         };
         while !account.waiting.is_empty() && account.take(now) {
             released
@@ -298,7 +301,7 @@
         if account.waiting.is_empty() {
             self.waiting.remove(tenant);
         }
-        insert(&mut self.touched, tenant);
+        insert(&mut self.changed, tenant);
         Some(released)
     }
 
@@ -334,9 +337,9 @@
         let wakes = self.waiting.iter().filter_map(|tenant| {
             let account = self.accounts.get(tenant)?;
             let overdue = account.waiting.front().map(|(_, until)| *until);
-            let last = account.queries.values().next_back();
-            let again = last.map(|at| *at + QUERY_PATIENCE);
-            overdue.into_iter().chain(again).min()
+            let latest_query = account.queries.values().next_back();
+            let query_again_at = latest_query.map(|at| *at + QUERY_TIMEOUT);
+            overdue.into_iter().chain(query_again_at).min()
         });
         wakes.min()
     }
@@ -345,9 +348,9 @@
         if now < self.next_sweep {
             return;
         }
-        self.next_sweep = now + IDLE;
+        self.next_sweep = now + IDLE_TIMEOUT;
         self.accounts.retain(|_, account| {
-            !account.waiting.is_empty() || now.saturating_since(account.requested_at) < IDLE
+            !account.waiting.is_empty() || now.saturating_since(account.requested_at) < IDLE_TIMEOUT
         });
     }
 }
@@ -358,8 +361,8 @@
     }
 }
 
-fn retry_after(now: Instant, empty_until: Instant) -> u32 {
-    let millis = empty_until.saturating_since(now).as_millis();
+fn retry_after(now: Instant, exhausted_until: Instant) -> u32 {
+    let millis = exhausted_until.saturating_since(now).as_millis();
     let millis = u64::try_from(millis).unwrap_or(u64::MAX);
-    u32::try_from(millis.max(LEAST_RETRY_MILLIS)).unwrap_or(u32::MAX)
+    u32::try_from(millis.max(MIN_RETRY_AFTER_MILLIS)).unwrap_or(u32::MAX)
 }
--- a/crates/rillgap-forward/src/rate_limit/mod.rs
+++ b/crates/rillgap-forward/src/rate_limit/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Each tenant's token bucket has one *owner* among the nodes ([`ownership`]). The entry nodes,
 //! which receive the tenant's requests, prefetch tokens from the owner and spend them ([`entry`]);
-//! the owner takes them from the bucket ([`bucket`]). Tokens expire after [`TOKEN_LIFE`].
+//! the owner takes them from the bucket ([`bucket`]). Tokens expire after [`TOKEN_LIFETIME`].
 //! `docs/design/tenants.md` derives the bound that follows for the sum of requests and compares the
 //! alternatives.
 
@@ -15,4 +15,4 @@
 /// Lifetime of a token, counted from the sending of the query for it. It is so short that tokens
 /// granted by a lost owner have expired before its successor grants new ones, so the two do not add
 /// up.
-pub const TOKEN_LIFE: Duration = Duration::from_millis(300);
+pub const TOKEN_LIFETIME: Duration = Duration::from_millis(300);
--- a/crates/rillgap-forward/src/store_sync/call.rs
+++ b/crates/rillgap-forward/src/store_sync/call.rs
@@ -115,7 +115,7 @@
 
 impl NodeList {
     /// Returns whether the list contains exactly this record.
-    pub fn holds(&self, record: &NodeRecord) -> bool {
+    pub fn contains(&self, record: &NodeRecord) -> bool {
         let following = self.successors.iter().flatten();
         self.lowest
             .iter()
@@ -133,8 +133,8 @@
             .last()
             .map(|record| watcher_election::name_hash(&record.name));
         let span = last.map_or(0, |last| last.wrapping_sub(from));
-        let share = span as f64 / u64::MAX as f64;
-        let estimate = following.len() as f64 / share.max(f64::EPSILON);
+        let fraction = span as f64 / u64::MAX as f64;
+        let estimate = following.len() as f64 / fraction.max(f64::EPSILON);
         (estimate as usize).max(self.lowest.len())
     }
 }
--- a/crates/rillgap-forward/src/store_sync/mod.rs
+++ b/crates/rillgap-forward/src/store_sync/mod.rs
@@ -1,22 +1,22 @@
 //! Requests of a node to the store: for the configuration, its own record and its first peers.
 //!
-//! The store is the only address that all nodes know. A node registers its record and then lists
-//! other nodes: those with the lowest name hashes, which watch the store for all others, and the
-//! successors of its own name hash. The size of this list does not depend on the size of the
-//! deployment. The list may be some seconds old: if it contains the node's own record, it is recent
-//! enough.
+//! The address of the store is the only one that all nodes are configured with. A node registers
+//! its record and then lists other nodes: those with the lowest name hashes, which watch the store
+//! for all others, and the successors of its own name hash. The size of this list does not depend
+//! on the size of the deployment. The list may be some seconds old: if it contains the node's own
+//! record, it is recent enough.
 //!
 //! A node usually receives the configuration from its peers. If it receives none, it reads the
 //! configuration from the store after a delay that grows with the number of nodes and differs from
 //! node to node, so that only a few of many nodes that start together read it. The nodes that are
-//! elected as watchers (see [`watcher_election`](crate::watcher_election)) watch the configuration by long
-//! polling.
+//! elected as watchers (see [`watcher_election`](crate::watcher_election)) watch the configuration
+//! by long polling.
 //!
 //! When the store is restored from a backup (see [`store_epoch`](crate::store_epoch)), the node
 //! reads what it watches again and writes its record again.
 
 mod call;
-mod chain;
+mod call_sequence;
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 pub use call::{
     ListExtent, NodeList, StoreEvent, StoreFailure, StoreReply, StoreRequest, StoreRequestId,
 };
-use chain::Chain;
+use call_sequence::CallSequence;
 
 use crate::configuration::Configuration;
 use crate::message::NodeRecord;
@@ -34,45 +34,45 @@
 use crate::watcher_election;
 
 /// Timeout of a request, in addition to the wait of a watch. A slow store replies within a third of
-/// it; after an outage, a short timeout lets the node call a recovered store again soon.
+/// it; a longer timeout would delay the next request to a store that has recovered from an outage.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Delay between the registration of a new node and its list when a whole deployment starts for the
 /// first time: each node then lists nearly all others, so that links are spread evenly. A node that
 /// restarts lists at once, since the store already holds the records of the others.
-const FIRST_LIST_PAUSE: Duration = Duration::from_millis(500);
+const FIRST_LIST_DELAY: Duration = Duration::from_millis(500);
 
 /// Delay before the list is requested again if it is incomplete, usually because it lacks the
 /// node's own record.
-const LIST_AGAIN_PAUSE: Duration = Duration::from_millis(500);
+const LIST_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Number of incomplete lists after which the node requests one that may not be stale.
-const MOST_OLD_LISTS: u32 = 8;
+const MAX_STALE_LISTS: u32 = 8;
 /// Time per other node over which nodes without a configuration spread their reads of it. Nodes
 /// that start at the same moment receive it from the first of them that reads it.
-const READ_PACE: Duration = Duration::from_millis(2);
+const READ_SPREAD_PER_NODE: Duration = Duration::from_millis(2);
 /// Maximum time for which a node without a configuration waits for its peers after its list.
-const LONGEST_READ_PAUSE: Duration = Duration::from_secs(2);
+const MAX_READ_DELAY: Duration = Duration::from_secs(2);
 /// Time after its start at which a node reads the configuration even if it has received no list.
-const READ_WITHOUT_LIST: Duration = Duration::from_secs(3);
+const READ_DELAY_WITHOUT_LIST: Duration = Duration::from_secs(3);
 
 /// Time beyond the wait of a watch after which a node without a reply no longer counts as watching.
-const LATE_ANSWER: Duration = Duration::from_millis(600);
+const WATCH_ANSWER_GRACE: Duration = Duration::from_millis(600);
 
 /// Fraction of the store's write rate that the nodes of a deployment use together to write their
 /// records again: the restore of the store becomes known to all of them at nearly the same moment.
-const REGISTRATION_RATE_SHARE: f64 = 0.75;
+const REGISTRATION_RATE_FRACTION: f64 = 0.75;
 
 /// State of the node's watch of the configuration.
 #[derive(Clone, Copy, Debug, Default)]
-struct Watch {
+struct WatchState {
     /// Position to continue from; `None` before the first read and after the position has expired.
     position: Option<StorePosition>,
     /// Version of the configuration that the store held at `position`; 0 for none.
     version: u64,
     /// Time for which a watch request waits; `None` if the node need not watch.
     wait: Option<Duration>,
-    /// Start of the watch or time of the last reply; `None` after a failed request.
-    fresh_since: Option<Instant>,
+    /// Start of the watch or time of the last reply; `None` before both and after a failed request.
+    last_contact_at: Option<Instant>,
     /// Proof from the last reply that established the newest configuration.
     proof: Option<StoreProof>,
 }
@@ -86,12 +86,12 @@
     pub version: u64,
 }
 
-impl Watch {
-    fn is_fresh(&self, now: Instant) -> bool {
-        let (Some(wait), Some(since)) = (self.wait, self.fresh_since) else {
+impl WatchState {
+    fn has_recent_contact(&self, now: Instant) -> bool {
+        let (Some(wait), Some(since)) = (self.wait, self.last_contact_at) else {
             return false;
         };
-        now.saturating_since(since) < wait + LATE_ANSWER
+        now.saturating_since(since) < wait + WATCH_ANSWER_GRACE
     }
 }
 
@@ -112,19 +112,22 @@
     /// Estimated number of nodes.
     nodes: usize,
     /// Whether the store held no record of this node before it registered.
-    is_new: bool,
+    is_new_record: bool,
     /// Whether a complete list was received.
     has_listed: bool,
     /// How many records to request.
     extent: ListExtent,
     /// Number of incomplete lists received.
-    old_lists: u32,
+    stale_lists: u32,
     /// Whether a configuration is in force on this node.
     has_configuration: bool,
-    ids: u64,
-    configuration: Chain,
-    watch: Watch,
-    membership: Chain,
+    /// Identifier of the latest request.
+    last_id: u64,
+    /// Requests for the configuration.
+    configuration: CallSequence,
+    watch: WatchState,
+    /// Requests about the node's own record and the list of nodes.
+    membership: CallSequence,
 }
 
 impl StoreSync {
@@ -137,33 +140,33 @@
         is_first_start: bool,
         writes_per_second: f64,
     ) -> Self {
-        let share = place_share(&record.name);
-        let read_at = now + READ_WITHOUT_LIST;
+        let jitter = name_hash_fraction(&record.name);
+        let read_at = now + READ_DELAY_WITHOUT_LIST;
         Self {
             is_first_start,
             writes_per_second,
             nodes: 1,
-            is_new: false,
-            old_lists: 0,
+            is_new_record: false,
+            stale_lists: 0,
             has_configuration: false,
             epoch: None,
             is_registration_due: false,
             is_leaving: false,
             has_listed: false,
             extent: ListExtent::Part,
-            ids: 0,
-            configuration: Chain::new(StoreRequest::ReadConfiguration, read_at, share),
-            watch: Watch::default(),
-            membership: Chain::new(StoreRequest::Register(record.clone()), now, share),
+            last_id: 0,
+            configuration: CallSequence::new(StoreRequest::ReadConfiguration, read_at, jitter),
+            watch: WatchState::default(),
+            membership: CallSequence::new(StoreRequest::Register(record.clone()), now, jitter),
             record,
         }
     }
 
     /// Returns the requests that are due.
     pub fn poll(&mut self, now: Instant) -> Vec<(StoreRequestId, StoreRequest)> {
-        let ids = &mut self.ids;
-        let configuration = self.configuration.take_due(now, ids);
-        let membership = self.membership.take_due(now, ids);
+        let last_id = &mut self.last_id;
+        let configuration = self.configuration.take_due(now, last_id);
+        let membership = self.membership.take_due(now, last_id);
         configuration.into_iter().chain(membership).collect()
     }
 
@@ -178,19 +181,20 @@
     /// node need not watch. A request in flight is not cancelled. Returns whether the watch was
     /// started or stopped.
     pub fn set_watch(&mut self, now: Instant, wait: Option<Duration>) -> bool {
-        let before = std::mem::replace(&mut self.watch.wait, wait);
-        let begins = wait.is_some() && before.is_none();
-        if begins {
-            self.watch.fresh_since = Some(now);
+        let previous = std::mem::replace(&mut self.watch.wait, wait);
+        let starts = wait.is_some() && previous.is_none();
+        if starts {
+            self.watch.last_contact_at = Some(now);
         }
-        if begins && self.configuration.under_way.is_none() {
-            self.configuration.proceed(now, self.next_call());
+        if starts && self.configuration.in_flight.is_none() {
+            self.configuration
+                .schedule(now, self.next_configuration_request());
         }
-        before.is_some() != wait.is_some()
+        previous.is_some() != wait.is_some()
     }
 
     /// Returns the next request for the configuration, if one is needed.
-    fn next_call(&self) -> Option<StoreRequest> {
+    fn next_configuration_request(&self) -> Option<StoreRequest> {
         match (self.watch.position, self.watch.wait) {
             (Some(after), Some(wait)) => Some(StoreRequest::WatchConfiguration { after, wait }),
             (Some(_), None) => None,
@@ -208,12 +212,12 @@
             return;
         }
         self.extent = ListExtent::Whole;
-        let list = self.list();
-        let planned = self.membership.next.as_mut();
-        if let Some(planned @ StoreRequest::ListNodes { .. }) = planned {
-            *planned = list;
+        let list = self.list_request();
+        let scheduled = self.membership.next.as_mut();
+        if let Some(scheduled @ StoreRequest::ListNodes { .. }) = scheduled {
+            *scheduled = list;
         } else if self.has_listed && self.membership.is_idle() {
-            self.membership.proceed(now, Some(list));
+            self.membership.schedule(now, Some(list));
         }
     }
 
@@ -232,12 +236,12 @@
 
     /// Returns the time of the last contact with the store; `None` if the node does not watch it.
     pub fn last_contact_at(&self, now: Instant) -> Option<Instant> {
-        self.watch.fresh_since.filter(|_| self.is_watching(now))
+        self.watch.last_contact_at.filter(|_| self.is_watching(now))
     }
 
     /// Returns whether the node watches the configuration and has a recent contact with the store.
     pub fn is_watching(&self, now: Instant) -> bool {
-        self.watch.position.is_some() && self.watch.is_fresh(now)
+        self.watch.position.is_some() && self.watch.has_recent_contact(now)
     }
 
     /// Takes the proof of the newest configuration that the last reply has provided, if any.
@@ -254,57 +258,58 @@
     /// which means that the store was restored from a backup: state that relies on earlier epochs
     /// is then invalid.
     pub fn observe_epoch(&mut self, now: Instant, epoch: StoreEpoch) -> bool {
-        let before = self.epoch;
-        self.epoch = before.max(Some(epoch));
-        let has_returned = before.is_some_and(|before| before < epoch);
-        if has_returned {
-            self.forget_position();
+        let previous = self.epoch;
+        self.epoch = previous.max(Some(epoch));
+        let is_restored = previous.is_some_and(|previous| previous < epoch);
+        if is_restored {
+            self.reset_watch_position();
             self.is_registration_due = true;
-            self.register_again_when_idle(now);
+            self.schedule_reregistration(now);
         }
-        has_returned
+        is_restored
     }
 
     /// Drops the position, which belongs to an earlier epoch. A scheduled watch from it becomes a
     /// read.
-    fn forget_position(&mut self) {
+    fn reset_watch_position(&mut self) {
         self.watch.position = None;
         self.watch.proof = None;
         if self.configuration.next.is_some() {
-            self.configuration.next = self.next_call();
+            self.configuration.next = self.next_configuration_request();
         }
     }
 
     /// Schedules another write of the record if one is due, none is scheduled yet, and no request
     /// of the same sequence is in flight. It replaces a scheduled list, which would be incomplete
     /// as long as the node's own record is missing.
-    fn register_again_when_idle(&mut self, now: Instant) {
-        let is_planned = matches!(
+    fn schedule_reregistration(&mut self, now: Instant) {
+        let is_scheduled = matches!(
             self.membership.next,
             Some(StoreRequest::Register(_) | StoreRequest::Unregister { .. })
         );
-        if !self.is_registration_due || is_planned || self.membership.under_way.is_some() {
+        if !self.is_registration_due || is_scheduled || self.membership.in_flight.is_some() {
             return;
         }
-        let rate = self.writes_per_second * REGISTRATION_RATE_SHARE;
+        let rate = self.writes_per_second * REGISTRATION_RATE_FRACTION;
         let spread = Duration::from_secs_f64(self.nodes as f64 / rate);
-        let due = now + spread.mul_f64(place_share(&self.record.name));
-        self.membership.proceed(due, Some(self.registration()));
+        let due = now + spread.mul_f64(name_hash_fraction(&self.record.name));
+        self.membership
+            .schedule(due, Some(self.registration_request()));
     }
 
     /// Returns the request for a list of nodes. A node that joins a running deployment requests the
     /// newest state, so that it becomes known to its peers soon. In all other cases a list is
     /// recent enough if it contains the node's own record.
-    fn list(&self) -> StoreRequest {
-        let is_newcomer = self.is_new && !self.is_first_start;
+    fn list_request(&self) -> StoreRequest {
+        let joins_running_deployment = self.is_new_record && !self.is_first_start;
         StoreRequest::ListNodes {
             from: watcher_election::name_hash(&self.record.name),
-            allow_stale: !is_newcomer && self.old_lists < MOST_OLD_LISTS,
+            allow_stale: !joins_running_deployment && self.stale_lists < MAX_STALE_LISTS,
             extent: self.extent,
         }
     }
 
-    fn on_list(&mut self, now: Instant, request: &StoreRequest, list: NodeList) -> StoreEvent {
+    fn on_node_list(&mut self, now: Instant, request: &StoreRequest, list: NodeList) -> StoreEvent {
         let is_newest = matches!(
             request,
             StoreRequest::ListNodes {
@@ -314,32 +319,36 @@
         );
         self.nodes = list.estimated_nodes(watcher_election::name_hash(&self.record.name));
         // A list that was in flight when all nodes were requested may be partial.
-        let is_enough = self.extent == ListExtent::Part || list.successors.is_none();
-        let is_complete = is_enough && (is_newest || list.holds(&self.record));
+        let covers_extent = self.extent == ListExtent::Part || list.successors.is_none();
+        let is_complete = covers_extent && (is_newest || list.contains(&self.record));
         if is_complete {
             self.has_listed = true;
-            self.membership.proceed(now, None);
-            self.read_when_nobody_tells(now);
+            self.membership.schedule(now, None);
+            self.schedule_fallback_read(now);
         } else {
-            self.old_lists += 1;
-            let again = self.list();
-            self.membership.proceed(now + LIST_AGAIN_PAUSE, Some(again));
+            self.stale_lists += 1;
+            let retry = self.list_request();
+            self.membership
+                .schedule(now + LIST_RETRY_DELAY, Some(retry));
         }
         StoreEvent::Nodes { list, is_complete }
     }
 
     /// Schedules a read of the configuration in case no peer sends it.
-    fn read_when_nobody_tells(&mut self, now: Instant) {
-        if self.has_configuration || self.configuration.under_way.is_some() {
+    fn schedule_fallback_read(&mut self, now: Instant) {
+        if self.has_configuration || self.configuration.in_flight.is_some() {
             return;
         }
         let others = u32::try_from(self.nodes.saturating_sub(1)).unwrap_or(u32::MAX);
-        let longest = READ_PACE.saturating_mul(others).min(LONGEST_READ_PAUSE);
-        let due = now + longest.mul_f64(place_share(&self.record.name));
-        self.configuration.proceed(due, self.next_call());
+        let max_delay = READ_SPREAD_PER_NODE
+            .saturating_mul(others)
+            .min(MAX_READ_DELAY);
+        let due = now + max_delay.mul_f64(name_hash_fraction(&self.record.name));
+        self.configuration
+            .schedule(due, self.next_configuration_request());
     }
 
-    fn registration(&self) -> StoreRequest {
+    fn registration_request(&self) -> StoreRequest {
         if self.is_leaving {
             let name = self.record.name.clone();
             return StoreRequest::Unregister { name };
@@ -349,13 +358,14 @@
 
     /// Returns whether a request is in flight that may return a newer configuration.
     pub const fn has_configuration_call_in_flight(&self) -> bool {
-        self.configuration.under_way.is_some()
+        self.configuration.in_flight.is_some()
     }
 
     /// Schedules the removal of the node's record: its back end has left for good.
     pub fn unregister(&mut self, now: Instant) {
         self.is_leaving = true;
-        self.membership.proceed(now, Some(self.registration()));
+        self.membership
+            .schedule(now, Some(self.registration_request()));
     }
 
     /// Handles a reply of the store.
@@ -365,20 +375,20 @@
         id: StoreRequestId,
         reply: StoreReply,
     ) -> Option<StoreEvent> {
-        if let Some(request) = self.configuration.take_answered(id) {
-            let reply = self.refuse_outdated(reply);
-            return self.on_configuration(now, request, reply);
+        if let Some(request) = self.configuration.take_in_flight(id) {
+            let reply = self.reject_stale_epoch(reply);
+            return self.on_configuration_reply(now, request, reply);
         }
-        let request = self.membership.take_answered(id)?;
-        let reply = self.refuse_outdated(reply);
-        let news = self.on_membership(now, request, reply);
-        self.register_again_when_idle(now);
-        news
+        let request = self.membership.take_in_flight(id)?;
+        let reply = self.reject_stale_epoch(reply);
+        let event = self.on_membership_reply(now, request, reply);
+        self.schedule_reregistration(now);
+        event
     }
 
     /// Turns a reply from an earlier epoch into a failure: the store was restored from a backup
     /// since.
-    fn refuse_outdated(&self, reply: StoreReply) -> StoreReply {
+    fn reject_stale_epoch(&self, reply: StoreReply) -> StoreReply {
         if reply.epoch().is_none_or(|epoch| Some(epoch) >= self.epoch) {
             return reply;
         }
@@ -388,7 +398,7 @@
         })
     }
 
-    fn on_configuration(
+    fn on_configuration_reply(
         &mut self,
         now: Instant,
         request: StoreRequest,
@@ -399,33 +409,35 @@
                 position,
                 configuration,
             } => {
-                self.advance(now, &request, position, configuration.as_ref());
-                self.configuration.proceed(now, self.next_call());
+                self.advance_watch(now, &request, position, configuration.as_ref());
+                self.configuration
+                    .schedule(now, self.next_configuration_request());
                 configuration.map(StoreEvent::Configuration)
             }
             StoreReply::PositionExpired(_) => {
                 self.watch.position = None;
-                self.configuration.proceed(now, self.next_call());
+                self.configuration
+                    .schedule(now, self.next_configuration_request());
                 None
             }
             // A failed watch continues from its position, so that no change is missed. If the store
             // no longer holds that position, it says so in its reply.
             StoreReply::Failed(failure) => {
-                self.watch.fresh_since = None;
-                let news = self.configuration.on_failure(now, request, failure);
-                self.configuration.next = self.next_call();
-                news
+                self.watch.last_contact_at = None;
+                let event = self.configuration.on_failure(now, request, failure);
+                self.configuration.next = self.next_configuration_request();
+                event
             }
             _ => {
                 let next = StoreRequest::ReadConfiguration;
-                self.configuration.on_mismatch(now, next)
+                self.configuration.on_unexpected_reply(now, next)
             }
         }
     }
 
     /// Advances the watch to the position of a reply. A watch from a position of an earlier epoch
     /// has missed the writes in between, so the configuration has to be read again.
-    fn advance(
+    fn advance_watch(
         &mut self,
         now: Instant,
         request: &StoreRequest,
@@ -433,8 +445,8 @@
         configuration: Option<&Configuration>,
     ) {
         let watch = &mut self.watch;
-        watch.fresh_since = Some(now);
-        let kept = match request {
+        watch.last_contact_at = Some(now);
+        let previous_version = match request {
             StoreRequest::WatchConfiguration { after, .. } if after.epoch() != position.epoch() => {
                 watch.position = None;
                 return;
@@ -443,14 +455,15 @@
             _ => 0,
         };
         watch.position = Some(position);
-        watch.version = configuration.map_or(kept, |configuration| configuration.version);
+        watch.version =
+            configuration.map_or(previous_version, |configuration| configuration.version);
         watch.proof = Some(StoreProof {
-            at: self.configuration.made_at,
+            at: self.configuration.sent_at,
             version: watch.version,
         });
     }
 
-    fn on_membership(
+    fn on_membership_reply(
         &mut self,
         now: Instant,
         request: StoreRequest,
@@ -459,29 +472,29 @@
         match reply {
             StoreReply::Registered { is_new, .. } => {
                 self.is_registration_due = false;
-                self.is_new |= is_new;
-                let pause = if is_new && self.is_first_start {
-                    FIRST_LIST_PAUSE
+                self.is_new_record |= is_new;
+                let delay = if is_new && self.is_first_start {
+                    FIRST_LIST_DELAY
                 } else {
                     Duration::ZERO
                 };
-                let list = (!self.has_listed).then(|| self.list());
-                self.membership.proceed(now + pause, list);
+                let list = (!self.has_listed).then(|| self.list_request());
+                self.membership.schedule(now + delay, list);
                 None
             }
-            StoreReply::Nodes { list, .. } => Some(self.on_list(now, &request, list)),
+            StoreReply::Nodes { list, .. } => Some(self.on_node_list(now, &request, list)),
             StoreReply::Unregistered(_) => {
                 self.is_registration_due = false;
-                self.membership.proceed(now, None);
+                self.membership.schedule(now, None);
                 None
             }
             StoreReply::Failed(failure) => self.membership.on_failure(now, request, failure),
-            _ => self.membership.on_mismatch(now, request),
+            _ => self.membership.on_unexpected_reply(now, request),
         }
     }
 }
 
 /// Returns the name hash of a node as a fraction of the range of hashes.
-fn place_share(name: &str) -> f64 {
+fn name_hash_fraction(name: &str) -> f64 {
     watcher_election::name_hash(name) as f64 / u64::MAX as f64
 }
--- a/crates/rillgap-forward/src/watch_relay.rs
+++ b/crates/rillgap-forward/src/watch_relay.rs
@@ -14,21 +14,21 @@
 
 /// Age below which a contact is recent: a watch is answered each second, and its report reaches the
 /// followers within some milliseconds.
-const FRESH: Duration = Duration::from_millis(1_600);
+const MAX_CONTACT_AGE: Duration = Duration::from_millis(1_600);
 /// Minimum advance of the latest contact for which a report is sent; suppresses reports of a second
 /// watcher whose contact has nearly the same age.
-const LEAST_ADVANCE: Duration = Duration::from_millis(300);
+const MIN_ADVANCE: Duration = Duration::from_millis(300);
 /// Interval at which a node without a recent contact repeats this report, as a keepalive.
-const NO_NEWS_INTERVAL: Duration = Duration::from_millis(700);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Last report of a followed node.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     /// When the report arrived.
-    told_at: Instant,
+    received_at: Instant,
     /// When a watching node had contact with the store; `None` if the followed node has no recent
     /// contact.
-    heard_at: Option<Instant>,
+    contact_at: Option<Instant>,
 }
 
 /// Contacts with the store that followed nodes have reported, and what was reported to followers.
@@ -37,16 +37,20 @@
     reports: BTreeMap<LinkId, Report>,
     followers: BTreeSet<LinkId>,
     /// When the last report was sent to the followers, and the contact that it stated.
-    told: Option<(Instant, Option<Instant>)>,
+    last_sent: Option<(Instant, Option<Instant>)>,
 }
 
 impl WatchRelay {
     /// Records a report of a followed node: the age of its latest contact, `None` if none is
     /// recent.
     pub fn on_contact_report(&mut self, now: Instant, link: LinkId, age: Option<Duration>) {
-        let heard_at = age.map(|age| now - age);
-        let told_at = now;
-        self.reports.insert(link, Report { told_at, heard_at });
+        let contact_at = age.map(|age| now - age);
+        let received_at = now;
+        let report = Report {
+            received_at,
+            contact_at,
+        };
+        self.reports.insert(link, report);
     }
 
     /// Records whether the peer on a link follows this node.
@@ -72,63 +76,64 @@
     /// Returns whether the peer on a link has reported a recent contact.
     pub fn is_fresh(&self, now: Instant, link: LinkId) -> bool {
         let report = self.reports.get(&link);
-        report.is_some_and(|report| is_fresh(now, report.heard_at))
+        report.is_some_and(|report| is_recent(now, report.contact_at))
     }
 
     /// Returns the number of followed nodes with a recent contact.
     pub fn fresh_count(&self, now: Instant) -> usize {
         let reports = self.reports.values();
         reports
-            .filter(|report| is_fresh(now, report.heard_at))
+            .filter(|report| is_recent(now, report.contact_at))
             .count()
     }
 
     /// Returns whether a report of any followed node arrived recently.
     pub fn has_recent_report(&self, now: Instant) -> bool {
         let mut reports = self.reports.values();
-        reports.any(|report| now.saturating_since(report.told_at) < FRESH)
+        reports.any(|report| now.saturating_since(report.received_at) < MAX_CONTACT_AGE)
     }
 
-    /// Returns the age of the latest contact, for the first report to a new follower. `own` is this
-    /// node's own last contact with the store, if it watches it.
-    pub fn contact_age(&self, now: Instant, own: Option<Instant>) -> Option<Duration> {
-        self.news(now, own).map(|at| now.saturating_since(at))
+    /// Returns the age of the latest contact, for the first report to a new follower. `own_contact`
+    /// is this node's own last contact with the store, if it watches it.
+    pub fn contact_age(&self, now: Instant, own_contact: Option<Instant>) -> Option<Duration> {
+        self.latest_contact(now, own_contact)
+            .map(|at| now.saturating_since(at))
     }
 
-    /// Returns the followers and the age of the latest contact if a report to them is due. `own` is
-    /// this node's own last contact with the store, if it watches it.
+    /// Returns the followers and the age of the latest contact if a report to them is due.
+    /// `own_contact` is this node's own last contact with the store, if it watches it.
     pub fn take_due(
         &mut self,
         now: Instant,
-        own: Option<Instant>,
+        own_contact: Option<Instant>,
     ) -> Option<(Vec<LinkId>, Option<Duration>)> {
-        let news = self.news(now, own);
-        if self.followers.is_empty() || !self.is_due(now, news) {
+        let latest_contact = self.latest_contact(now, own_contact);
+        if self.followers.is_empty() || !self.is_due(now, latest_contact) {
             return None;
         }
-        self.told = Some((now, news));
+        self.last_sent = Some((now, latest_contact));
         let followers = self.followers.iter().copied().collect();
-        Some((followers, news.map(|at| now.saturating_since(at))))
+        Some((followers, latest_contact.map(|at| now.saturating_since(at))))
     }
 
-    fn is_due(&self, now: Instant, news: Option<Instant>) -> bool {
-        let Some((told_at, told)) = self.told else {
+    fn is_due(&self, now: Instant, latest_contact: Option<Instant>) -> bool {
+        let Some((sent_at, sent_contact)) = self.last_sent else {
             return true;
         };
-        match (told, news) {
-            (Some(told), Some(news)) => news.saturating_since(told) >= LEAST_ADVANCE,
-            (None, None) => now.saturating_since(told_at) >= NO_NEWS_INTERVAL,
+        match (sent_contact, latest_contact) {
+            (Some(sent), Some(latest)) => latest.saturating_since(sent) >= MIN_ADVANCE,
+            (None, None) => now.saturating_since(sent_at) >= KEEPALIVE_INTERVAL,
             _ => true,
         }
     }
 
-    fn news(&self, now: Instant, own: Option<Instant>) -> Option<Instant> {
-        let reports = self.reports.values().filter_map(|report| report.heard_at);
-        let latest = reports.chain(own).max();
-        latest.filter(|at| is_fresh(now, Some(*at)))
+    fn latest_contact(&self, now: Instant, own_contact: Option<Instant>) -> Option<Instant> {
+        let reports = self.reports.values().filter_map(|report| report.contact_at);
+        let latest = reports.chain(own_contact).max();
+        latest.filter(|at| is_recent(now, Some(*at)))
     }
 }
 
-fn is_fresh(now: Instant, heard_at: Option<Instant>) -> bool {
-    heard_at.is_some_and(|at| now.saturating_since(at) < FRESH)
+fn is_recent(now: Instant, contact_at: Option<Instant>) -> bool {
+    contact_at.is_some_and(|at| now.saturating_since(at) < MAX_CONTACT_AGE)
 }
--- a/crates/rillgap-forward/src/watcher_election.rs
+++ b/crates/rillgap-forward/src/watcher_election.rs
@@ -18,23 +18,23 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Number of followed nodes with a recent contact at which a node need not watch.
-const ENOUGH_WATCHERS: usize = 2;
+const REQUIRED_FRESH_NODES: usize = 2;
 /// Number of nodes that take over first when recent contacts cease: so many that the store is
 /// unlikely to reject all of them, and no more in a larger deployment.
-const FIRST_TO_TAKE_OVER: u64 = 16;
+const INITIAL_TAKEOVER_NODES: u64 = 16;
 /// Delay of each of these nodes relative to the preceding one.
-const TAKE_OVER_STEP: Duration = Duration::from_millis(20);
+const TAKEOVER_STAGGER: Duration = Duration::from_millis(20);
 /// Time in which the number of nodes that may take over doubles.
-const TAKE_OVER_DOUBLES: Duration = Duration::from_secs(1);
+const TAKEOVER_DOUBLING_PERIOD: Duration = Duration::from_secs(1);
 /// Time for which a watch request waits. A watch on a dead connection is detected only after this
 /// time, so the bound on how soon a configuration reaches all nodes depends on it.
-const WAIT: Duration = Duration::from_secs(1);
+const WATCH_WAIT: Duration = Duration::from_secs(1);
 /// Time after its start during which a node does not watch: by its end links are open, and the node
 /// has received reports from the nodes that precede it.
-const START_PATIENCE: Duration = Duration::from_millis(1_500);
+const STARTUP_DELAY: Duration = Duration::from_millis(1_500);
 /// Maximum delay after which a node that receives no reports watches. The delay differs between the
 /// nodes of a partition.
-const ALONE_STAGGER: Duration = Duration::from_millis(300);
+const MAX_ISOLATED_DELAY: Duration = Duration::from_millis(300);
 
 /// Returns the hash of a node's name, which determines the order: the node with the lowest hash
 /// watches first.
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug)]
 pub struct WatcherElection {
     name_hash: u64,
-    patience: Duration,
+    startup_delay: Duration,
     needed_since: Option<Instant>,
 }
 
@@ -66,7 +66,7 @@
     pub fn new(name: &str) -> Self {
         Self {
             name_hash: name_hash(name),
-            patience: START_PATIENCE,
+            startup_delay: STARTUP_DELAY,
             needed_since: None,
         }
     }
@@ -79,31 +79,34 @@
     /// Returns the time for which each watch request of the node waits; `None` if it need not
     /// watch.
     pub fn update(&mut self, now: Instant, preceding: PrecedingNodes) -> Option<Duration> {
-        if preceding.fresh_count >= ENOUGH_WATCHERS {
+        if preceding.fresh_count >= REQUIRED_FRESH_NODES {
             self.needed_since = None;
-            self.patience = Duration::ZERO;
+            self.startup_delay = Duration::ZERO;
             return None;
         }
         let since = *self.needed_since.get_or_insert(now);
-        let needed_for = now.saturating_since(since).checked_sub(self.patience)?;
-        let is_due = if preceding.known_count < FIRST_TO_TAKE_OVER {
-            needed_for >= TAKE_OVER_STEP * u32::try_from(preceding.known_count).unwrap_or(u32::MAX)
+        let needed_for = now
+            .saturating_since(since)
+            .checked_sub(self.startup_delay)?;
+        let is_due = if preceding.known_count < INITIAL_TAKEOVER_NODES {
+            needed_for
+                >= TAKEOVER_STAGGER * u32::try_from(preceding.known_count).unwrap_or(u32::MAX)
         } else if preceding.has_recent_report {
-            preceding.known_count < may_take_over(needed_for)
+            preceding.known_count < takeover_candidates(needed_for)
         } else {
-            needed_for >= self.alone_stagger()
+            needed_for >= self.isolated_delay()
         };
-        is_due.then_some(WAIT)
+        is_due.then_some(WATCH_WAIT)
     }
 
-    fn alone_stagger(&self) -> Duration {
-        ALONE_STAGGER.mul_f64(self.name_hash as f64 / u64::MAX as f64)
+    fn isolated_delay(&self) -> Duration {
+        MAX_ISOLATED_DELAY.mul_f64(self.name_hash as f64 / u64::MAX as f64)
     }
 }
 
 /// Returns how many nodes may take over after a time without recent contacts.
-fn may_take_over(needed_for: Duration) -> u64 {
-    let doublings = needed_for.as_micros() / TAKE_OVER_DOUBLES.as_micros();
+fn takeover_candidates(needed_for: Duration) -> u64 {
+    let doublings = needed_for.as_micros() / TAKEOVER_DOUBLING_PERIOD.as_micros();
     let doublings = u32::try_from(doublings).unwrap_or(u32::MAX);
-    FIRST_TO_TAKE_OVER.saturating_mul(1_u64.checked_shl(doublings).unwrap_or(u64::MAX))
+    INITIAL_TAKEOVER_NODES.saturating_mul(1_u64.checked_shl(doublings).unwrap_or(u64::MAX))
 }
--- a/crates/rillgap-forward/tests/freshness.rs
+++ b/crates/rillgap-forward/tests/freshness.rs
@@ -23,25 +23,25 @@
 }
 
 #[gtest]
-fn nothing_is_proven_at_the_start() {
+fn new_state_has_no_proof() {
     expect_that!(Freshness::new(Some(REVOCATION)).is_proven(at(0)), eq(false));
 }
 
 #[gtest]
-fn no_proof_is_needed_where_none_is_demanded() {
+fn no_proof_is_required_without_a_revocation_bound() {
     expect_that!(Freshness::new(None).is_proven(at(1_000_000)), eq(true));
     expect_that!(Freshness::new(None).queries_due(at(1_000_000)), none());
 }
 
 #[gtest]
-fn proof_ends_before_the_bound() {
+fn proof_expires_before_the_bound() {
     let freshness = proven_at(1_000);
     expect_that!(freshness.is_proven(at(5_000)), eq(true));
     expect_that!(freshness.is_proven(at(6_000)), eq(false));
 }
 
 #[gtest]
-fn word_of_a_peer_counts_from_the_question_not_from_the_answer() {
+fn proof_by_a_peer_counts_from_the_query_not_from_the_answer() {
     let mut freshness = Freshness::new(Some(REVOCATION));
     let number = freshness.begin_query(at(1_000));
     // The answer has waited in a socket for three seconds.
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn answer_that_was_not_asked_for_proves_nothing() {
+fn answer_without_a_query_proves_nothing() {
     let mut freshness = Freshness::new(Some(REVOCATION));
     let mut other = Freshness::new(Some(REVOCATION));
     let number = other.begin_query(at(0));
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn proof_of_a_newer_version_counts_once_that_is_in_force() {
+fn proof_of_a_newer_version_counts_once_the_version_is_in_force() {
     let mut freshness = Freshness::new(Some(REVOCATION));
     freshness.record_proof(at(1_000), 8, 7);
     expect_that!(freshness.is_proven(at(1_000)), eq(false));
@@ -84,14 +84,14 @@
 }
 
 #[gtest]
-fn older_proof_does_not_replace_a_younger_one() {
+fn older_proof_does_not_replace_a_newer_one() {
     let mut freshness = proven_at(2_000);
     freshness.record_proof(at(1_000), 7, 7);
     expect_that!(freshness.proof_age(at(2_000)), some(eq(millis(0))));
 }
 
 #[gtest]
-fn more_peers_are_asked_the_older_the_proof() {
+fn more_peers_are_queried_when_the_proof_is_older() {
     let freshness = proven_at(0);
     let young = freshness.queries_due(at(100));
     let middle = freshness.queries_due(at(1_500));
@@ -102,7 +102,7 @@
 }
 
 #[gtest]
-fn peers_are_not_asked_again_at_once() {
+fn peers_are_not_queried_again_at_once() {
     let mut freshness = proven_at(0);
     freshness.begin_query(at(4_000));
     expect_that!(freshness.queries_due(at(4_100)), none());
--- a/crates/rillgap-forward/tests/rate_limit.rs
+++ b/crates/rillgap-forward/tests/rate_limit.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use rillgap_core::time::Instant;
 use rillgap_forward::configuration::RateLimit;
-use rillgap_forward::rate_limit::TOKEN_LIFE;
+use rillgap_forward::rate_limit::TOKEN_LIFETIME;
 use rillgap_forward::rate_limit::bucket::{Buckets, Grant};
 use rillgap_forward::rate_limit::entry::{Admission, EntryLimiter};
 use rillgap_forward::rate_limit::ownership::TenantHash;
@@ -26,7 +26,7 @@
 }
 
 #[gtest]
-fn fresh_owner_starts_with_an_empty_bucket() {
+fn new_owner_starts_with_an_empty_bucket() {
     let mut buckets = Buckets::default();
     expect_that!(granted(&mut buckets, 0, 5).tokens, eq(0));
     expect_that!(granted(&mut buckets, 500, 5).tokens, eq(5));
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn owner_that_has_lost_the_bucket_meanwhile_starts_empty_again() {
+fn owner_that_lost_the_bucket_temporarily_starts_with_an_empty_one() {
     let mut buckets = Buckets::default();
     granted(&mut buckets, 60_000, 1);
     let grant = buckets.grant(at(70_000), TENANT, LIMIT, at(69_900), 20);
@@ -47,7 +47,7 @@
 }
 
 #[gtest]
-fn lower_limit_binds_at_once() {
+fn lower_limit_applies_at_once() {
     let mut buckets = Buckets::default();
     granted(&mut buckets, 60_000, 0);
     let lower = RateLimit {
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn node_that_gets_too_little_is_told_when_to_ask_again() {
+fn grant_below_the_demand_states_when_to_query_again() {
     let mut buckets = Buckets::default();
     expect_that!(granted(&mut buckets, 60_000, 5).wait_millis, eq(0));
     expect_that!(granted(&mut buckets, 60_000, 40).wait_millis, gt(0));
@@ -67,7 +67,7 @@
 
 /// Grants the tokens that an entry node demands from the buckets; returns the requests that go on.
 fn exchange(entry: &mut EntryLimiter<u32>, buckets: &mut Buckets, now: u64) -> Vec<u32> {
-    let mut let_go = Vec::new();
+    let mut released_requests = Vec::new();
     for wanted in entry.queries_due(at(now)) {
         let grant = buckets.grant(at(now), &wanted.tenant, LIMIT, at(0), wanted.tokens);
         let released = entry.on_grant(
@@ -77,17 +77,17 @@
             grant.tokens,
             grant.wait_millis,
         );
-        let_go.extend(
+        released_requests.extend(
             released
                 .map(|released| released.granted)
                 .unwrap_or_default(),
         );
     }
-    let_go
+    released_requests
 }
 
 #[gtest]
-fn request_waits_for_its_token_and_goes_on() {
+fn waiting_request_goes_on_with_its_token() {
     let mut entry = EntryLimiter::default();
     let mut buckets = Buckets::default();
     expect_that!(entry.admit(at(5_000), TENANT, 1), eq(Admission::Waiting));
@@ -98,7 +98,7 @@
 }
 
 #[gtest]
-fn busy_entry_asks_ahead_so_that_requests_need_not_wait() {
+fn busy_entry_node_prefetches_tokens_so_that_fewer_requests_wait() {
     let mut entry = EntryLimiter::default();
     let mut buckets = Buckets::default();
     let mut waited = 0;
@@ -112,7 +112,7 @@
 }
 
 #[gtest]
-fn requests_beyond_the_limit_are_refused_with_a_time_to_come_back() {
+fn requests_beyond_the_limit_are_refused_with_a_retry_time() {
     let mut entry = EntryLimiter::default();
     let mut buckets = Buckets::default();
     let mut refused = 0;
@@ -131,17 +131,17 @@
 }
 
 #[gtest]
-fn token_is_void_after_its_life_counted_from_the_question() {
+fn token_expires_after_its_lifetime_counted_from_the_query() {
     let mut entry = EntryLimiter::default();
     entry.admit(at(1_000), TENANT, 1);
     let wanted = entry.queries_due(at(1_000)).remove(0);
-    let late = at(1_000) + TOKEN_LIFE;
+    let late = at(1_000) + TOKEN_LIFETIME;
     let released = entry.on_grant(late, TENANT, wanted.number, 3, 0);
     expect_that!(released.map(|released| released.granted), some(is_empty()));
 }
 
 #[gtest]
-fn void_token_is_not_taken_when_a_younger_grant_is_used_up_first() {
+fn expired_token_is_not_taken_after_a_later_grant_is_used_up() {
     let mut entry = EntryLimiter::default();
     entry.admit(at(1_000), TENANT, 1);
     let first = entry.queries_due(at(1_000)).remove(0);
@@ -155,7 +155,7 @@
 }
 
 #[gtest]
-fn second_answer_to_a_question_gives_nothing() {
+fn second_answer_to_a_query_is_ignored() {
     let mut entry = EntryLimiter::default();
     entry.admit(at(1_000), TENANT, 1);
     let wanted = entry.queries_due(at(1_000)).remove(0);
@@ -165,7 +165,7 @@
 }
 
 #[gtest]
-fn request_without_an_answer_is_let_go_soon() {
+fn request_without_an_answer_is_released_after_the_maximum_wait() {
     let mut entry = EntryLimiter::default();
     entry.admit(at(1_000), TENANT, 1);
     expect_that!(entry.take_overdue(at(1_050)), is_empty());
@@ -173,7 +173,7 @@
 }
 
 #[gtest]
-fn unanswered_question_is_asked_again() {
+fn unanswered_query_is_repeated() {
     let mut entry = EntryLimiter::default();
     entry.admit(at(1_000), TENANT, 1);
     expect_that!(entry.queries_due(at(1_000)).len(), eq(1));
@@ -182,7 +182,7 @@
 }
 
 #[gtest]
-fn requests_do_not_wait_long_for_an_owner_that_has_been_silent() {
+fn requests_wait_less_for_an_owner_that_does_not_answer() {
     let mut entry = EntryLimiter::default();
     for number in 0..20_u32 {
         let now = 1_000 + u64::from(number) * 40;
@@ -210,9 +210,9 @@
 }
 
 /// Deterministic random numbers from a seed.
-struct Draw(u64);
+struct SeededRandom(u64);
 
-impl Draw {
+impl SeededRandom {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
@@ -229,21 +229,22 @@
 fn sum_over_all_entries_stays_within_the_bound_whatever_owners_are_lost() {
     const WINDOW: u64 = 5_000;
     for seed in 0..200 {
-        let mut draw = Draw(seed);
+        let mut random = SeededRandom(seed);
         let mut entries: Vec<EntryLimiter<u32>> = (0..8).map(|_| EntryLimiter::default()).collect();
         let mut buckets = Buckets::default();
         let mut owned_since = 0;
         let mut passed: Vec<u64> = Vec::new();
         let mut in_flight: Vec<(u64, usize, u64, Grant)> = Vec::new();
         for now in 0..20_000 {
-            if draw.below(2_000) == 0 {
+            if random.below(2_000) == 0 {
                 // The owner is lost, and its successor takes over without its state.
                 buckets = Buckets::default();
                 owned_since = now;
             }
             let count = entries.len() as u64;
-            let entry = draw.below(count) as usize;
-            if draw.below(20) == 0 && entries[entry].admit(at(now), TENANT, 0) == Admission::Granted
+            let entry = random.below(count) as usize;
+            if random.below(20) == 0
+                && entries[entry].admit(at(now), TENANT, 0) == Admission::Granted
             {
                 passed.push(now);
             }
@@ -251,8 +252,8 @@
                 let since = at(owned_since);
                 let grant = buckets.grant(at(now), TENANT, LIMIT, since, wanted.tokens);
                 // Answers take a random time, and some are lost.
-                if draw.below(10) > 0 {
-                    let arrives = now + draw.below(400);
+                if random.below(10) > 0 {
+                    let arrives = now + random.below(400);
                     in_flight.push((arrives, entry, wanted.number, grant));
                 }
             }
@@ -268,9 +269,9 @@
                 entry.take_overdue(at(now));
             }
         }
-        let life = TOKEN_LIFE.as_secs_f64();
+        let lifetime = TOKEN_LIFETIME.as_secs_f64();
         let seconds = Duration::from_millis(WINDOW).as_secs_f64();
-        let bound = LIMIT.per_second * (seconds + life) + LIMIT.burst;
+        let bound = LIMIT.per_second * (seconds + lifetime) + LIMIT.burst;
         for start in &passed {
             let within = passed
                 .iter()
--- a/crates/rillgap-forward/tests/watch.rs
+++ b/crates/rillgap-forward/tests/watch.rs
@@ -14,12 +14,12 @@
 use rillgap_forward::watcher_election::{PrecedingNodes, WatcherElection, name_hash};
 use support::{SERVICE, TestNode, WRITES, at, configuration, failed, hello, serving, settings};
 
-const WAIT: Duration = Duration::from_secs(1);
+const WATCH_WAIT: Duration = Duration::from_secs(1);
 /// Name of the node under test.
-const OWN: &str = "own";
+const OWN_NAME: &str = "own";
 
 /// Maximum time after its start at which a node that receives no reports watches, in milliseconds.
-const STARTED: u64 = 3_000;
+const MAX_START_MILLIS: u64 = 3_000;
 
 fn preceding(fresh_count: usize, known_count: u64) -> PrecedingNodes {
     PrecedingNodes {
@@ -30,46 +30,55 @@
 }
 
 /// State of a node that has followed nodes with recent contacts, which now cease.
-fn duty_without_news() -> WatcherElection {
-    let mut duty = WatcherElection::new(OWN);
-    duty.update(at(0), preceding(2, 500));
-    duty
+fn election_without_recent_contacts() -> WatcherElection {
+    let mut election = WatcherElection::new(OWN_NAME);
+    election.update(at(0), preceding(2, 500));
+    election
 }
 
 #[gtest]
-fn node_that_hears_of_no_watcher_watches_within_its_stagger() {
-    let mut duty = WatcherElection::new(OWN);
-    let nobody = PrecedingNodes {
+fn node_without_reports_watches_within_its_isolated_delay() {
+    let mut election = WatcherElection::new(OWN_NAME);
+    let no_reports = PrecedingNodes {
         known_count: 500,
         ..PrecedingNodes::default()
     };
-    duty.update(at(0), nobody);
-    expect_that!(duty.update(at(STARTED), nobody), some(anything()));
+    election.update(at(0), no_reports);
+    expect_that!(
+        election.update(at(MAX_START_MILLIS), no_reports),
+        some(anything())
+    );
 }
 
 #[gtest]
-fn node_that_follows_two_with_news_does_not_watch() {
-    let mut duty = WatcherElection::new(OWN);
-    duty.update(at(0), preceding(0, 500));
-    expect_that!(duty.update(at(STARTED), preceding(2, 500)), none());
+fn node_that_follows_two_with_recent_contacts_does_not_watch() {
+    let mut election = WatcherElection::new(OWN_NAME);
+    election.update(at(0), preceding(0, 500));
+    expect_that!(
+        election.update(at(MAX_START_MILLIS), preceding(2, 500)),
+        none()
+    );
 }
 
 #[gtest]
 fn first_two_nodes_of_the_order_always_watch() {
     for known in [0, 1] {
-        let mut duty = WatcherElection::new(OWN);
+        let mut election = WatcherElection::new(OWN_NAME);
         let first = preceding(known as usize, known);
-        duty.update(at(0), first);
-        expect_that!(duty.update(at(STARTED), first), some(anything()));
+        election.update(at(0), first);
+        expect_that!(
+            election.update(at(MAX_START_MILLIS), first),
+            some(anything())
+        );
     }
 }
 
 #[gtest]
-fn first_nodes_take_over_at_once_and_more_of_them_the_longer_it_lasts() {
+fn first_nodes_take_over_at_once_and_their_number_grows_with_time() {
     let takes_over = |known: u64, millis: u64| {
-        let mut duty = duty_without_news();
-        duty.update(at(0), preceding(0, known));
-        duty.update(at(millis), preceding(0, known)).is_some()
+        let mut election = election_without_recent_contacts();
+        election.update(at(0), preceding(0, known));
+        election.update(at(millis), preceding(0, known)).is_some()
     };
     expect_that!(takes_over(2, 300), eq(true));
     expect_that!(takes_over(15, 300), eq(true));
@@ -77,28 +86,28 @@
         let count = (0..2_000)
             .filter(|known| takes_over(*known, millis))
             .count();
-        let most = 16 << (millis / 1_000);
-        expect_that!(count, all!(ge(16), le(most)), "after {millis} ms");
+        let max = 16 << (millis / 1_000);
+        expect_that!(count, all!(ge(16), le(max)), "after {millis} ms");
     }
 }
 
 #[gtest]
-fn node_that_is_cut_off_from_those_before_it_watches_at_once() {
-    let mut duty = duty_without_news();
-    let nobody = PrecedingNodes {
+fn node_partitioned_from_all_preceding_ones_watches_at_once() {
+    let mut election = election_without_recent_contacts();
+    let no_reports = PrecedingNodes {
         known_count: 1_900,
         ..PrecedingNodes::default()
     };
-    duty.update(at(10), nobody);
-    expect_that!(duty.update(at(310), nobody), some(anything()));
+    election.update(at(10), no_reports);
+    expect_that!(election.update(at(310), no_reports), some(anything()));
 }
 
-/// Two names of which the first precedes [`OWN`] in the order of watchers.
-fn names_before_own() -> Vec<String> {
+/// Returns two names that precede [`OWN_NAME`] in the order of watchers.
+fn names_preceding_own() -> Vec<String> {
     let mut names = (0..100).map(|number| format!("peer-{number}"));
     let before = names
         .by_ref()
-        .filter(|name| name_hash(name) < name_hash(OWN));
+        .filter(|name| name_hash(name) < name_hash(OWN_NAME));
     before.take(2).collect()
 }
 
@@ -116,7 +125,7 @@
 fn node_with_watchers() -> (TestNode, Vec<LinkId>) {
     let mut test = TestNode::configured("logbok");
     let mut links = Vec::new();
-    for (number, name) in names_before_own().iter().enumerate() {
+    for (number, name) in names_preceding_own().iter().enumerate() {
         let link = LinkId(500 + number as u64);
         let hello = watching_hello(name, 20 + number as u8);
         test.event(Event::LinkAccepted { link, hello });
@@ -127,7 +136,7 @@
     (test, links)
 }
 
-fn has_watched(test: &TestNode) -> bool {
+fn has_watched_store(test: &TestNode) -> bool {
     test.actions.iter().any(|action| {
         matches!(
             action,
@@ -153,28 +162,28 @@
 fn node_does_not_call_the_store_while_others_watch_for_it() {
     let (mut test, links) = node_with_watchers();
     pass_with_reports(&mut test, &links, 10_000);
-    expect_that!(has_watched(&test), eq(false));
+    expect_that!(has_watched_store(&test), eq(false));
 }
 
 #[gtest]
-fn node_takes_over_at_once_when_a_watcher_says_that_it_lost_the_store() {
+fn node_takes_over_at_once_when_a_watcher_reports_no_recent_contact() {
     let (mut test, links) = node_with_watchers();
     pass_with_reports(&mut test, &links, 3_000);
     report(&mut test, links[0], false);
     test.pass(450);
-    expect_that!(has_watched(&test), eq(true));
+    expect_that!(has_watched_store(&test), eq(true));
 }
 
 #[gtest]
-fn node_takes_over_when_the_watchers_fall_silent() {
+fn node_takes_over_when_the_watchers_stop_reporting() {
     let (mut test, links) = node_with_watchers();
     pass_with_reports(&mut test, &links, 3_000);
     test.pass(2_100);
-    expect_that!(has_watched(&test), eq(true));
+    expect_that!(has_watched_store(&test), eq(true));
 }
 
 #[gtest]
-fn newer_version_is_asked_for_at_once_by_a_node_that_does_not_watch() {
+fn newer_version_is_queried_at_once_by_a_node_that_does_not_watch() {
     let (mut test, links) = node_with_watchers();
     test.event(Event::Link {
         link: links[0],
@@ -201,9 +210,9 @@
 }
 
 /// A store client with a watch in flight, and the request of this watch.
-fn watching_store() -> (StoreSync, StoreRequestId) {
-    let mut store = StoreSync::new(at(0), settings(OWN, SERVICE).record, false, WRITES);
-    store.set_watch(at(0), Some(WAIT));
+fn store_with_watch_in_flight() -> (StoreSync, StoreRequestId) {
+    let mut store = StoreSync::new(at(0), settings(OWN_NAME, SERVICE).record, false, WRITES);
+    store.set_watch(at(0), Some(WATCH_WAIT));
     let read = store.poll(at(0))[0].0;
     let reply = StoreReply::Configuration {
         position: StorePosition::new(StoreEpoch::default(), 40),
@@ -215,15 +224,15 @@
 }
 
 #[gtest]
-fn watch_that_is_not_answered_in_time_does_not_count() {
-    let (store, _) = watching_store();
+fn overdue_watch_does_not_count() {
+    let (store, _) = store_with_watch_in_flight();
     expect_that!(store.is_watching(at(1_500)), eq(true));
     expect_that!(store.is_watching(at(1_700)), eq(false));
 }
 
 #[gtest]
-fn watch_that_fails_does_not_count_until_the_store_answers_again() {
-    let (mut store, watch) = watching_store();
+fn failed_watch_does_not_count_until_the_store_answers_again() {
+    let (mut store, watch) = store_with_watch_in_flight();
     store.on_reply(at(100), watch, failed("refused"));
     expect_that!(store.is_watching(at(101)), eq(false));
     let again = store.poll(at(300))[0].0;
@@ -236,27 +245,27 @@
 }
 
 #[gtest]
-fn watch_ends_with_its_call_and_goes_on_from_its_position() {
-    let (mut store, watch) = watching_store();
+fn stopped_watch_ends_with_its_request_and_later_continues_from_its_position() {
+    let (mut store, watch) = store_with_watch_in_flight();
     store.set_watch(at(10), None);
     expect_that!(store.is_watching(at(11)), eq(false));
-    let nothing_new = StoreReply::Configuration {
+    let unchanged = StoreReply::Configuration {
         position: StorePosition::new(StoreEpoch::default(), 44),
         configuration: None,
     };
-    store.on_reply(at(900), watch, nothing_new);
+    store.on_reply(at(900), watch, unchanged);
     expect_that!(store.poll(at(5_000)), is_empty());
-    store.set_watch(at(6_000), Some(WAIT));
+    store.set_watch(at(6_000), Some(WATCH_WAIT));
     let expected = StoreRequest::WatchConfiguration {
         after: StorePosition::new(StoreEpoch::default(), 44),
-        wait: WAIT,
+        wait: WATCH_WAIT,
     };
     expect_that!(store.poll(at(6_000))[0].1, eq(&expected));
 }
 
 #[gtest]
-fn failed_watch_of_a_node_that_need_not_watch_is_not_made_again() {
-    let (mut store, watch) = watching_store();
+fn failed_watch_of_a_node_that_need_not_watch_is_not_retried() {
+    let (mut store, watch) = store_with_watch_in_flight();
     store.set_watch(at(10), None);
     store.on_reply(at(20), watch, failed("refused"));
     expect_that!(store.poll(at(5_000)), is_empty());
