--- a/crates/rillgap-forward/src/store_sync/call.rs
+++ b/crates/rillgap-forward/src/store_sync/call.rs
@@ -116,25 +116,25 @@
 impl NodeList {
     /// Returns whether the list contains exactly this record.
     pub fn contains(&self, record: &NodeRecord) -> bool {
-        let following = self.successors.iter().flatten();
+        let successors = self.successors.iter().flatten();
         self.lowest
             .iter()
-            .chain(following)
+            .chain(successors)
             .any(|other| other == record)
     }
 
     /// Estimates the number of nodes from the distances between the name hashes listed after
     /// `from`.
     pub fn estimated_nodes(&self, from: u64) -> usize {
-        let Some(following) = &self.successors else {
+        let Some(successors) = &self.successors else {
             return self.lowest.len();
         };
-        let last = following
+        let last = successors
             .last()
             .map(|record| watcher_election::name_hash(&record.name));
         let span = last.map_or(0, |last| last.wrapping_sub(from));
         let fraction = span as f64 / u64::MAX as f64;
-        let estimate = following.len() as f64 / fraction.max(f64::EPSILON);
+        let estimate = successors.len() as f64 / fraction.max(f64::EPSILON);
         (estimate as usize).max(self.lowest.len())
     }
 }
--- a/crates/rillgap-forward/src/watch_relay.rs
+++ b/crates/rillgap-forward/src/watch_relay.rs
@@ -46,11 +46,13 @@
     pub fn on_contact_report(&mut self, now: Instant, link: LinkId, age: Option<Duration>) {
         let contact_at = age.map(|age| now - age);
         let received_at = now;
-        let report = Report {
-            received_at,
-            contact_at,
-        };
-        self.reports.insert(link, report);
+        self.reports.insert(
+            link,
+            Report {
+                received_at,
+                contact_at,
+            },
+        );
     }
 
     /// Records whether the peer on a link follows this node.
--- a/crates/rillgap-forward/tests/store_return.rs
+++ b/crates/rillgap-forward/tests/store_return.rs
@@ -25,7 +25,7 @@
 /// Time within which all records must be written again, in milliseconds.
 const MAX_RESTORE_MILLIS: u64 = 2_000;
 
-fn configuration_reply(epoch: StoreEpoch, revision: u64, version: Option<u64>) -> StoreReply {
+fn config_reply(epoch: StoreEpoch, revision: u64, version: Option<u64>) -> StoreReply {
     StoreReply::Configuration {
         position: StorePosition::new(epoch, revision),
         configuration: version.map(configuration),
@@ -56,9 +56,7 @@
         };
         for _ in 0..4 {
             calls.step(at(0), |request| match request {
-                StoreRequest::ReadConfiguration => {
-                    Some(configuration_reply(OLD_EPOCH, 40, Some(7)))
-                }
+                StoreRequest::ReadConfiguration => Some(config_reply(OLD_EPOCH, 40, Some(7))),
                 StoreRequest::Register(_) => Some(registered_reply(OLD_EPOCH)),
                 StoreRequest::ListNodes { .. } => Some(StoreReply::Nodes {
                     epoch: OLD_EPOCH,
@@ -112,7 +110,7 @@
     let mut made = Vec::new();
     for millis in 0..MAX_RESTORE_MILLIS {
         made.extend(calls.step(at(100 + millis), |request| match request {
-            StoreRequest::ReadConfiguration => Some(configuration_reply(NEW_EPOCH, 20, Some(6))),
+            StoreRequest::ReadConfiguration => Some(config_reply(NEW_EPOCH, 20, Some(6))),
             StoreRequest::Register(_) => Some(registered_reply(NEW_EPOCH)),
             _ => None,
         }));
@@ -146,7 +144,7 @@
         for (id, request) in calls {
             let reply = match request {
                 StoreRequest::Register(_) => registered_reply(OLD_EPOCH),
-                _ => configuration_reply(OLD_EPOCH, 40, Some(7)),
+                _ => config_reply(OLD_EPOCH, 40, Some(7)),
             };
             store.on_reply(at(0), id, reply);
         }
@@ -172,7 +170,7 @@
 fn watch_answered_in_a_new_epoch_leads_to_a_read_since_revisions_are_reused() {
     let mut calls = StoreCalls::watching();
     calls.store.take_proof();
-    calls.answer_watch(at(100), configuration_reply(NEW_EPOCH, 41, None));
+    calls.answer_watch(at(100), config_reply(NEW_EPOCH, 41, None));
     expect_that!(calls.store.take_proof(), none());
     let next = calls.step(at(101), |_| None);
     expect_that!(next, contains(eq(&StoreRequest::ReadConfiguration)));
@@ -183,7 +181,7 @@
     let mut calls = StoreCalls::watching();
     calls.store.take_proof();
     calls.store.observe_epoch(at(100), NEW_EPOCH);
-    calls.answer_watch(at(100), configuration_reply(OLD_EPOCH, 44, Some(9)));
+    calls.answer_watch(at(100), config_reply(OLD_EPOCH, 44, Some(9)));
     expect_that!(calls.store.is_watching(at(150)), eq(false));
     expect_that!(calls.store.take_proof(), none());
     let next = calls.step(at(1_300), |_| None);
@@ -211,7 +209,7 @@
     );
     test.answer_store(
         |request| matches!(request, StoreRequest::ReadConfiguration),
-        configuration_reply(OLD_EPOCH, 40, Some(7)),
+        config_reply(OLD_EPOCH, 40, Some(7)),
     );
     let link = LinkId(500);
     let hello = Hello {
@@ -231,7 +229,7 @@
     test.pass(3_500);
     test.answer_store(
         |request| matches!(request, StoreRequest::ReadConfiguration),
-        configuration_reply(NEW_EPOCH, 20, Some(6)),
+        config_reply(NEW_EPOCH, 20, Some(6)),
     );
     test
 }
@@ -326,7 +324,7 @@
     test.pass(100);
     test.answer_store(
         |request| matches!(request, StoreRequest::WatchConfiguration { .. }),
-        configuration_reply(NEW_EPOCH, 22, Some(7)),
+        config_reply(NEW_EPOCH, 22, Some(7)),
     );
     expect_that!(test.node.proof_age(at(test.now)), some(anything()));
 }
