--- a/crates/rillgap-forward/src/credential.rs
+++ b/crates/rillgap-forward/src/credential.rs
@@ -5,7 +5,7 @@
 use bitcode::{Decode, Encode};
 use sha2::{Digest, Sha256};
 
-/// Digest of a key. The key itself is never stored, and `Debug` does not reveal the digest.
+/// Digest of a key. The key itself is not kept anywhere, and `Debug` does not reveal the digest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct KeyDigest([u8; 32]);
 
--- a/crates/rillgap-forward/src/rate_limit/bucket.rs
+++ b/crates/rillgap-forward/src/rate_limit/bucket.rs
@@ -34,7 +34,7 @@
 }
 
 impl Bucket {
-    /// Creates an empty bucket: a new owner cannot know how many tokens were spent before.
+    /// Creates an empty bucket: a new owner has no record of the tokens that were spent before.
     fn new(owned_since: Instant) -> Self {
         Self {
             tokens: 0.0,
--- a/crates/rillgap-forward/src/rate_limit/ownership.rs
+++ b/crates/rillgap-forward/src/rate_limit/ownership.rs
@@ -48,6 +48,6 @@
     Peer(PeerIndex, LinkId),
     /// A peer to which a link is being opened.
     Unlinked(PeerIndex),
-    /// No owner: this node has no contact with any possible owner and is itself partitioned.
+    /// No owner: this node has no contact with any possible owner and is partitioned itself.
     Unavailable,
 }
--- a/crates/rillgap-forward/src/store_sync/call.rs
+++ b/crates/rillgap-forward/src/store_sync/call.rs
@@ -67,9 +67,8 @@
         /// position.
         configuration: Option<Configuration>,
     },
-    /// The store does not hold the history at the position of a watch, or no longer holds it.
-    /// Contains
-    /// the epoch of the reply.
+    /// The store holds no history from the position of a watch, or no longer holds it. Contains the
+    /// epoch of the reply.
     PositionExpired(StoreEpoch),
     /// The record is stored.
     Registered {
--- a/crates/rillgap-forward/src/store_sync/mod.rs
+++ b/crates/rillgap-forward/src/store_sync/mod.rs
@@ -9,8 +9,7 @@
 //! A node usually receives the configuration from its peers. If it receives none, it reads the
 //! configuration from the store after a delay that grows with the number of nodes and differs from
 //! node to node, so that only a few of many nodes that start together read it. The nodes that are
-//! elected as watchers (see [`watcher_election`](crate::watcher_election)) watch the configuration
-//! by long polling.
+//! elected as watchers (see [`watcher_election`]) watch the configuration by long polling.
 //!
 //! When the store is restored from a backup (see [`store_epoch`](crate::store_epoch)), the node
 //! reads what it watches again and writes its record again.
@@ -59,7 +58,7 @@
 const WATCH_ANSWER_GRACE: Duration = Duration::from_millis(600);
 
 /// Fraction of the store's write rate that the nodes of a deployment use together to write their
-/// records again: the restore of the store becomes known to all of them at nearly the same moment.
+/// records again: the new epoch of a restored store reaches all of them at nearly the same moment.
 const REGISTRATION_RATE_FRACTION: f64 = 0.75;
 
 /// State of the node's watch of the configuration.
--- a/crates/rillgap-forward/src/watch_relay.rs
+++ b/crates/rillgap-forward/src/watch_relay.rs
@@ -1,9 +1,10 @@
 //! Relays the age of the last contact with the store from the nodes that watch it to all others.
 //!
 //! An answered watch proves that its node would have received a change. Each node follows some
-//! nodes that precede it in the order of watchers, and forwards the latest contact that it knows to
-//! its own followers. A report states the age of the original answer, and reports are sent only
-//! from preceding to following nodes: they cannot circulate and appear more recent than they are.
+//! nodes that precede it in the order of watchers, and reports the latest contact, its own or a
+//! reported one, to its followers. A report states the age of the original answer, and reports are
+//! sent only from preceding to following nodes: they cannot circulate and appear more recent than
+//! they are.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/rillgap-forward/src/watcher_election.rs
+++ b/crates/rillgap-forward/src/watcher_election.rs
@@ -57,6 +57,7 @@
 #[derive(Clone, Debug)]
 pub struct WatcherElection {
     name_hash: u64,
+    /// [`STARTUP_DELAY`], or zero once enough followed nodes have had a recent contact.
     startup_delay: Duration,
     needed_since: Option<Instant>,
 }
