--- a/crates/rillgap-cli/src/command.rs
+++ b/crates/rillgap-cli/src/command.rs
@@ -21,7 +21,7 @@
 use crate::explain::Explainer;
 use crate::output::Printer;
 use crate::policy_file;
-use crate::session::{Alteration, Session};
+use crate::session::{ChangeRequest, Session};
 
 /// Runs one command and returns the code with which the process exits.
 pub async fn run(
@@ -90,9 +90,9 @@
     async fn apply(&mut self, apply: ApplyPolicyArguments) -> Result<ResultCode, CommandError> {
         let policy = policy_file::load(&apply.file)?;
         let expected = apply.expect_version.map(PolicyVersion);
-        let change = apply.change.map_or_else(draw_change, |change| change.0);
-        let alteration = Alteration::Policy { policy, expected };
-        self.alter(alteration, change, apply.wait).await
+        let change = apply.change.map_or_else(new_change_id, |change| change.0);
+        let request = ChangeRequest::Policy { policy, expected };
+        self.submit_change(request, change, apply.wait).await
     }
 
     async fn back_end(&mut self, command: BackEndCommand) -> Result<ResultCode, CommandError> {
@@ -101,19 +101,19 @@
             BackEndCommand::Restore(restore) => (restore.name, BackEndState::Serving, restore.wait),
         };
         let name = BackEndName(name);
-        let alteration = Alteration::BackEnd { name, state };
-        self.alter(alteration, draw_change(), wait).await
+        let request = ChangeRequest::BackEnd { name, state };
+        self.submit_change(request, new_change_id(), wait).await
     }
 
-    async fn alter(
+    async fn submit_change(
         &mut self,
-        alteration: Alteration,
+        request: ChangeRequest,
         id: ChangeId,
         wait: Seconds,
     ) -> Result<ResultCode, CommandError> {
         log::info!("ctl: change sent; change={}", change_text(id));
         let wait = Duration::from_secs(wait.0);
-        let change = self.session.change(&alteration, id, wait).await?;
+        let change = self.session.change(&request, id, wait).await?;
         self.report(id, &change)
     }
 
@@ -167,6 +167,6 @@
     }
 }
 
-fn draw_change() -> ChangeId {
+fn new_change_id() -> ChangeId {
     ChangeId(Uuid::now_v7().as_u128())
 }
--- a/crates/rillgap-cli/src/explain/mod.rs
+++ b/crates/rillgap-cli/src/explain/mod.rs
@@ -16,7 +16,7 @@
 /// seconds.
 const CONTEXT_SECONDS: f64 = 5.0;
 /// Most lines about beliefs that are kept while logs are read.
-const MOST_BELIEFS: usize = 200_000;
+const MAX_NODE_EVENTS: usize = 200_000;
 
 /// What logs tell of a request.
 #[derive(Clone, Debug, Serialize)]
@@ -30,7 +30,8 @@
     /// Lines about the request, its calls and the requests that it was made for, in their order.
     pub path: Vec<Record>,
     /// What the nodes on that path began to believe shortly before.
-    pub beliefs: Vec<Record>,
+    #[serde(rename = "beliefs")]
+    pub node_events: Vec<Record>,
 }
 
 /// Reads logs and keeps what a request needs.
@@ -38,7 +39,7 @@
 pub struct Explainer {
     request: String,
     path: Vec<Record>,
-    beliefs: Vec<Record>,
+    node_events: Vec<Record>,
 }
 
 impl Explainer {
@@ -47,7 +48,7 @@
         Self {
             request: request.to_owned(),
             path: Vec::new(),
-            beliefs: Vec::new(),
+            node_events: Vec::new(),
         }
     }
 
@@ -61,7 +62,7 @@
             let line = line?;
             let text = String::from_utf8_lossy(&line);
             if let Some(record) = Record::parse(&text, node) {
-                self.take(record);
+                self.add_record(record);
             }
         }
         Ok(())
@@ -71,29 +72,29 @@
     pub fn explain(mut self) -> Explanation {
         let by_time = |left: &Record, right: &Record| left.time.total_cmp(&right.time);
         self.path.sort_by(by_time);
-        let mut beliefs = self.relevant_beliefs();
-        beliefs.sort_by(by_time);
+        let mut node_events = self.relevant_node_events();
+        node_events.sort_by(by_time);
         Explanation {
             verdict: Verdict::of(&self.request, &self.path),
-            configuration: configuration::describe(&self.request, &self.path, &self.beliefs),
+            configuration: configuration::describe(&self.request, &self.path, &self.node_events),
             request: self.request,
             path: self.path,
-            beliefs,
+            node_events,
         }
     }
 
-    fn take(&mut self, record: Record) {
+    fn add_record(&mut self, record: Record) {
         match &record.request {
             Some(id) if extends(id, &self.request) || extends(&self.request, id) => {
                 self.path.push(record);
             }
             Some(_) => {}
-            None if self.beliefs.len() < MOST_BELIEFS => self.beliefs.push(record),
+            None if self.node_events.len() < MAX_NODE_EVENTS => self.node_events.push(record),
             None => {}
         }
     }
 
-    fn relevant_beliefs(&self) -> Vec<Record> {
+    fn relevant_node_events(&self) -> Vec<Record> {
         let (Some(first), Some(last)) = (self.path.first(), self.path.last()) else {
             return Vec::new();
         };
@@ -104,7 +105,7 @@
             .flat_map(|record| [Some(record.node.as_str()), record.text("peer")])
             .flatten()
             .collect();
-        self.beliefs
+        self.node_events
             .iter()
             .filter(|record| span.contains(&record.time) && nodes.contains(record.node.as_str()))
             .cloned()
--- a/crates/rillgap-cli/src/explain/record.rs
+++ b/crates/rillgap-cli/src/explain/record.rs
@@ -4,7 +4,7 @@
 use serde_json::{Map, Value};
 
 /// Fields that stand in [`Record`] themselves, or that nobody needs to see.
-const OWN_FIELDS: [&str; 6] = ["message", "time", "uptime", "level", "request", "node"];
+const OMITTED_FIELDS: [&str; 6] = ["message", "time", "uptime", "level", "request", "node"];
 
 /// One line of a log.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -36,7 +36,7 @@
         let time = fields.get("time").and_then(Value::as_f64)?;
         let prefix = line[..start].split_whitespace().last();
         let node = text(&fields, "node").unwrap_or_else(|| prefix.unwrap_or(node).to_owned());
-        fields.retain(|name, _| !OWN_FIELDS.contains(&name.as_str()));
+        fields.retain(|name, _| !OMITTED_FIELDS.contains(&name.as_str()));
         Some(Self {
             node,
             time,
--- a/crates/rillgap-cli/src/explain/verdict.rs
+++ b/crates/rillgap-cli/src/explain/verdict.rs
@@ -8,11 +8,11 @@
 /// Message of the line that tells a request's end.
 pub(super) const ANSWERED: &str = "outbound: answered";
 /// Message of the line with which the node beside a back end gives a request up.
-const NO_ANSWER: &str = "inbound: no answer";
+const UNANSWERED: &str = "inbound: no answer";
 /// Message of the line that tells that the caller left.
 const CALLER_GONE: &str = "outbound: caller gone";
 /// Status from which an answer is a failure.
-const FAILURE: u64 = 500;
+const MIN_FAILURE_STATUS: u64 = 500;
 
 /// How a request ended, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -40,19 +40,19 @@
 /// Returns a sentence for each step from a request's end to its cause.
 fn steps(request: &str, path: &[Record]) -> Vec<String> {
     let answer = last(path, request, ANSWERED);
-    let refusal = last(path, request, NO_ANSWER);
+    let unanswered = last(path, request, UNANSWERED);
     let mut sentences = Vec::new();
     sentences.push(match answer {
         Some(answer) => describe_answer(answer),
         None => describe_missing_end(request, path).to_owned(),
     });
-    sentences.extend(refusal.map(describe_no_answer));
+    sentences.extend(unanswered.map(describe_no_answer));
     // A failure of the back end's own may come from a call that it made.
     let is_own_failure = answer.is_none_or(|answer| {
-        answer.number("code") == Some(0) && answer.number("status") >= Some(FAILURE)
+        answer.number("code") == Some(0) && answer.number("status") >= Some(MIN_FAILURE_STATUS)
     });
     if is_own_failure
-        && refusal.is_none()
+        && unanswered.is_none()
         && let Some(call) = failed_call(path, request)
     {
         sentences.extend(steps(call, path));
@@ -80,8 +80,9 @@
 /// Returns the first call of a request that came to nothing.
 fn failed_call<'a>(path: &'a [Record], request: &str) -> Option<&'a str> {
     let is_failure = |record: &&Record| {
-        let answered = record.message == ANSWERED && record.number("status") >= Some(FAILURE);
-        answered || record.message == NO_ANSWER
+        let answered =
+            record.message == ANSWERED && record.number("status") >= Some(MIN_FAILURE_STATUS);
+        answered || record.message == UNANSWERED
     };
     path.iter()
         .filter(is_failure)
@@ -116,12 +117,12 @@
     )
 }
 
-fn describe_no_answer(refusal: &Record) -> String {
-    let node = &refusal.node;
-    let request = refusal.request.as_deref().unwrap_or_default();
-    let code = refusal.number("code").unwrap_or(0);
+fn describe_no_answer(unanswered: &Record) -> String {
+    let node = &unanswered.node;
+    let request = unanswered.request.as_deref().unwrap_or_default();
+    let code = unanswered.number("code").unwrap_or(0);
     let reason = title(code);
-    let count = |name| refusal.number(name).unwrap_or(0);
+    let count = |name| unanswered.number(name).unwrap_or(0);
     format!(
         "{request}: {node} gave it up (code {code}, {reason}) with {} running and {} waiting of {} allowed",
         count("running"),
--- a/crates/rillgap-cli/src/output.rs
+++ b/crates/rillgap-cli/src/output.rs
@@ -78,7 +78,10 @@
             self.line(sentence)?;
         }
         self.records("\nPath", &explanation.path)?;
-        self.records("\nWhat its nodes began to believe", &explanation.beliefs)
+        self.records(
+            "\nWhat its nodes began to believe",
+            &explanation.node_events,
+        )
     }
 
     fn records(&mut self, title: &str, records: &[Record]) -> Result<(), CommandError> {
--- a/crates/rillgap-cli/src/session.rs
+++ b/crates/rillgap-cli/src/session.rs
@@ -17,14 +17,14 @@
 const MAX_CALLS: usize = 5;
 
 /// Pause before a call is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Pause between two looks at a pending change.
-const POLL_PAUSE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A change of the policy that is to be made.
 #[derive(Clone, Debug)]
-pub enum Alteration {
+pub enum ChangeRequest {
     /// Replaces the policy.
     Policy {
         /// The new one.
@@ -75,13 +75,13 @@
     /// The same change identifier goes with every repeat, so that it is applied once at most.
     pub async fn change(
         &mut self,
-        alteration: &Alteration,
+        request: &ChangeRequest,
         change: ChangeId,
         wait: Duration,
     ) -> Result<Change, CommandError> {
         let deadline = Instant::now() + wait;
-        let stored = self.store(alteration, change).await?;
-        self.follow_from(stored, change, deadline).await
+        let stored = self.store(request, change).await?;
+        self.poll_until_accepted(stored, change, deadline).await
     }
 
     /// Tells how far a change has come, and waits as [`Self::change`] does.
@@ -92,33 +92,33 @@
     ) -> Result<Change, CommandError> {
         let deadline = Instant::now() + wait;
         let first = self.client().get_change(change).await?;
-        self.follow_from(first, change, deadline).await
+        self.poll_until_accepted(first, change, deadline).await
     }
 
     async fn store(
         &mut self,
-        alteration: &Alteration,
+        request: &ChangeRequest,
         change: ChangeId,
     ) -> Result<Change, CommandError> {
         for _ in 1..MAX_CALLS {
-            match self.send(alteration, change).await {
-                Err(error) if is_undecided(&error) => {
+            match self.send(request, change).await {
+                Err(error) if has_unknown_effect(&error) => {
                     let change = change_text(change);
                     log::warn!(
                         "ctl: effect not known, call repeated; change={change} error={error}"
                     );
-                    self.ask_next_node();
-                    sleep(REPEAT_PAUSE).await;
+                    self.switch_to_next_node();
+                    sleep(RETRY_DELAY).await;
                 }
                 result => return Ok(result?),
             }
         }
-        let last = self.send(alteration, change).await;
-        last.map_err(|error| self.give_up(error, change))
+        let last = self.send(request, change).await;
+        last.map_err(|error| self.final_error(error, change))
     }
 
-    fn give_up(&self, error: OperatorError, change: ChangeId) -> CommandError {
-        if !is_undecided(&error) {
+    fn final_error(&self, error: OperatorError, change: ChangeId) -> CommandError {
+        if !has_unknown_effect(&error) {
             return CommandError::Call(error);
         }
         CommandError::Unsettled {
@@ -129,33 +129,33 @@
 
     async fn send(
         &mut self,
-        alteration: &Alteration,
+        request: &ChangeRequest,
         change: ChangeId,
     ) -> Result<Change, OperatorError> {
         let client = self.client();
-        match alteration.clone() {
-            Alteration::Policy { policy, expected } => {
+        match request.clone() {
+            ChangeRequest::Policy { policy, expected } => {
                 client.apply_policy(policy, expected, change).await
             }
-            Alteration::BackEnd { name, state } => {
+            ChangeRequest::BackEnd { name, state } => {
                 client.set_back_end_state(name, state, change).await
             }
         }
     }
 
-    async fn follow_from(
+    async fn poll_until_accepted(
         &mut self,
         mut latest: Change,
         change: ChangeId,
         deadline: Instant,
     ) -> Result<Change, CommandError> {
         while latest.state != ChangeState::Accepted && Instant::now() < deadline {
-            sleep(POLL_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
             match timeout_at(deadline, self.client().get_change(change)).await {
                 Ok(Ok(newer)) => latest = newer,
                 Ok(Err(error)) => {
                     log::warn!("ctl: no news of the change; error={error}");
-                    self.ask_next_node();
+                    self.switch_to_next_node();
                 }
                 Err(_) => break,
             }
@@ -163,13 +163,13 @@
         Ok(latest)
     }
 
-    fn ask_next_node(&mut self) {
+    fn switch_to_next_node(&mut self) {
         self.current = (self.current + 1) % self.clients.len();
     }
 }
 
 /// Returns whether the call may have taken effect, so that a repeat tells.
-fn is_undecided(error: &OperatorError) -> bool {
+fn has_unknown_effect(error: &OperatorError) -> bool {
     matches!(
         error.code(),
         ResultCode::OperatorUnreachable | ResultCode::ChangeUnsettled
--- a/crates/rillgap-cli/tests/explain.rs
+++ b/crates/rillgap-cli/tests/explain.rs
@@ -95,12 +95,12 @@
         nodes,
         elements_are![eq(&"fares-1"), eq(&"books-1"), eq(&"entry-1")]
     );
-    let beliefs: Vec<&str> = explanation
-        .beliefs
+    let node_events: Vec<&str> = explanation
+        .node_events
         .iter()
         .map(|record| record.message.as_str())
         .collect();
-    expect_that!(beliefs, elements_are![eq(&"mesh: peer")]);
+    expect_that!(node_events, elements_are![eq(&"mesh: peer")]);
 }
 
 #[gtest]
--- a/crates/rillgap-core/src/admission/back_end.rs
+++ b/crates/rillgap-core/src/admission/back_end.rs
@@ -18,18 +18,18 @@
 use crate::time::{Instant, micros};
 
 /// Queued requests per slot, at most.
-const QUEUE_PER_SLOT: usize = 8;
+const MAX_QUEUED_PER_SLOT: usize = 8;
 /// Bounds of the queue's length.
-const QUEUE_LENGTH: (usize, usize) = (32, 1_024);
+const QUEUE_CAPACITY_RANGE: (usize, usize) = (32, 1_024);
 /// Shortest and longest time after which a refused caller is asked back, in milliseconds.
-const RETRY_AFTER_MILLIS: (u64, u64) = (50, 5_000);
+const RETRY_AFTER_RANGE_MILLIS: (u64, u64) = (50, 5_000);
 /// Time after which a queue that never emptied counts as standing.
-const STANDING_AFTER: Duration = Duration::from_millis(100);
+const STANDING_QUEUE_DELAY: Duration = Duration::from_millis(100);
 /// Longest wait in a standing queue, as a share of the mean time that requests take.
-const STANDING_BOUND: f64 = 0.5;
+const MAX_STANDING_WAIT_FRACTION: f64 = 0.5;
 /// Share of the limit that may run although it is not expected to meet its deadline, so that
 /// an estimate which has become too long is corrected.
-const PROBE_SHARE: f64 = 0.1;
+const PROBE_FRACTION: f64 = 0.1;
 
 /// A request running at the back end.
 #[derive(Clone, Debug)]
@@ -49,14 +49,14 @@
     node: NodeId,
     service: Option<ServiceName>,
     slots: u16,
-    queue_bound: Duration,
+    queue_timeout: Duration,
     limit: ConcurrencyLimit,
     times: ServiceTimes,
     threshold: Threshold,
     queue: ClassQueue,
     queued_since: Option<Instant>,
     running: BTreeMap<AttemptId, Running>,
-    decided: Vec<QueueDecision>,
+    decisions: Vec<QueueDecision>,
 }
 
 impl BackEndAdmission {
@@ -75,7 +75,7 @@
             self.service = Some(service.name.clone());
         }
         self.slots = service.slots;
-        self.queue_bound = Duration::from_millis(u64::from(service.queue_millis));
+        self.queue_timeout = Duration::from_millis(u64::from(service.queue_millis));
         self.limit.configure(service.slots);
     }
 
@@ -103,8 +103,13 @@
         };
         self.limit.finish(now, completion, latency, running);
         match completion {
-            Completion::Answered => self.times.answered(ended.class, latency, ended.nested_wait),
-            Completion::Failed => self.times.given_up(ended.class, latency, ended.nested_wait),
+            Completion::Answered => {
+                self.times
+                    .record_answered(ended.class, latency, ended.nested_wait)
+            }
+            Completion::Failed => self
+                .times
+                .record_failed(ended.class, latency, ended.nested_wait),
             Completion::Shed => {}
         }
         let mut load = self.load();
@@ -132,8 +137,8 @@
         self.update_threshold(now);
         self.refuse_expired(now);
         self.start_queued(now);
-        self.watch_queue(now);
-        std::mem::take(&mut self.decided)
+        self.track_standing_queue(now);
+        std::mem::take(&mut self.decisions)
     }
 
     /// Returns when [`Self::poll`] must be called next.
@@ -164,7 +169,7 @@
         }
     }
 
-    fn has_room(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         count(self.running.len()) < self.current_limit()
     }
 
@@ -180,10 +185,10 @@
     }
 
     fn offer_fixed(&mut self, now: Instant, ticket: Ticket) -> Verdict {
-        if self.has_room() {
+        if self.has_free_slot() {
             return self.start(&ticket, Duration::ZERO);
         }
-        if self.queue.len() >= self.longest_queue() {
+        if self.queue.len() >= self.max_queue_len() {
             return Verdict::Refuse(self.refusal(ResultCode::QueueFull));
         }
         // One class for all keeps the order of arrival.
@@ -191,7 +196,7 @@
             class: Class::Standard,
             ..ticket
         };
-        let cutoff = now + self.queue_bound;
+        let cutoff = now + self.queue_timeout;
         self.queue.push(Queued {
             ticket,
             queued_at: now,
@@ -209,18 +214,18 @@
             return Verdict::Refuse(self.refusal(ResultCode::DeadlineUnmet));
         }
         let ahead = self.queue.ahead_of(ticket.class);
-        if ahead == 0 && self.has_room() {
+        if ahead == 0 && self.has_free_slot() {
             return self.start(&ticket, Duration::ZERO);
         }
         let wait = self.drain_time(ahead + 1);
         if remaining < wait + expected {
             return Verdict::Refuse(self.refusal(ResultCode::DeadlineUnmet));
         }
-        let bound = self.class_bound(now, ticket.class);
-        if wait > bound || !self.make_room(&ticket) {
+        let timeout = self.class_queue_timeout(now, ticket.class);
+        if wait > timeout || !self.make_queue_space(&ticket) {
             return Verdict::Refuse(self.refusal(ResultCode::QueueFull));
         }
-        let cutoff = (ticket.deadline - expected).min(now + bound);
+        let cutoff = (ticket.deadline - expected).min(now + timeout);
         self.queue.push(Queued {
             ticket,
             queued_at: now,
@@ -231,44 +236,46 @@
 
     /// Returns whether a request may run although its deadline looks too short.
     fn may_probe(&self) -> bool {
-        let probes = (f64::from(self.current_limit()) * PROBE_SHARE).max(1.0);
+        let probes = (f64::from(self.current_limit()) * PROBE_FRACTION).max(1.0);
         self.queue.len() == 0 && (self.running.len() as f64) < probes
     }
 
     /// Makes sure that the queue has a place, at the cost of a lower ticket if need be.
-    fn make_room(&mut self, ticket: &Ticket) -> bool {
-        if self.queue.len() < self.longest_queue() {
+    fn make_queue_space(&mut self, ticket: &Ticket) -> bool {
+        if self.queue.len() < self.max_queue_len() {
             return true;
         }
         let Some(evicted) = self.queue.evict_below(ticket) else {
             return false;
         };
         let refusal = self.refusal(ResultCode::QueueFull);
-        self.decided
+        self.decisions
             .push(QueueDecision::Refuse(evicted.ticket.attempt, refusal));
         true
     }
 
-    fn longest_queue(&self) -> usize {
-        let (shortest, longest) = QUEUE_LENGTH;
-        (usize::from(self.slots) * QUEUE_PER_SLOT).clamp(shortest, longest)
+    fn max_queue_len(&self) -> usize {
+        let (shortest, longest) = QUEUE_CAPACITY_RANGE;
+        (usize::from(self.slots) * MAX_QUEUED_PER_SLOT).clamp(shortest, longest)
     }
 
     /// Returns the longest time in the queue for a class: all of the policy's bound for the
     /// highest class, a quarter less for each class below. A standing queue is no burst that
     /// passes, so all but the highest class get a short one, as CoDel does.
-    fn class_bound(&self, now: Instant, class: Class) -> Duration {
+    fn class_queue_timeout(&self, now: Instant, class: Class) -> Duration {
         let classes = Class::ALL.len() as u32;
         let standing = self
             .queued_since
-            .is_some_and(|since| now.saturating_since(since) >= STANDING_AFTER);
-        let whole = if standing && class != Class::Critical {
-            let short = Duration::from_micros((STANDING_BOUND * self.times.mean_micros()) as u64);
-            short.min(self.queue_bound)
+            .is_some_and(|since| now.saturating_since(since) >= STANDING_QUEUE_DELAY);
+        let timeout = if standing && class != Class::Critical {
+            let standing_timeout = Duration::from_micros(
+                (MAX_STANDING_WAIT_FRACTION * self.times.mean_micros()) as u64,
+            );
+            standing_timeout.min(self.queue_timeout)
         } else {
-            self.queue_bound
+            self.queue_timeout
         };
-        whole * (class.index() as u32 + 1) / classes
+        timeout * (class.index() as u32 + 1) / classes
     }
 
     /// Returns the time in which `count` queued requests come to their turn.
@@ -278,20 +285,20 @@
     }
 
     fn refusal(&self, code: ResultCode) -> Refusal {
-        let (shortest, longest) = RETRY_AFTER_MILLIS;
-        let drain = micros(self.drain_time(self.queue.len() + 1)) / 1_000;
+        let (shortest, longest) = RETRY_AFTER_RANGE_MILLIS;
+        let drain_millis = micros(self.drain_time(self.queue.len() + 1)) / 1_000;
         let level = u64::from(self.threshold.level().0);
-        let pressure = longest * level / u64::from(Level::COUNT);
-        let millis = drain.max(pressure).clamp(shortest, longest);
+        let level_millis = longest * level / u64::from(Level::COUNT);
+        let wait_millis = drain_millis.max(level_millis).clamp(shortest, longest);
         Refusal {
             code,
             retry_after: RetryAfter {
-                millis: u32::try_from(millis).unwrap_or(u32::MAX),
+                millis: u32::try_from(wait_millis).unwrap_or(u32::MAX),
             },
         }
     }
 
-    fn watch_queue(&mut self, now: Instant) {
+    fn track_standing_queue(&mut self, now: Instant) {
         if self.queue.len() == 0 {
             self.queued_since = None;
         } else {
@@ -303,38 +310,38 @@
         if self.settings.mode != ControlMode::Full || !self.threshold.is_due(now) {
             return;
         }
-        let pressure = WindowLoad {
+        let load = WindowLoad {
             limit: f64::from(self.current_limit().max(1)),
             mean_service_micros: self.times.mean_occupancy_micros(),
             queued: Class::ALL
                 .map(|class| (class.index() as u8, self.queue.class_len(class)))
                 .into(),
         };
-        self.threshold.update(now, &pressure);
+        self.threshold.update(now, &load);
     }
 
     fn refuse_expired(&mut self, now: Instant) {
         while let Some(expired) = self.queue.pop_expired(now) {
-            let bound_by_deadline = expired.cutoff + self.times.expected(expired.ticket.class)
+            let is_deadline_cutoff = expired.cutoff + self.times.expected(expired.ticket.class)
                 >= expired.ticket.deadline;
-            let code = if bound_by_deadline {
+            let code = if is_deadline_cutoff {
                 ResultCode::DeadlineUnmet
             } else {
                 ResultCode::QueueFull
             };
             let refusal = self.refusal(code);
-            self.decided
+            self.decisions
                 .push(QueueDecision::Refuse(expired.ticket.attempt, refusal));
         }
     }
 
     fn start_queued(&mut self, now: Instant) {
-        while self.has_room() {
+        while self.has_free_slot() {
             let Some(queued) = self.queue.pop() else {
                 return;
             };
             let decision = self.decide_queued(now, &queued);
-            self.decided.push(decision);
+            self.decisions.push(decision);
         }
     }
 
@@ -342,10 +349,10 @@
     fn decide_queued(&mut self, now: Instant, queued: &Queued) -> QueueDecision {
         let ticket = &queued.ticket;
         let remaining = ticket.deadline.saturating_since(now);
-        let doomed = self.settings.mode == ControlMode::Full
+        let misses_deadline = self.settings.mode == ControlMode::Full
             && remaining < self.times.expected(ticket.class)
             && !self.may_probe();
-        if doomed {
+        if misses_deadline {
             return QueueDecision::Refuse(ticket.attempt, self.refusal(ResultCode::DeadlineUnmet));
         }
         self.start(ticket, now.saturating_since(queued.queued_at));
--- a/crates/rillgap-core/src/admission/demand.rs
+++ b/crates/rillgap-core/src/admission/demand.rs
@@ -9,9 +9,9 @@
 use super::level::Level;
 
 /// Windows over which the lowest arriving level is taken.
-const HISTORY: usize = 4;
+const HISTORY_WINDOWS: usize = 4;
 /// Least open levels that a density is computed from, against division by next to nothing.
-const LEAST_OPEN: f64 = Level::PER_TIER as f64 / 256.0;
+const MIN_OPEN_LEVELS: f64 = Level::PER_TIER as f64 / 256.0;
 
 /// Arrivals of one window.
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +21,7 @@
     lowest: Level,
 }
 
-const NOTHING: Window = Window {
+const EMPTY_WINDOW: Window = Window {
     count: 0,
     work_micros: 0.0,
     lowest: Level(u32::MAX),
@@ -34,10 +34,10 @@
     /// Weight of one window in the moving density.
     weight: f64,
     current: Window,
-    history: [Window; HISTORY],
+    history: [Window; HISTORY_WINDOWS],
     next: usize,
     density: f64,
-    filter: f64,
+    upstream_threshold: f64,
     gap: f64,
 }
 
@@ -48,11 +48,11 @@
         Self {
             tier,
             weight,
-            current: NOTHING,
-            history: [NOTHING; HISTORY],
+            current: EMPTY_WINDOW,
+            history: [EMPTY_WINDOW; HISTORY_WINDOWS],
             next: 0,
             density: 0.0,
-            filter: floor(tier),
+            upstream_threshold: floor(tier),
             gap: f64::from(Level::PER_TIER),
         }
     }
@@ -66,22 +66,22 @@
 
     /// Ends a window in which the limit offered `offered_micros` of slot time. `windows` is its length
     /// in ordinary ones, `cut` the level below which arrivals were not counted.
-    pub fn end_window(&mut self, offered_micros: f64, windows: f64, cut: f64) {
+    pub fn end_window(&mut self, offered_micros: f64, windows: f64, min_counted_level: f64) {
         let work = self.current.work_micros / offered_micros;
         self.history[self.next] = self.current;
-        self.next = (self.next + 1) % HISTORY;
-        self.current = NOTHING;
+        self.next = (self.next + 1) % HISTORY_WINDOWS;
+        self.current = EMPTY_WINDOW;
         let recent: u32 = self.history.iter().map(|window| window.count).sum();
-        if recent == 0 && cut >= top(self.tier) {
+        if recent == 0 && min_counted_level >= top(self.tier) {
             // Shut out, so nothing can be learned.
             return;
         }
         if recent > 0 {
-            self.observe_filter(recent);
+            self.estimate_upstream_threshold(recent);
         } else {
-            self.filter = cut.max(floor(self.tier));
+            self.upstream_threshold = min_counted_level.max(floor(self.tier));
         }
-        let open = (top(self.tier) - self.filter).max(LEAST_OPEN);
+        let open = (top(self.tier) - self.upstream_threshold).max(MIN_OPEN_LEVELS);
         let sample = work / open;
         let weight = 1.0 - 1.0 / (1.0 + self.weight / (1.0 - self.weight) * windows);
         self.density += weight * (sample - self.density);
@@ -93,8 +93,8 @@
     }
 
     /// Returns the level below which nothing of the tier arrives, for whatever reason.
-    pub fn filter(&self) -> f64 {
-        self.filter
+    pub fn upstream_threshold(&self) -> f64 {
+        self.upstream_threshold
     }
 
     /// Returns the mean gap between the levels of arrivals, by which the filter is uncertain.
@@ -104,11 +104,11 @@
 
     /// Estimates the filter from the lowest arrival, which lies above it by the mean gap
     /// between arrivals.
-    fn observe_filter(&mut self, recent: u32) {
+    fn estimate_upstream_threshold(&mut self, recent: u32) {
         let lowest = self.history.iter().map(|window| window.lowest).min();
         let lowest = f64::from(lowest.unwrap_or(Level(u32::MAX)).0).min(top(self.tier));
         self.gap = (top(self.tier) - lowest) / f64::from(recent.max(1));
-        self.filter = (lowest - self.gap).max(floor(self.tier));
+        self.upstream_threshold = (lowest - self.gap).max(floor(self.tier));
     }
 }
 
--- a/crates/rillgap-core/src/admission/entry.rs
+++ b/crates/rillgap-core/src/admission/entry.rs
@@ -15,7 +15,7 @@
 use crate::time::Instant;
 
 /// Shortest and longest time after which a refused caller is asked back, in milliseconds.
-const RETRY_AFTER_MILLIS: (u32, u32) = (200, 2_000);
+const RETRY_AFTER_RANGE_MILLIS: (u32, u32) = (200, 2_000);
 
 /// Identifies a route of the policy, by a digest of what it matches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -120,7 +120,7 @@
 }
 
 fn retry_after(threshold: f64) -> RetryAfter {
-    let (shortest, longest) = RETRY_AFTER_MILLIS;
+    let (shortest, longest) = RETRY_AFTER_RANGE_MILLIS;
     let span = f64::from(longest - shortest);
     let millis = shortest + (threshold / f64::from(Level::COUNT) * span) as u32;
     RetryAfter { millis }
--- a/crates/rillgap-core/src/admission/limit.rs
+++ b/crates/rillgap-core/src/admission/limit.rs
@@ -10,15 +10,15 @@
 use crate::time::Instant;
 
 /// Factor applied when the back end sheds.
-const DECREASE: f64 = 0.8;
+const DECREASE_FACTOR: f64 = 0.8;
 /// Failures in a row that mean the back end is not working.
-const FAILURES_IN_A_ROW: u32 = 8;
+const SLOW_START_FAILURES: u32 = 8;
 /// Share of the slots that a back end gets when it starts or returns.
-const START_SHARE: f64 = 0.25;
+const SLOW_START_FRACTION: f64 = 0.25;
 /// Lowest limit; one request is always let through, to learn from it.
-const FLOOR: f64 = 1.0;
+const MIN_LIMIT: f64 = 1.0;
 /// Shortest time between two decreases, so that one burst of shedding counts once.
-const SHORTEST_COOLDOWN: Duration = Duration::from_millis(20);
+const MIN_COOLDOWN: Duration = Duration::from_millis(20);
 
 /// Learned concurrency limit.
 #[derive(Clone, Debug)]
@@ -26,17 +26,17 @@
     slots: f64,
     limit: f64,
     slow_start_until: f64,
-    failures: u32,
+    consecutive_failures: u32,
     decreased_at: Option<Instant>,
 }
 
 impl Default for ConcurrencyLimit {
     fn default() -> Self {
         Self {
-            slots: FLOOR,
-            limit: FLOOR,
-            slow_start_until: FLOOR,
-            failures: 0,
+            slots: MIN_LIMIT,
+            limit: MIN_LIMIT,
+            slow_start_until: MIN_LIMIT,
+            consecutive_failures: 0,
             decreased_at: None,
         }
     }
@@ -49,8 +49,8 @@
         if slots == self.slots {
             return;
         }
-        if self.slots == FLOOR {
-            self.limit = (slots * START_SHARE).max(FLOOR);
+        if self.slots == MIN_LIMIT {
+            self.limit = (slots * SLOW_START_FRACTION).max(MIN_LIMIT);
         }
         self.slots = slots;
         self.slow_start_until = slots;
@@ -71,14 +71,14 @@
         running: usize,
     ) {
         match completion {
-            Completion::Answered => self.answered(running),
-            Completion::Shed => self.shed(now, latency),
-            Completion::Failed => self.failed(now),
+            Completion::Answered => self.on_answered(running),
+            Completion::Shed => self.on_shed(now, latency),
+            Completion::Failed => self.on_failed(now),
         }
     }
 
-    fn answered(&mut self, running: usize) {
-        self.failures = 0;
+    fn on_answered(&mut self, running: usize) {
+        self.consecutive_failures = 0;
         let in_use = running as f64 >= self.limit * 0.5;
         if !in_use || self.limit >= self.slots {
             return;
@@ -91,28 +91,28 @@
         self.limit = (self.limit + growth).min(self.slots);
     }
 
-    fn shed(&mut self, now: Instant, latency: Duration) {
-        self.failures = 0;
-        let cooldown = latency.max(SHORTEST_COOLDOWN);
+    fn on_shed(&mut self, now: Instant, latency: Duration) {
+        self.consecutive_failures = 0;
+        let cooldown = latency.max(MIN_COOLDOWN);
         let cooling = self
             .decreased_at
             .is_some_and(|at| now.saturating_since(at) < cooldown);
         if !cooling {
-            self.decrease(now, self.limit * DECREASE);
+            self.decrease(now, self.limit * DECREASE_FACTOR);
         }
     }
 
-    fn failed(&mut self, now: Instant) {
-        self.failures = self.failures.saturating_add(1);
-        if self.failures >= FAILURES_IN_A_ROW {
-            self.failures = 0;
-            self.decrease(now, self.limit.min(self.slots * START_SHARE));
+    fn on_failed(&mut self, now: Instant) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        if self.consecutive_failures >= SLOW_START_FAILURES {
+            self.consecutive_failures = 0;
+            self.decrease(now, self.limit.min(self.slots * SLOW_START_FRACTION));
             self.slow_start_until = self.slots;
         }
     }
 
     fn decrease(&mut self, now: Instant, limit: f64) {
-        self.limit = limit.max(FLOOR);
+        self.limit = limit.max(MIN_LIMIT);
         self.slow_start_until = self.limit;
         self.decreased_at = Some(now);
     }
--- a/crates/rillgap-core/src/admission/queue.rs
+++ b/crates/rillgap-core/src/admission/queue.rs
@@ -80,14 +80,14 @@
     }
 
     /// Takes out the lowest ticket if it ranks below `than`, which wants its place.
-    pub fn evict_below(&mut self, than: &Ticket) -> Option<Queued> {
+    pub fn evict_below(&mut self, incoming: &Ticket) -> Option<Queued> {
         let lowest = self
             .classes
             .iter()
             .find(|class| !class.is_empty())?
             .values()
             .min_by_key(|queued| (queued.ticket.level(), queued.ticket.attempt))?;
-        if lowest.ticket.level() >= than.level() {
+        if lowest.ticket.level() >= incoming.level() {
             return None;
         }
         let attempt = lowest.ticket.attempt;
--- a/crates/rillgap-core/src/admission/reported.rs
+++ b/crates/rillgap-core/src/admission/reported.rs
@@ -9,17 +9,17 @@
 /// Time constant with which reported levels are smoothed, in microseconds.
 const SMOOTHING_MICROS: f64 = 50_000.0;
 /// Time without a report after which a level begins to decay.
-const HOLD: Duration = Duration::from_millis(300);
+const DECAY_DELAY: Duration = Duration::from_millis(300);
 /// Time without a report after which a back end is forgotten.
-const FORGOTTEN: Duration = Duration::from_secs(5);
+const REPORT_EXPIRY: Duration = Duration::from_secs(5);
 /// Least weight of one report.
-const LEAST_WEIGHT: f64 = 0.02;
+const MIN_REPORT_WEIGHT: f64 = 0.02;
 /// Levels by which a level without reports decays in a microsecond: a tier in a quarter of a second.
 const DECAY_PER_MICRO: f64 = Level::PER_TIER as f64 / 250_000.0;
 /// Weight of one answer in the learned involvement of a service.
 const INVOLVEMENT_WEIGHT: f64 = 0.05;
 /// Share of answers that must involve a service for its level to count for a route.
-const INVOLVED: f64 = 0.2;
+const MIN_INVOLVED_FRACTION: f64 = 0.2;
 
 /// Smoothed level that one back end reports.
 #[derive(Clone, Copy, Debug)]
@@ -32,7 +32,7 @@
     fn report(&mut self, now: Instant, level: Level) {
         let elapsed = micros(now.saturating_since(self.reported_at)) as f64;
         // Reports that arrive together share one step, so that none is lost to a zero weight.
-        let weight = (elapsed / (elapsed + SMOOTHING_MICROS)).max(LEAST_WEIGHT);
+        let weight = (elapsed / (elapsed + SMOOTHING_MICROS)).max(MIN_REPORT_WEIGHT);
         let current = self.at(now);
         self.level = current + weight * (f64::from(level.0) - current);
         self.reported_at = now;
@@ -40,11 +40,11 @@
 
     /// Returns the level, decayed if nothing was reported lately.
     fn at(&self, now: Instant) -> f64 {
-        let over = micros(self.silence(now).saturating_sub(HOLD)) as f64;
+        let over = micros(self.age(now).saturating_sub(DECAY_DELAY)) as f64;
         (self.level - over * DECAY_PER_MICRO).max(0.0)
     }
 
-    fn silence(&self, now: Instant) -> Duration {
+    fn age(&self, now: Instant) -> Duration {
         now.saturating_since(self.reported_at)
     }
 }
@@ -67,7 +67,7 @@
     /// Takes in a level.
     pub fn report(&mut self, now: Instant, reporter: R, level: Level) {
         self.reporters
-            .retain(|_, level| level.silence(now) < FORGOTTEN);
+            .retain(|_, level| level.age(now) < REPORT_EXPIRY);
         self.reporters
             .entry(reporter)
             .or_insert(ReportedLevel {
@@ -81,11 +81,11 @@
     ///
     /// A mean would shut out a class that most back ends have room for, for the sake of one.
     pub fn at(&self, now: Instant) -> f64 {
-        let heard = |level: &&ReportedLevel| level.silence(now) < HOLD;
+        let is_recent = |level: &&ReportedLevel| level.age(now) < DECAY_DELAY;
         let mut levels: Vec<f64> = self
             .reporters
             .values()
-            .filter(heard)
+            .filter(is_recent)
             .map(|level| level.at(now))
             .collect();
         if levels.is_empty() {
@@ -100,13 +100,13 @@
 /// Services further down that requests of one route involve, learned from their answers.
 #[derive(Clone, Debug)]
 pub struct Involvement<S> {
-    shares: BTreeMap<S, f64>,
+    fractions: BTreeMap<S, f64>,
 }
 
 impl<S> Default for Involvement<S> {
     fn default() -> Self {
         Self {
-            shares: BTreeMap::new(),
+            fractions: BTreeMap::new(),
         }
     }
 }
@@ -117,20 +117,20 @@
     where
         S: 'a,
     {
-        for share in self.shares.values_mut() {
-            *share -= INVOLVEMENT_WEIGHT * *share;
+        for fraction in self.fractions.values_mut() {
+            *fraction -= INVOLVEMENT_WEIGHT * *fraction;
         }
         for service in services {
-            match self.shares.get_mut(service) {
-                Some(share) => *share += INVOLVEMENT_WEIGHT,
+            match self.fractions.get_mut(service) {
+                Some(fraction) => *fraction += INVOLVEMENT_WEIGHT,
                 None => {
-                    let share = INVOLVED + INVOLVEMENT_WEIGHT;
-                    self.shares.insert(service.clone(), share);
+                    let fraction = MIN_INVOLVED_FRACTION + INVOLVEMENT_WEIGHT;
+                    self.fractions.insert(service.clone(), fraction);
                 }
             }
         }
-        self.shares
-            .retain(|_, share| *share > INVOLVEMENT_WEIGHT / 10.0);
+        self.fractions
+            .retain(|_, fraction| *fraction > INVOLVEMENT_WEIGHT / 10.0);
     }
 
     /// Takes in that one answer involved these services, and perhaps others that it did not come to.
@@ -139,19 +139,19 @@
         S: 'a,
     {
         for service in services {
-            let known = self.shares.get(service).copied().unwrap_or_default();
-            if known < INVOLVED {
-                let share = INVOLVED + INVOLVEMENT_WEIGHT;
-                self.shares.insert(service.clone(), share);
+            let known = self.fractions.get(service).copied().unwrap_or_default();
+            if known < MIN_INVOLVED_FRACTION {
+                let fraction = MIN_INVOLVED_FRACTION + INVOLVEMENT_WEIGHT;
+                self.fractions.insert(service.clone(), fraction);
             }
         }
     }
 
     /// Returns the services that are involved often enough for their levels to count.
     pub fn services(&self) -> impl Iterator<Item = &S> {
-        self.shares
+        self.fractions
             .iter()
-            .filter(|(_, share)| **share >= INVOLVED)
+            .filter(|(_, fraction)| **fraction >= MIN_INVOLVED_FRACTION)
             .map(|(service, _)| service)
     }
 }
--- a/crates/rillgap-core/src/admission/retry.rs
+++ b/crates/rillgap-core/src/admission/retry.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     settings: AdmissionSettings,
-    share: f64,
+    tokens_per_success: f64,
     tokens: BTreeMap<ServiceName, f64>,
 }
 
@@ -30,14 +30,14 @@
 
     /// Sets the share of successes that may be retried, in percent.
     pub fn configure(&mut self, percent: u8) {
-        self.share = f64::from(percent) / 100.0;
+        self.tokens_per_success = f64::from(percent) / 100.0;
     }
 
     /// Counts a success.
     pub fn record_success(&mut self, service: &ServiceName) {
-        let share = self.share;
+        let tokens_per_success = self.tokens_per_success;
         let tokens = self.tokens_of(service);
-        *tokens = (*tokens + share).min(BURST);
+        *tokens = (*tokens + tokens_per_success).min(BURST);
     }
 
     /// Takes one retry out of the budget; returns whether there was one.
--- a/crates/rillgap-core/src/admission/service_time.rs
+++ b/crates/rillgap-core/src/admission/service_time.rs
@@ -6,7 +6,7 @@
 use crate::time::micros;
 
 /// Weight of a new sample once the estimate has settled.
-const WEIGHT: f64 = 0.1;
+const MIN_SAMPLE_WEIGHT: f64 = 0.1;
 /// Samples from which a class's own estimate is used instead of the one over all classes.
 const SETTLED_SAMPLES: u32 = 8;
 
@@ -23,7 +23,7 @@
 impl Estimate {
     fn add(&mut self, latency: f64, occupancy: f64) {
         self.samples = self.samples.saturating_add(1);
-        let weight = WEIGHT.max(1.0 / f64::from(self.samples));
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
         self.latency += weight * (latency - self.latency);
         self.occupancy += weight * (occupancy - self.occupancy);
     }
@@ -39,7 +39,7 @@
 impl ServiceTimes {
     /// Takes in a request that was answered after `latency`, during `waited` of which calls
     /// made for it waited in other back ends' queues.
-    pub fn answered(&mut self, class: Class, latency: Duration, waited: Duration) {
+    pub fn record_answered(&mut self, class: Class, latency: Duration, waited: Duration) {
         let occupancy = micros(latency.saturating_sub(waited)) as f64;
         let latency = micros(latency) as f64;
         self.overall.add(latency, occupancy);
@@ -48,9 +48,9 @@
 
     /// Takes in a request that was given up: it would have taken longer still, so it counts
     /// only if it exceeds the estimate.
-    pub fn given_up(&mut self, class: Class, latency: Duration, waited: Duration) {
+    pub fn record_failed(&mut self, class: Class, latency: Duration, waited: Duration) {
         if micros(latency) as f64 > self.class(class).latency {
-            self.answered(class, latency, waited);
+            self.record_answered(class, latency, waited);
         }
     }
 
--- a/crates/rillgap-core/src/admission/threshold.rs
+++ b/crates/rillgap-core/src/admission/threshold.rs
@@ -16,28 +16,28 @@
 /// Length of a control window.
 const WINDOW: Duration = Duration::from_millis(50);
 /// Time within which a queue off its target shall come back to it, in microseconds.
-const HORIZON_MICROS: f64 = 150_000.0;
+const QUEUE_RECOVERY_MICROS: f64 = 150_000.0;
 /// Bounds of the queue's immediate correction of the capacity.
-const CORRECTION: (f64, f64) = (-0.9, 0.2);
+const QUEUE_CORRECTION_RANGE: (f64, f64) = (-0.9, 0.2);
 /// Bounds of the queue's lasting correction of the capacity.
-const TRIM: (f64, f64) = (0.85, 1.15);
+const TRIM_RANGE: (f64, f64) = (0.85, 1.15);
 /// Change of the trim in one window, for a queue that is off by its whole target.
 const TRIM_STEP: f64 = 0.01;
 /// Share of the way to the computed level that one window goes, upwards and downwards.
-const APPROACH: (f64, f64) = (0.5, 0.3);
+const LEVEL_SMOOTHING: (f64, f64) = (0.5, 0.3);
 /// Windows over which the highest own level is taken, so that its effect has arrived.
-const LEVEL_HISTORY: usize = 6;
+const LEVEL_HISTORY_WINDOWS: usize = 6;
 /// Gaps between arrivals by which a filter must lie above the own level to be another service's.
-const FILTER_MARGIN_GAPS: f64 = 3.0;
+const THRESHOLD_MARGIN_GAPS: f64 = 3.0;
 /// Bounds of that margin, in levels.
-const FILTER_MARGIN: (f64, f64) = (
+const THRESHOLD_MARGIN_RANGE: (f64, f64) = (
     Level::PER_TIER as f64 / 512.0,
     Level::PER_TIER as f64 / 10.0,
 );
 /// Distance from the lowest tier's floor, in levels, at which nothing counts as shed any more.
-const NOTHING_SHED: f64 = Level::PER_TIER as f64 / 128.0;
+const NO_SHED_MARGIN: f64 = Level::PER_TIER as f64 / 128.0;
 /// Demand per level below which a tier takes nothing.
-const NO_DENSITY: f64 = 1e-9;
+const MIN_DENSITY: f64 = 1e-9;
 
 /// How the controller is tuned.
 #[derive(Clone, Copy, Debug)]
@@ -77,7 +77,7 @@
     level: f64,
     trim: f64,
     window_started: Instant,
-    recent_levels: [f64; LEVEL_HISTORY],
+    recent_levels: [f64; LEVEL_HISTORY_WINDOWS],
     next_recent: usize,
     demand: BTreeMap<u8, TierDemand>,
 }
@@ -96,7 +96,7 @@
             level: 0.0,
             trim: 1.0,
             window_started: Instant::default(),
-            recent_levels: [0.0; LEVEL_HISTORY],
+            recent_levels: [0.0; LEVEL_HISTORY_WINDOWS],
             next_recent: 0,
             demand: BTreeMap::new(),
         }
@@ -104,7 +104,7 @@
 
     /// Returns the level below which requests would be shed; zero while none would be.
     pub fn level(&self) -> Level {
-        if self.level < self.lowest() + NOTHING_SHED {
+        if self.level < self.lowest_known_floor() + NO_SHED_MARGIN {
             return Level(0);
         }
         Level(self.level as u32)
@@ -112,7 +112,7 @@
 
     /// Counts a request that asks to be run and is expected to take this much slot time.
     pub fn record_arrival(&mut self, level: Level, work_micros: f64) {
-        if f64::from(level.0) < self.cut() {
+        if f64::from(level.0) < self.min_counted_level() {
             return;
         }
         let tier = level.tier();
@@ -128,33 +128,33 @@
     }
 
     /// Ends the window and moves the level.
-    pub fn update(&mut self, now: Instant, pressure: &WindowLoad) {
+    pub fn update(&mut self, now: Instant, load: &WindowLoad) {
         let elapsed = micros(now.saturating_since(self.window_started)) as f64;
         let windows = elapsed / micros(WINDOW) as f64;
-        let cut = self.cut();
+        let min_counted_level = self.min_counted_level();
         self.window_started = now;
         for demand in self.demand.values_mut() {
-            demand.end_window(pressure.limit * elapsed, windows, cut);
+            demand.end_window(load.limit * elapsed, windows, min_counted_level);
         }
         self.recent_levels[self.next_recent] = f64::from(self.level().0);
-        self.next_recent = (self.next_recent + 1) % LEVEL_HISTORY;
-        let queued: usize = pressure.queued.values().sum();
-        let queue = queued as f64 / pressure.limit;
+        self.next_recent = (self.next_recent + 1) % LEVEL_HISTORY_WINDOWS;
+        let queued: usize = load.queued.values().sum();
+        let queue = queued as f64 / load.limit;
         if self.level() == Level(0) && queue < self.tuning.queue_target {
-            self.level = self.lowest();
+            self.level = self.lowest_known_floor();
             self.trim = 1.0;
             return;
         }
         let off_target = (1.0 - queue / self.tuning.queue_target).max(-1.0);
         let step = TRIM_STEP * windows.min(1.0) * off_target;
-        self.trim = (self.trim + step).clamp(TRIM.0, TRIM.1);
-        self.approach(self.needed_level(pressure), windows);
+        self.trim = (self.trim + step).clamp(TRIM_RANGE.0, TRIM_RANGE.1);
+        self.move_level_towards(self.needed_level(load), windows);
     }
 
     /// Returns the level below which arrivals are not counted: they may be of roots that were let in
     /// before the level rose. While nothing is shed all are counted: otherwise tiers below the first one that was seen
     /// would never be known, and never shed.
-    fn cut(&self) -> f64 {
+    fn min_counted_level(&self) -> f64 {
         self.recent_levels
             .iter()
             .copied()
@@ -162,60 +162,62 @@
     }
 
     /// Returns the level at which nothing that was ever seen is shed.
-    fn lowest(&self) -> f64 {
+    fn lowest_known_floor(&self) -> f64 {
         self.demand.keys().next().map_or(0.0, |tier| floor(*tier))
     }
 
-    fn approach(&mut self, needed: f64, windows: f64) {
-        let (up, down) = APPROACH;
-        let share = if needed > self.level { up } else { down };
+    fn move_level_towards(&mut self, target: f64, windows: f64) {
+        let (up, down) = LEVEL_SMOOTHING;
+        let share = if target > self.level { up } else { down };
         let share = (share * windows).min(1.0);
-        self.level += share * (needed - self.level);
+        self.level += share * (target - self.level);
     }
 
     /// Returns the lowest level at which the demand that remains fits the capacity.
-    fn needed_level(&self, pressure: &WindowLoad) -> f64 {
+    fn needed_level(&self, load: &WindowLoad) -> f64 {
         let mut carried = 0.0;
         let mut queued = 0;
         for (tier, demand) in self.demand.iter().rev() {
-            queued += pressure.queued.get(tier).copied().unwrap_or(0);
-            let left = self.capacity(queued, pressure) - carried;
-            let others = self.filter_of_others(*tier, demand);
-            let filter = others.unwrap_or(floor(*tier));
-            let whole = demand.density() * (top(*tier) - filter);
-            if whole > left {
-                let open = left.max(0.0) / demand.density().max(NO_DENSITY);
+            queued += load.queued.get(tier).copied().unwrap_or(0);
+            let remaining_capacity = self.capacity(queued, load) - carried;
+            let other_threshold = self.other_services_threshold(*tier, demand);
+            let upstream_threshold = other_threshold.unwrap_or(floor(*tier));
+            let tier_demand = demand.density() * (top(*tier) - upstream_threshold);
+            if tier_demand > remaining_capacity {
+                let admitted_levels =
+                    remaining_capacity.max(0.0) / demand.density().max(MIN_DENSITY);
                 // A little lower, so that another service's filter nearby shows.
-                let probe = if others.is_none() {
-                    margin(demand)
+                let probe = if other_threshold.is_none() {
+                    threshold_margin(demand)
                 } else {
                     0.0
                 };
-                return (top(*tier) - open - probe).max(filter);
+                return (top(*tier) - admitted_levels - probe).max(upstream_threshold);
             }
-            carried += whole;
+            carried += tier_demand;
         }
-        self.lowest()
+        self.lowest_known_floor()
     }
 
     /// Returns the level below which a tier is kept away by other services' levels, which
     /// go on whatever this back end publishes; `None` if the own level explains the filter.
-    fn filter_of_others(&self, tier: u8, demand: &TierDemand) -> Option<f64> {
-        let own = self.cut();
-        let explained = own > floor(tier) && demand.filter() < own + margin(demand);
-        (!explained).then(|| demand.filter())
+    fn other_services_threshold(&self, tier: u8, demand: &TierDemand) -> Option<f64> {
+        let own = self.min_counted_level();
+        let is_own =
+            own > floor(tier) && demand.upstream_threshold() < own + threshold_margin(demand);
+        (!is_own).then(|| demand.upstream_threshold())
     }
 
     /// Returns the demand to admit, given the requests queued of the tiers that matter.
-    fn capacity(&self, queued: usize, pressure: &WindowLoad) -> f64 {
-        let off_target = self.tuning.queue_target - queued as f64 / pressure.limit;
-        let correction = off_target * pressure.mean_service_micros / HORIZON_MICROS;
-        self.trim + correction.clamp(CORRECTION.0, CORRECTION.1)
+    fn capacity(&self, queued: usize, load: &WindowLoad) -> f64 {
+        let off_target = self.tuning.queue_target - queued as f64 / load.limit;
+        let correction = off_target * load.mean_service_micros / QUEUE_RECOVERY_MICROS;
+        self.trim + correction.clamp(QUEUE_CORRECTION_RANGE.0, QUEUE_CORRECTION_RANGE.1)
     }
 }
 
 /// Returns the distance from which a filter can be told from the own level.
-fn margin(demand: &TierDemand) -> f64 {
-    let (least, most) = FILTER_MARGIN;
-    (FILTER_MARGIN_GAPS * demand.gap()).clamp(least, most)
+fn threshold_margin(demand: &TierDemand) -> f64 {
+    let (min, max) = THRESHOLD_MARGIN_RANGE;
+    (THRESHOLD_MARGIN_GAPS * demand.gap()).clamp(min, max)
 }
--- a/crates/rillgap-core/tests/admission_back_end.rs
+++ b/crates/rillgap-core/tests/admission_back_end.rs
@@ -13,7 +13,7 @@
 use rillgap_core::policy::{Class, ServicePolicy};
 use rillgap_core::time::Instant;
 
-const SERVICE: Duration = Duration::from_millis(20);
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 
 fn at(millis: u64) -> Instant {
     Instant::from_micros(millis * 1_000)
@@ -60,7 +60,7 @@
         for offset in 0..u64::from(slots) {
             let id = sequence * 100 + offset;
             admission.cancel(at(0), attempt(id));
-            admission.finish(at(0), attempt(id), SERVICE, Completion::Answered);
+            admission.finish(at(0), attempt(id), SERVICE_TIME, Completion::Answered);
         }
         admission.poll(at(0));
     }
@@ -88,7 +88,7 @@
     for step in 0..5 {
         let now = at(1_000 + 100 * step);
         admission.offer(now, ticket(step, Class::Critical, at(60_000)));
-        admission.finish(now, attempt(step), SERVICE, Completion::Shed);
+        admission.finish(now, attempt(step), SERVICE_TIME, Completion::Shed);
     }
     expect_that!(admission.load().limit, lt(5));
     expect_that!(admission.load().limit, gt(0));
@@ -99,7 +99,7 @@
     let mut admission = warm(12);
     for step in 0..8 {
         admission.offer(at(1_000), ticket(step, Class::Critical, at(60_000)));
-        admission.finish(at(1_000), attempt(step), SERVICE, Completion::Failed);
+        admission.finish(at(1_000), attempt(step), SERVICE_TIME, Completion::Failed);
     }
     expect_that!(admission.load().limit, eq(3));
 }
@@ -117,8 +117,8 @@
         let verdict = admission.offer(at(1_000), ticket(sequence, class, at(60_000)));
         assert_that!(verdict, eq(Verdict::Queue));
     }
-    admission.finish(at(1_001), attempt(0), SERVICE, Completion::Answered);
-    admission.finish(at(1_001), attempt(1), SERVICE, Completion::Answered);
+    admission.finish(at(1_001), attempt(0), SERVICE_TIME, Completion::Answered);
+    admission.finish(at(1_001), attempt(1), SERVICE_TIME, Completion::Answered);
     expect_that!(
         admission.poll(at(1_001)),
         elements_are![
@@ -192,7 +192,7 @@
     admission.offer(at(1_000), ticket(10, Class::Critical, at(60_000)));
     expect_that!(admission.cancel(at(1_000), attempt(10)), eq(true));
     expect_that!(admission.cancel(at(1_000), attempt(10)), eq(false));
-    admission.finish(at(1_001), attempt(0), SERVICE, Completion::Answered);
+    admission.finish(at(1_001), attempt(0), SERVICE_TIME, Completion::Answered);
     expect_that!(admission.poll(at(1_001)), is_empty());
 }
 
@@ -223,7 +223,7 @@
         ..LoadReport::default()
     };
     admission.record_nested_load(attempt(0), &nested);
-    let load = admission.finish(at(1_020), attempt(0), SERVICE, Completion::Answered);
+    let load = admission.finish(at(1_020), attempt(0), SERVICE_TIME, Completion::Answered);
     let names: Vec<&str> = load
         .services
         .iter()
@@ -242,7 +242,7 @@
         running.retain(|(end, id)| {
             let ended = *end <= now;
             if ended {
-                admission.finish(at(now), attempt(*id), SERVICE, Completion::Answered);
+                admission.finish(at(now), attempt(*id), SERVICE_TIME, Completion::Answered);
             }
             !ended
         });
@@ -298,7 +298,7 @@
     admission.offer(at(0), ticket(1, Class::Bulk, at(1_000)));
     admission.offer(at(0), ticket(2, Class::Bulk, at(1_000)));
     admission.offer(at(0), ticket(3, Class::Critical, at(1_000)));
-    admission.finish(at(1), attempt(1), SERVICE, Completion::Answered);
+    admission.finish(at(1), attempt(1), SERVICE_TIME, Completion::Answered);
     expect_that!(
         admission.poll(at(1)),
         elements_are![eq(&QueueDecision::Start(attempt(2)))]
--- a/crates/rillgap-core/tests/admission_threshold.rs
+++ b/crates/rillgap-core/tests/admission_threshold.rs
@@ -30,12 +30,12 @@
 }
 
 fn end_window(threshold: &mut Threshold, number: u64, queued: usize) {
-    let pressure = WindowLoad {
+    let load = WindowLoad {
         limit: LIMIT,
         mean_service_micros: WORK.as_micros() as f64,
         queued: BTreeMap::from([(LOW, queued)]),
     };
-    threshold.update(Instant::from_micros(0) + WINDOW * number as u32, &pressure);
+    threshold.update(Instant::from_micros(0) + WINDOW * number as u32, &load);
 }
 
 /// A back end gets half of what it can carry of a high tier and all of it again of a low one. Its node had seen only the high
