--- a/crates/rillgap-core/src/admission/back_end.rs
+++ b/crates/rillgap-core/src/admission/back_end.rs
@@ -1,4 +1,4 @@
-//! Admission beside one back end.
+//! Admission of requests at one back end: concurrency limit, queue by class, deadlines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,32 +17,33 @@
 use crate::request::{Refusal, RetryAfter};
 use crate::time::{Instant, micros};
 
-/// Queued requests per slot, at most.
+/// Maximum number of queued requests per slot.
 const MAX_QUEUED_PER_SLOT: usize = 8;
-/// Bounds of the queue's length.
+/// Smallest and largest queue capacity, in requests.
 const QUEUE_CAPACITY_RANGE: (usize, usize) = (32, 1_024);
-/// Shortest and longest time after which a refused caller is asked back, in milliseconds.
+/// Bounds of the `Retry-After` time of a refusal, in milliseconds.
 const RETRY_AFTER_RANGE_MILLIS: (u64, u64) = (50, 5_000);
-/// Time after which a queue that never emptied counts as standing.
+/// Time for which a queue must stay non-empty to count as a standing queue.
 const STANDING_QUEUE_DELAY: Duration = Duration::from_millis(100);
-/// Longest wait in a standing queue, as a share of the mean time that requests take.
+/// Maximum wait in a standing queue, as a fraction of the mean request latency.
 const MAX_STANDING_WAIT_FRACTION: f64 = 0.5;
-/// Share of the limit that may run although it is not expected to meet its deadline, so that
-/// an estimate which has become too long is corrected.
+/// Fraction of the limit open to requests that are expected to miss their deadline. Without
+/// these probes, a latency estimate that is too high would never be corrected.
 const PROBE_FRACTION: f64 = 0.1;
 
 /// A request running at the back end.
 #[derive(Clone, Debug)]
 struct Running {
     class: Class,
+    /// Levels of the downstream services that the request called.
     involved: Vec<ServiceLoad>,
-    /// Time in the queue beside this back end.
+    /// Time spent in this back end's queue.
     waited: Duration,
-    /// Time that calls made for it waited in other back ends' queues.
+    /// Total time that the request's nested calls spent in queues of other back ends.
     nested_wait: Duration,
 }
 
-/// Admission beside one back end.
+/// Admission controller of one back end.
 #[derive(Clone, Debug, Default)]
 pub struct BackEndAdmission {
     settings: AdmissionSettings,
@@ -54,13 +55,15 @@
     times: ServiceTimes,
     threshold: Threshold,
     queue: ClassQueue,
+    /// Since when the queue has not been empty; `None` while it is empty.
     queued_since: Option<Instant>,
     running: BTreeMap<AttemptId, Running>,
+    /// Decisions to return from the next [`BackEndAdmission::poll`].
     decisions: Vec<QueueDecision>,
 }
 
 impl BackEndAdmission {
-    /// Creates the admission of a fresh node.
+    /// Creates the controller of a node that has just started.
     pub fn new(settings: AdmissionSettings, node: NodeId) -> Self {
         Self {
             settings,
@@ -69,7 +72,7 @@
         }
     }
 
-    /// Takes over the service's policy.
+    /// Applies the policy of the back end's service.
     pub fn configure(&mut self, service: &ServicePolicy) {
         if self.service.as_ref() != Some(&service.name) {
             self.service = Some(service.name.clone());
@@ -79,7 +82,7 @@
         self.limit.configure(service.slots);
     }
 
-    /// Decides on a new ticket.
+    /// Starts, queues or refuses a new ticket.
     pub fn offer(&mut self, now: Instant, ticket: Ticket) -> Verdict {
         match self.settings.mode {
             ControlMode::None => self.start(&ticket, Duration::ZERO),
@@ -88,8 +91,8 @@
         }
     }
 
-    /// Tells that a started attempt has ended after `latency`; returns the load to carry on
-    /// its answer, with the services that the attempt involved.
+    /// Records that a started attempt ended after `latency`. Returns the load report for its
+    /// answer, which includes the services that the attempt called.
     pub fn finish(
         &mut self,
         now: Instant,
@@ -119,7 +122,7 @@
         load
     }
 
-    /// Tells that a call made on behalf of a running attempt was answered with `load`.
+    /// Records the load report from the answer to a nested call of a running attempt.
     pub fn record_nested_load(&mut self, attempt: AttemptId, load: &LoadReport) {
         if let Some(running) = self.running.get_mut(&attempt) {
             merge_service_loads(&mut running.involved, &load.services);
@@ -127,12 +130,13 @@
         }
     }
 
-    /// Takes a ticket out of the queue; returns whether it was queued.
+    /// Removes a ticket from the queue; returns whether it was queued.
     pub fn cancel(&mut self, _now: Instant, attempt: AttemptId) -> bool {
         self.queue.remove(attempt).is_some()
     }
 
-    /// Settles queued tickets; to be called after every other call and on wake-up.
+    /// Starts or refuses queued tickets where possible. Must be called after every call that
+    /// changes the state, and at [`Self::next_wake`].
     pub fn poll(&mut self, now: Instant) -> Vec<QueueDecision> {
         self.update_threshold(now);
         self.refuse_expired(now);
@@ -141,12 +145,12 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// Returns when [`Self::poll`] must be called next.
+    /// Returns the time at which [`Self::poll`] must be called next; `None` if no ticket is queued.
     pub fn next_wake(&self) -> Option<Instant> {
         self.queue.next_cutoff()
     }
 
-    /// Returns the load to carry on answers and refusals.
+    /// Returns the load report that answers and refusals carry.
     pub fn load(&self) -> LoadReport {
         let service = self.service.as_ref().map(|name| ServiceLoad {
             service: name.clone(),
@@ -191,7 +195,7 @@
         if self.queue.len() >= self.max_queue_len() {
             return Verdict::Refuse(self.refusal(ResultCode::QueueFull));
         }
-        // One class for all keeps the order of arrival.
+        // A single class makes the queue first-in, first-out.
         let ticket = Ticket {
             class: Class::Standard,
             ..ticket
@@ -234,13 +238,14 @@
         Verdict::Queue
     }
 
-    /// Returns whether a request may run although its deadline looks too short.
+    /// Returns whether a request may start although it is expected to miss its deadline.
     fn may_probe(&self) -> bool {
         let probes = (f64::from(self.current_limit()) * PROBE_FRACTION).max(1.0);
         self.queue.len() == 0 && (self.running.len() as f64) < probes
     }
 
-    /// Makes sure that the queue has a place, at the cost of a lower ticket if need be.
+    /// Ensures that the queue has space, by evicting a ticket of lower level if it is full; returns
+    /// whether it has.
     fn make_queue_space(&mut self, ticket: &Ticket) -> bool {
         if self.queue.len() < self.max_queue_len() {
             return true;
@@ -259,9 +264,11 @@
         (usize::from(self.slots) * MAX_QUEUED_PER_SLOT).clamp(shortest, longest)
     }
 
-    /// Returns the longest time in the queue for a class: all of the policy's bound for the
-    /// highest class, a quarter less for each class below. A standing queue is no burst that
-    /// passes, so all but the highest class get a short one, as CoDel does.
+    /// Returns the maximum time that a request of a class may spend in the queue: the policy's
+    /// bound for the highest class, a quarter of it less for each class below.
+    ///
+    /// A standing queue is lasting overload rather than a burst, so all classes but the highest
+    /// then get a shorter bound, as in CoDel.
     fn class_queue_timeout(&self, now: Instant, class: Class) -> Duration {
         let classes = Class::ALL.len() as u32;
         let standing = self
@@ -278,7 +285,7 @@
         timeout * (class.index() as u32 + 1) / classes
     }
 
-    /// Returns the time in which `count` queued requests come to their turn.
+    /// Returns the estimated time until `count` queued requests have been started.
     fn drain_time(&self, count: usize) -> Duration {
         let slots = f64::from(self.current_limit().max(1));
         Duration::from_micros((count as f64 * self.times.mean_micros() / slots) as u64)
@@ -345,7 +352,8 @@
         }
     }
 
-    /// Decides again on a ticket whose turn has come: the back end may have become slower.
+    /// Decides on the ticket at the head of the queue. The deadline is checked again, since the
+    /// latency estimate may have risen while the ticket was queued.
     fn decide_queued(&mut self, now: Instant, queued: &Queued) -> QueueDecision {
         let ticket = &queued.ticket;
         let remaining = ticket.deadline.saturating_since(now);
--- a/crates/rillgap-core/src/admission/demand.rs
+++ b/crates/rillgap-core/src/admission/demand.rs
@@ -1,23 +1,28 @@
-//! Demand on a back end per admission level, learned for each tier from what arrives.
+//! Estimates the demand on a back end per admission level, for each tier, from arrivals.
 //!
-//! Entries let only roots above a threshold through, so arrivals alone understate the demand.
-//! Shares are spread evenly over the levels of a tier. The lowest level that arrived lately
-//! therefore tells where the filter stands, and the work that arrived divided by the open levels
-//! above it tells the demand per level, whatever the filter. Arrivals below the own recent
-//! levels belong to roots that were let in before the filter moved and are not counted.
+//! Entry nodes admit only roots above a threshold, so arrivals alone understate the demand. Roots
+//! are distributed evenly over the levels of a tier. Two estimates follow:
+//!
+//! - The lowest level that arrived recently shows the upstream threshold.
+//! - The work that arrived, divided by the number of levels above that threshold, is the demand
+//!   per level. It does not depend on the threshold.
+//!
+//! Arrivals below the back end's own recent levels are not counted: they belong to roots that were
+//! admitted before the threshold rose.
 
 use super::level::Level;
 
-/// Windows over which the lowest arriving level is taken.
+/// Number of windows over which the lowest arriving level is taken.
 const HISTORY_WINDOWS: usize = 4;
-/// Least open levels that a density is computed from, against division by next to nothing.
+/// Lower bound of the divisor of the density, in levels; avoids a division by almost zero.
 const MIN_OPEN_LEVELS: f64 = Level::PER_TIER as f64 / 256.0;
 
-/// Arrivals of one window.
+/// Arrivals in one control window.
 #[derive(Clone, Copy, Debug)]
 struct Window {
     count: u32,
     work_micros: f64,
+    /// Lowest level that arrived, `u32::MAX` if none did.
     lowest: Level,
 }
 
@@ -27,7 +32,7 @@
     lowest: Level(u32::MAX),
 };
 
-/// Demand of one tier.
+/// Demand estimate of one tier.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TierDemand {
     tier: u8,
@@ -35,15 +40,19 @@
     weight: f64,
     current: Window,
     history: [Window; HISTORY_WINDOWS],
+    /// Index in `history` of the next window.
     next: usize,
+    /// Demand per level, as a fraction of the concurrency limit.
     density: f64,
+    /// Level below which nothing of the tier arrives.
     upstream_threshold: f64,
+    /// Mean distance between the levels of arrivals.
     gap: f64,
 }
 
 impl TierDemand {
-    /// Creates the demand of a tier that was never seen. `weight` is that of one window in the moving
-    /// density.
+    /// Creates the estimate of a tier without arrivals. `weight` is the weight of one window in the
+    /// moving density.
     pub fn new(tier: u8, weight: f64) -> Self {
         Self {
             tier,
@@ -57,15 +66,15 @@
         }
     }
 
-    /// Counts a request that is expected to take this much slot time.
+    /// Records the arrival of a request that is expected to occupy a slot for `work_micros`.
     pub fn record_arrival(&mut self, level: Level, work_micros: f64) {
         self.current.count += 1;
         self.current.work_micros += work_micros;
         self.current.lowest = self.current.lowest.min(level);
     }
 
-    /// Ends a window in which the limit offered `offered_micros` of slot time. `windows` is its length
-    /// in ordinary ones, `cut` the level below which arrivals were not counted.
+    /// Ends a window in which the concurrency limit offered `offered_micros` of slot time. `windows`
+    /// is its length in nominal windows; arrivals below `min_counted_level` were not counted.
     pub fn end_window(&mut self, offered_micros: f64, windows: f64, min_counted_level: f64) {
         let work = self.current.work_micros / offered_micros;
         self.history[self.next] = self.current;
@@ -73,7 +82,7 @@
         self.current = EMPTY_WINDOW;
         let recent: u32 = self.history.iter().map(|window| window.count).sum();
         if recent == 0 && min_counted_level >= top(self.tier) {
-            // Shut out, so nothing can be learned.
+            // The whole tier is shed upstream, so the window says nothing about its demand.
             return;
         }
         if recent > 0 {
@@ -87,23 +96,25 @@
         self.density += weight * (sample - self.density);
     }
 
-    /// Returns the demand per level, as a share of what the limit can carry.
+    /// Returns the demand per level, as a fraction of the capacity of the concurrency limit.
     pub fn density(&self) -> f64 {
         self.density
     }
 
-    /// Returns the level below which nothing of the tier arrives, for whatever reason.
+    /// Returns the level below which nothing of the tier arrives, whether this back end's own level or
+    /// that of another service is the cause.
     pub fn upstream_threshold(&self) -> f64 {
         self.upstream_threshold
     }
 
-    /// Returns the mean gap between the levels of arrivals, by which the filter is uncertain.
+    /// Returns the mean distance between the levels of arrivals, which is the uncertainty of the
+    /// upstream threshold.
     pub fn gap(&self) -> f64 {
         self.gap
     }
 
-    /// Estimates the filter from the lowest arrival, which lies above it by the mean gap
-    /// between arrivals.
+    /// Estimates the upstream threshold from the lowest arrival, which lies above it by the mean
+    /// distance between arrivals.
     fn estimate_upstream_threshold(&mut self, recent: u32) {
         let lowest = self.history.iter().map(|window| window.lowest).min();
         let lowest = f64::from(lowest.unwrap_or(Level(u32::MAX)).0).min(top(self.tier));
@@ -117,7 +128,7 @@
     f64::from(Level::tier_floor(tier).0)
 }
 
-/// Returns the level above the highest of a tier.
+/// Returns the upper end of a tier: the level above its highest.
 pub(super) fn top(tier: u8) -> f64 {
     floor(tier) + f64::from(Level::PER_TIER)
 }
--- a/crates/rillgap-core/src/admission/entry.rs
+++ b/crates/rillgap-core/src/admission/entry.rs
@@ -1,4 +1,4 @@
-//! Admission at the entry: refuses root requests that a service further down would shed.
+//! Admission at the entry: refuses root requests that a downstream service would shed.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +14,15 @@
 use crate::request::{Refusal, RetryAfter};
 use crate::time::Instant;
 
-/// Shortest and longest time after which a refused caller is asked back, in milliseconds.
+/// Bounds of the `Retry-After` time of a refusal, in milliseconds.
 const RETRY_AFTER_RANGE_MILLIS: (u32, u32) = (200, 2_000);
 
-/// Identifies a route of the policy, by a digest of what it matches.
+/// Identifies a route of the policy by a digest of its service, method and path.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteId(u64);
 
 impl RouteId {
-    /// Returns the identifier of a route.
+    /// Computes the identifier of a route.
     pub fn of(route: &RoutePolicy) -> Self {
         let mut digest = Xxh3::new();
         for part in [route.service.as_str(), &route.method, &route.path] {
@@ -33,20 +33,20 @@
     }
 }
 
-/// A root request that asks to begin.
+/// A root request that is to be admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct RootRequest<'a> {
-    /// Service that it enters.
+    /// Service that the request is sent to.
     pub service: &'a ServiceName,
-    /// Route that it matches.
+    /// Route that the request matches.
     pub route: RouteId,
     /// Class of the route.
     pub class: Class,
-    /// The root.
+    /// Identifier of the root, from which its admission level is derived.
     pub root: RootId,
 }
 
-/// Admission at the entry, from load that answers carry.
+/// Admission controller of an entry node, based on the load reports that answers carry.
 #[derive(Clone, Debug, Default)]
 pub struct EntryAdmission {
     settings: AdmissionSettings,
@@ -55,7 +55,7 @@
 }
 
 impl EntryAdmission {
-    /// Creates the admission of a fresh node.
+    /// Creates the controller of a node that has just started.
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
@@ -63,11 +63,11 @@
         }
     }
 
-    /// Decides whether a root request may begin.
+    /// Decides whether a root request is admitted.
     ///
     /// # Errors
     ///
-    /// Returns the refusal if a request of this class would be shed further down.
+    /// Returns the refusal if a downstream service would shed the request.
     pub fn admit(&mut self, now: Instant, request: RootRequest<'_>) -> Result<(), Refusal> {
         if self.settings.mode != ControlMode::Full {
             return Ok(());
@@ -82,7 +82,7 @@
         })
     }
 
-    /// Takes in the levels that any answer or refusal of a service carried.
+    /// Records the levels that an answer or refusal of a service carried.
     pub fn record_levels(&mut self, now: Instant, _service: &ServiceName, load: &LoadReport) {
         for reported in &load.services {
             if let Some(levels) = self.levels.get_mut(&reported.service) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Learns from the whole answer to a root request which services such requests involve.
+    /// Records from the complete answer to a root request which services its route involves.
     pub fn record_involvement(&mut self, service: &ServiceName, route: RouteId, load: &LoadReport) {
         let below = load
             .services
@@ -108,7 +108,7 @@
             .record_answer(below);
     }
 
-    /// Returns the highest level over the services that such requests involve.
+    /// Returns the highest level of the services that requests of the route involve.
     fn threshold(&self, now: Instant, service: &ServiceName, route: RouteId) -> f64 {
         let level_of = |name: &ServiceName| self.levels.get(name).map_or(0.0, |at| at.at(now));
         let own = level_of(service);
--- a/crates/rillgap-core/src/admission/limit.rs
+++ b/crates/rillgap-core/src/admission/limit.rs
@@ -1,30 +1,32 @@
-//! Concurrency limit of one back end, learned from how its requests end.
+//! Adaptive concurrency limit of one back end, adjusted by how its requests end.
 //!
-//! The policy's slots are the upper bound. Below it the limit grows by one per answer while it
-//! recovers (slow start), then by one per limit's worth of answers (additive increase), and
-//! shrinks by a factor when the back end sheds or when requests keep failing.
+//! The slots of the policy are the upper bound. Below it, the limit grows by one per answer while
+//! it recovers (slow start), then by one per `limit` answers (additive increase). It is multiplied
+//! by [`DECREASE_FACTOR`] when the back end sheds, and falls to the start of slow start when
+//! requests keep failing.
 
 use std::time::Duration;
 
 use super::Completion;
 use crate::time::Instant;
 
-/// Factor applied when the back end sheds.
+/// Factor applied to the limit when the back end sheds a request.
 const DECREASE_FACTOR: f64 = 0.8;
-/// Failures in a row that mean the back end is not working.
+/// Number of consecutive failures after which slow start begins again.
 const SLOW_START_FAILURES: u32 = 8;
-/// Share of the slots that a back end gets when it starts or returns.
+/// Fraction of the slots at which slow start begins.
 const SLOW_START_FRACTION: f64 = 0.25;
-/// Lowest limit; one request is always let through, to learn from it.
+/// Minimum limit: one request is always admitted, so that the limit can recover.
 const MIN_LIMIT: f64 = 1.0;
-/// Shortest time between two decreases, so that one burst of shedding counts once.
+/// Minimum time between two decreases, so that one burst of shed requests counts once.
 const MIN_COOLDOWN: Duration = Duration::from_millis(20);
 
-/// Learned concurrency limit.
+/// Adaptive concurrency limit.
 #[derive(Clone, Debug)]
 pub(super) struct ConcurrencyLimit {
     slots: f64,
     limit: f64,
+    /// Limit at which slow start ends.
     slow_start_until: f64,
     consecutive_failures: u32,
     decreased_at: Option<Instant>,
@@ -43,7 +45,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Sets the upper bound; a back end seen for the first time begins with a share of it.
+    /// Sets the upper bound. The first call begins slow start.
     pub fn configure(&mut self, slots: u16) {
         let slots = f64::from(slots.max(1));
         if slots == self.slots {
@@ -57,12 +59,13 @@
         self.limit = self.limit.min(slots);
     }
 
-    /// Returns the requests that may run at once.
+    /// Returns the number of requests that may run concurrently.
     pub fn get(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Takes in how a request ended while `running` requests ran, itself included.
+    /// Adjusts the limit to the end of a request; `running` counts the running requests, including
+    /// this one.
     pub fn finish(
         &mut self,
         now: Instant,
--- a/crates/rillgap-core/src/admission/mod.rs
+++ b/crates/rillgap-core/src/admission/mod.rs
@@ -1,10 +1,13 @@
-//! Admission: how much work a back end is given, in which order, and what is shed.
+//! Admission control: how many requests a back end receives, in which order, and which are shed.
 //!
-//! [`BackEndAdmission`] stands beside one back end: a learned concurrency limit, a short queue
-//! ordered by class, refusal of what cannot meet its deadline, and a published level below
-//! which requests would be shed. [`EntryAdmission`] stands where root requests enter and
-//! refuses what a service further down would shed. [`RetryBudget`] bounds retries by successes.
-//! `docs/design/admission.md` weighs the schemes.
+//! - [`BackEndAdmission`] controls one back end: it holds an adaptive concurrency limit and a short
+//!   queue ordered by class, refuses requests that cannot meet their deadline, and publishes the
+//!   level below which requests would be shed.
+//! - [`EntryAdmission`] runs where root requests enter and refuses those that a downstream service
+//!   would shed.
+//! - [`RetryBudget`] limits retries to a fraction of successes.
+//!
+//! `docs/design/admission.md` compares the schemes.
 
 mod back_end;
 mod demand;
@@ -33,16 +36,16 @@
 use crate::request::Refusal;
 use crate::time::Instant;
 
-/// A request that asks to be run at the local back end.
+/// A request that waits to be started at the local back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// Attempt that asks.
+    /// Attempt that the ticket belongs to.
     pub attempt: AttemptId,
-    /// Root request that it serves.
+    /// Root request that the attempt serves.
     pub root: RootId,
-    /// Class, inherited from the root.
+    /// Class of the root request.
     pub class: Class,
-    /// Deadline of the attempt.
+    /// Time by which the attempt must be answered.
     pub deadline: Instant,
 }
 
@@ -53,33 +56,33 @@
     }
 }
 
-/// Decision on a ticket.
+/// Immediate decision on a new ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Run it now.
+    /// Start the attempt now.
     Start,
-    /// Keep it; a later [`QueueDecision`] settles it.
+    /// The ticket is queued; a [`QueueDecision`] follows unless it is cancelled.
     Queue,
-    /// Refuse it; it has not been started.
+    /// Refuse the attempt, which was not started.
     Refuse(Refusal),
 }
 
-/// A later decision on a queued ticket.
+/// Final decision on a queued ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueDecision {
-    /// Run it now.
+    /// Start the attempt now.
     Start(AttemptId),
-    /// Refuse it; it has not been started.
+    /// Refuse the attempt, which was not started.
     Refuse(AttemptId, Refusal),
 }
 
 /// How an attempt at the back end ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// Answered whole.
+    /// Answered completely.
     Answered,
-    /// Shed by the back end itself.
+    /// Shed by the back end without running it.
     Shed,
-    /// Failed, or cancelled after its start.
+    /// Failed, or cancelled after it was started.
     Failed,
 }
--- a/crates/rillgap-core/src/admission/mode.rs
+++ b/crates/rillgap-core/src/admission/mode.rs
@@ -1,4 +1,5 @@
-//! Which overload control is in force; anything but the full one is a baseline for experiments.
+//! Selection of the overload control. All modes but [`ControlMode::Full`] are baselines for
+//! experiments.
 
 /// How much of the overload control is active.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -8,11 +9,11 @@
     Full,
     /// No control: every request is started at once and every hop may retry.
     None,
-    /// A fixed concurrency limit with a queue in order of arrival.
+    /// A fixed concurrency limit with a first-in, first-out queue.
     Fixed,
 }
 
-/// Settings of admission at one node.
+/// Settings of admission control at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionSettings {
     /// How much of the overload control is active.
@@ -25,12 +26,13 @@
         Self { mode }
     }
 
-    /// Returns whether work that nobody waits for any more is cancelled.
+    /// Returns whether requests are cancelled once no caller waits for their answer.
     pub const fn cancels_abandoned_work(&self) -> bool {
         matches!(self.mode, ControlMode::Full)
     }
 
-    /// Returns whether the baseline limits only the attempts of each hop, not of the chain.
+    /// Returns whether attempts are limited per hop only, without a limit for the whole chain, as in
+    /// the baselines.
     pub const fn has_unbounded_chain(&self) -> bool {
         !matches!(self.mode, ControlMode::Full)
     }
--- a/crates/rillgap-core/src/admission/queue.rs
+++ b/crates/rillgap-core/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! Queue beside a back end: by class, within a class by arrival.
+//! Queue of a back end: highest class first, first-in, first-out within a class.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 use crate::policy::Class;
 use crate::time::Instant;
 
-/// Position in the order of arrival.
+/// Sequence number in the order of arrival.
 type Arrival = u64;
 
 /// A queued ticket.
@@ -15,13 +15,13 @@
 pub(super) struct Queued {
     /// The ticket.
     pub ticket: Ticket,
-    /// When it was queued.
+    /// Time at which the ticket was queued.
     pub queued_at: Instant,
-    /// Latest time at which it may still be started.
+    /// Time at which the ticket is refused unless it was started.
     pub cutoff: Instant,
 }
 
-/// Queue ordered by class, then by arrival.
+/// Queue ordered by class, then by arrival, with an index by attempt and by cutoff.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ClassQueue {
     classes: [BTreeMap<Arrival, Queued>; Class::ALL.len()],
@@ -41,7 +41,7 @@
         self.classes[class.index()].len()
     }
 
-    /// Returns the number of tickets that are served before a new one of `class`.
+    /// Returns the number of queued tickets that precede a new one of `class`.
     pub fn ahead_of(&self, class: Class) -> usize {
         self.classes[class.index()..]
             .iter()
@@ -60,7 +60,7 @@
         self.cutoffs.insert((queued.cutoff, attempt));
     }
 
-    /// Takes out a ticket by its attempt.
+    /// Removes the ticket of an attempt; `None` if it is not queued.
     pub fn remove(&mut self, attempt: AttemptId) -> Option<Queued> {
         let (class, arrival) = self.positions.remove(&attempt)?;
         let queued = self.classes[class.index()].remove(&arrival)?;
@@ -68,7 +68,7 @@
         Some(queued)
     }
 
-    /// Takes out the ticket that is to run next: highest class, oldest first.
+    /// Removes the next ticket to start: the oldest one of the highest class.
     pub fn pop(&mut self) -> Option<Queued> {
         let attempt = self
             .classes
@@ -79,7 +79,7 @@
         self.remove(attempt)
     }
 
-    /// Takes out the lowest ticket if it ranks below `than`, which wants its place.
+    /// Removes the ticket with the lowest level if that is below the level of `incoming`.
     pub fn evict_below(&mut self, incoming: &Ticket) -> Option<Queued> {
         let lowest = self
             .classes
@@ -94,7 +94,7 @@
         self.remove(attempt)
     }
 
-    /// Takes out one ticket whose cutoff has passed.
+    /// Removes one ticket whose cutoff has passed; `None` if there is none.
     pub fn pop_expired(&mut self, now: Instant) -> Option<Queued> {
         let (cutoff, attempt) = *self.cutoffs.first()?;
         if cutoff > now {
@@ -103,7 +103,7 @@
         self.remove(attempt)
     }
 
-    /// Returns the earliest cutoff.
+    /// Returns the earliest cutoff; `None` if the queue is empty.
     pub fn next_cutoff(&self) -> Option<Instant> {
         self.cutoffs.first().map(|(cutoff, _)| *cutoff)
     }
--- a/crates/rillgap-core/src/admission/report.rs
+++ b/crates/rillgap-core/src/admission/report.rs
@@ -1,50 +1,50 @@
-//! Load that answers carry upstream.
+//! Load reports that answers carry upstream.
 
 use bitcode::{Decode, Encode};
 
 use super::level::Level;
 use crate::id::{NodeId, ServiceName};
 
-/// Most services that one report names.
+/// Maximum number of services in one report.
 pub const MAX_SERVICE_LOADS: usize = 8;
 
-/// Admission level that a service would shed below.
+/// Level below which a service would shed requests, as one of its nodes reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ServiceLoad {
-    /// The service.
+    /// Service that the level applies to.
     pub service: ServiceName,
-    /// Node beside the back end that says so.
+    /// Node whose back end the level was computed for.
     pub reporter: NodeId,
     /// Requests below this level would be shed.
     pub level: Level,
 }
 
-/// Load of a node's back end, carried on every answer.
+/// Load of a node's back end, sent with every answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct LoadReport {
     /// Requests running at the back end.
     pub running: u32,
-    /// Requests queued beside it.
+    /// Requests queued for the back end.
     pub queued: u32,
-    /// Concurrency limit now in force.
+    /// Current concurrency limit.
     pub limit: u32,
-    /// Time that the answered attempt and the calls made for it spent in queues, in microseconds;
-    /// zero on reports that belong to no whole answer.
+    /// Time that the answered attempt and its nested calls spent in queues, in microseconds; 0 in
+    /// reports that do not belong to a complete answer.
     pub waited_micros: u32,
-    /// Levels of the answering service and of services that the answer involved further down,
+    /// Levels of the answering service and of the downstream services that the request involved,
     /// at most [`MAX_SERVICE_LOADS`].
     pub services: Vec<ServiceLoad>,
 }
 
 impl LoadReport {
-    /// Returns running and queued requests as a share of the limit.
+    /// Returns the running and queued requests as a fraction of the limit; may exceed 1.
     pub fn utilization(&self) -> f64 {
         f64::from(self.running + self.queued) / f64::from(self.limit.max(1))
     }
 }
 
-/// Adds the levels of `from` to `into`; of one service the higher stays, and when there are
-/// too many the lowest go.
+/// Merges the levels of `from` into `into`: the highest level of each service is kept, and beyond
+/// [`MAX_SERVICE_LOADS`] services those with the lowest levels are dropped.
 pub(super) fn merge_service_loads(into: &mut Vec<ServiceLoad>, from: &[ServiceLoad]) {
     for load in from {
         match into.iter_mut().find(|known| known.service == load.service) {
--- a/crates/rillgap-core/src/admission/reported.rs
+++ b/crates/rillgap-core/src/admission/reported.rs
@@ -1,4 +1,4 @@
-//! Levels that back ends report, as an entry sees them, and which services a route involves.
+//! State of an entry node: levels that back ends report, and services that each route involves.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,22 +6,22 @@
 use super::level::Level;
 use crate::time::{Instant, micros};
 
-/// Time constant with which reported levels are smoothed, in microseconds.
+/// Time constant of the smoothing of reported levels, in microseconds.
 const SMOOTHING_MICROS: f64 = 50_000.0;
 /// Time without a report after which a level begins to decay.
 const DECAY_DELAY: Duration = Duration::from_millis(300);
-/// Time without a report after which a back end is forgotten.
+/// Time without a report after which the level of a back end is removed.
 const REPORT_EXPIRY: Duration = Duration::from_secs(5);
-/// Least weight of one report.
+/// Minimum weight of one report.
 const MIN_REPORT_WEIGHT: f64 = 0.02;
-/// Levels by which a level without reports decays in a microsecond: a tier in a quarter of a second.
+/// Decay of a level without reports, in levels per microsecond: one tier in 250 ms.
 const DECAY_PER_MICRO: f64 = Level::PER_TIER as f64 / 250_000.0;
-/// Weight of one answer in the learned involvement of a service.
+/// Weight of one answer in the fraction of answers that involve a service.
 const INVOLVEMENT_WEIGHT: f64 = 0.05;
-/// Share of answers that must involve a service for its level to count for a route.
+/// Minimum fraction of a route's answers that involve a service for its level to apply to the route.
 const MIN_INVOLVED_FRACTION: f64 = 0.2;
 
-/// Smoothed level that one back end reports.
+/// Smoothed level of one reporter.
 #[derive(Clone, Copy, Debug)]
 struct ReportedLevel {
     level: f64,
@@ -31,14 +31,14 @@
 impl ReportedLevel {
     fn report(&mut self, now: Instant, level: Level) {
         let elapsed = micros(now.saturating_since(self.reported_at)) as f64;
-        // Reports that arrive together share one step, so that none is lost to a zero weight.
+        // The minimum weight keeps reports that arrive at the same time from having no effect.
         let weight = (elapsed / (elapsed + SMOOTHING_MICROS)).max(MIN_REPORT_WEIGHT);
         let current = self.at(now);
         self.level = current + weight * (f64::from(level.0) - current);
         self.reported_at = now;
     }
 
-    /// Returns the level, decayed if nothing was reported lately.
+    /// Returns the level at `now`; it decays after [`DECAY_DELAY`] without a report.
     fn at(&self, now: Instant) -> f64 {
         let over = micros(self.age(now).saturating_sub(DECAY_DELAY)) as f64;
         (self.level - over * DECAY_PER_MICRO).max(0.0)
@@ -49,7 +49,7 @@
     }
 }
 
-/// Levels of one service, by who reports them.
+/// Levels of one service, by reporter.
 #[derive(Clone, Debug)]
 pub struct ServiceLevels<R> {
     reporters: BTreeMap<R, ReportedLevel>,
@@ -64,7 +64,7 @@
 }
 
 impl<R: Ord> ServiceLevels<R> {
-    /// Takes in a level.
+    /// Records a level, and removes expired reporters.
     pub fn report(&mut self, now: Instant, reporter: R, level: Level) {
         self.reporters
             .retain(|_, level| level.age(now) < REPORT_EXPIRY);
@@ -77,9 +77,10 @@
             .report(now, level);
     }
 
-    /// Returns the median over the reporters that were heard lately, or over all if none was.
+    /// Returns the median level of the reporters with a recent report, or of all if none has one.
     ///
-    /// A mean would shut out a class that most back ends have room for, for the sake of one.
+    /// With a mean, a single overloaded back end could shed a class that most of the others have
+    /// capacity for.
     pub fn at(&self, now: Instant) -> f64 {
         let is_recent = |level: &&ReportedLevel| level.age(now) < DECAY_DELAY;
         let mut levels: Vec<f64> = self
@@ -97,9 +98,10 @@
     }
 }
 
-/// Services further down that requests of one route involve, learned from their answers.
+/// Downstream services that requests of one route involve, estimated from their answers.
 #[derive(Clone, Debug)]
 pub struct Involvement<S> {
+    /// Moving fraction of answers that involve each service.
     fractions: BTreeMap<S, f64>,
 }
 
@@ -112,7 +114,7 @@
 }
 
 impl<S: Ord + Clone> Involvement<S> {
-    /// Takes in which services one answer involved.
+    /// Records which services one complete answer involved. A new service counts at once.
     pub fn record_answer<'a>(&mut self, services: impl Iterator<Item = &'a S>)
     where
         S: 'a,
@@ -133,7 +135,8 @@
             .retain(|_, fraction| *fraction > INVOLVEMENT_WEIGHT / 10.0);
     }
 
-    /// Takes in that one answer involved these services, and perhaps others that it did not come to.
+    /// Records the services that an incomplete answer involved. The request may have failed before it
+    /// reached others, so no fraction is reduced.
     pub fn record_partial_answer<'a>(&mut self, services: impl Iterator<Item = &'a S>)
     where
         S: 'a,
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Returns the services that are involved often enough for their levels to count.
+    /// Returns the services whose levels apply to the route.
     pub fn services(&self) -> impl Iterator<Item = &S> {
         self.fractions
             .iter()
--- a/crates/rillgap-core/src/admission/retry.rs
+++ b/crates/rillgap-core/src/admission/retry.rs
@@ -1,17 +1,17 @@
-//! Retries as a share of successes, per service.
+//! Retry budget per service: retries are limited to a fraction of successes.
 
 use std::collections::BTreeMap;
 
 use super::mode::{AdmissionSettings, ControlMode};
 use crate::id::ServiceName;
 
-/// Retries that a service may have before its first success, and the most that are saved up.
+/// Capacity of a bucket and its initial number of tokens; one token pays for one retry.
 const BURST: f64 = 10.0;
 
-/// Token bucket per service: successes fill it, retries empty it.
+/// Token bucket per service: successes add tokens, retries take them.
 ///
-/// While a service refuses or fails everything there are no successes, so retries cease after
-/// a short burst and cannot keep it overloaded.
+/// While a service refuses or fails all requests, there are no successes. Retries then stop after a
+/// short burst and cannot keep the service overloaded.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
     settings: AdmissionSettings,
@@ -20,7 +20,7 @@
 }
 
 impl RetryBudget {
-    /// Creates the budget of a fresh node.
+    /// Creates the budget of a node that has just started; all buckets are full.
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
@@ -28,19 +28,19 @@
         }
     }
 
-    /// Sets the share of successes that may be retried, in percent.
+    /// Sets the number of retries that 100 successes allow.
     pub fn configure(&mut self, percent: u8) {
         self.tokens_per_success = f64::from(percent) / 100.0;
     }
 
-    /// Counts a success.
+    /// Records a success, which adds tokens for the service.
     pub fn record_success(&mut self, service: &ServiceName) {
         let tokens_per_success = self.tokens_per_success;
         let tokens = self.tokens_of(service);
         *tokens = (*tokens + tokens_per_success).min(BURST);
     }
 
-    /// Takes one retry out of the budget; returns whether there was one.
+    /// Takes one token; returns whether the service had one. Always true in the baseline modes.
     pub fn try_spend(&mut self, service: &ServiceName) -> bool {
         if self.settings.mode != ControlMode::Full {
             return true;
--- a/crates/rillgap-core/src/admission/service_time.rs
+++ b/crates/rillgap-core/src/admission/service_time.rs
@@ -1,21 +1,21 @@
-//! Running estimate of how long the back end takes for a request of each class.
+//! Moving estimate of the time that a back end takes for requests of each class.
 
 use std::time::Duration;
 
 use crate::policy::Class;
 use crate::time::micros;
 
-/// Weight of a new sample once the estimate has settled.
+/// Minimum weight of a new sample. Until 10 samples are recorded, the estimate is their plain mean.
 const MIN_SAMPLE_WEIGHT: f64 = 0.1;
-/// Samples from which a class's own estimate is used instead of the one over all classes.
+/// Number of samples from which the estimate of a class replaces the one over all classes.
 const SETTLED_SAMPLES: u32 = 8;
 
-/// Moving means of one kind of request, in microseconds.
+/// Moving means over one class of requests or over all, in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct Estimate {
     /// Time from start to end.
     latency: f64,
-    /// The same without the time that its calls waited in other back ends' queues.
+    /// Latency without the time that nested calls spent in queues of other back ends.
     occupancy: f64,
     samples: u32,
 }
@@ -37,8 +37,8 @@
 }
 
 impl ServiceTimes {
-    /// Takes in a request that was answered after `latency`, during `waited` of which calls
-    /// made for it waited in other back ends' queues.
+    /// Records a request that was answered after `latency`. Its nested calls spent `waited` of that
+    /// in queues of other back ends.
     pub fn record_answered(&mut self, class: Class, latency: Duration, waited: Duration) {
         let occupancy = micros(latency.saturating_sub(waited)) as f64;
         let latency = micros(latency) as f64;
@@ -46,32 +46,32 @@
         self.classes[class.index()].add(latency, occupancy);
     }
 
-    /// Takes in a request that was given up: it would have taken longer still, so it counts
-    /// only if it exceeds the estimate.
+    /// Records a request that failed or was cancelled after `latency`. Its full latency is unknown
+    /// but longer, so the sample is used only if it exceeds the estimate.
     pub fn record_failed(&mut self, class: Class, latency: Duration, waited: Duration) {
         if micros(latency) as f64 > self.class(class).latency {
             self.record_answered(class, latency, waited);
         }
     }
 
-    /// Returns the mean latency over all classes in microseconds, zero if nothing is known.
+    /// Returns the mean latency over all classes in microseconds; 0 without samples.
     pub fn mean_micros(&self) -> f64 {
         self.overall.latency
     }
 
-    /// Returns the mean time in a slot over all classes in microseconds, without the waits
-    /// that overload further down causes.
+    /// Returns the mean slot time over all classes in microseconds, without the queueing that
+    /// downstream overload causes.
     pub fn mean_occupancy_micros(&self) -> f64 {
         self.overall.occupancy
     }
 
-    /// Returns the mean time in a slot of a class in microseconds, without the waits that
-    /// overload further down causes.
+    /// Returns the mean slot time of a class in microseconds, without the queueing that downstream
+    /// overload causes.
     pub fn class_occupancy_micros(&self, class: Class) -> f64 {
         self.class(class).occupancy
     }
 
-    /// Returns the time that a request of a class is expected to take.
+    /// Returns the expected latency of a request of a class.
     pub fn expected(&self, class: Class) -> Duration {
         Duration::from_micros(self.class(class).latency as u64)
     }
--- a/crates/rillgap-core/src/admission/threshold.rs
+++ b/crates/rillgap-core/src/admission/threshold.rs
@@ -1,10 +1,12 @@
-//! The level below which a back end would shed, published upstream on every answer.
+//! Controller of the level below which a back end would shed requests. The level is sent upstream
+//! with every answer.
 //!
-//! At the end of every short window the level is computed at which the demand that remains
-//! fits what the limit can carry, from the demand per level ([`super::demand`]). As the demand
-//! per level does not depend on the level, nothing oscillates when the effect of a new level
-//! arrives late. The queue corrects what the estimate gets wrong: its distance from a short
-//! target changes the capacity that is reckoned with, at once and, by a slow trim, for good.
+//! At the end of every control window, the controller computes from the demand per level
+//! ([`super::demand`]) the level at which the remaining demand fits the capacity of the concurrency
+//! limit. The demand per level does not depend on the level, so the loop does not oscillate when a
+//! new level takes effect late. The queue corrects errors of the estimate: its distance from a short
+//! target changes the assumed capacity, immediately by a proportional term and lastingly by a slow
+//! trim.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,44 +15,45 @@
 use super::level::Level;
 use crate::time::{Instant, micros};
 
-/// Length of a control window.
+/// Nominal length of a control window.
 const WINDOW: Duration = Duration::from_millis(50);
-/// Time within which a queue off its target shall come back to it, in microseconds.
+/// Time in which a queue off its target should return to it, in microseconds.
 const QUEUE_RECOVERY_MICROS: f64 = 150_000.0;
-/// Bounds of the queue's immediate correction of the capacity.
+/// Bounds of the immediate correction of the capacity, as a fraction of the limit.
 const QUEUE_CORRECTION_RANGE: (f64, f64) = (-0.9, 0.2);
-/// Bounds of the queue's lasting correction of the capacity.
+/// Bounds of the trim: the capacity with its lasting correction, as a fraction of the limit.
 const TRIM_RANGE: (f64, f64) = (0.85, 1.15);
-/// Change of the trim in one window, for a queue that is off by its whole target.
+/// Maximum change of the trim in one window, caused by an empty queue or one of twice the target.
 const TRIM_STEP: f64 = 0.01;
-/// Share of the way to the computed level that one window goes, upwards and downwards.
+/// Fraction of the distance to the computed level that one window covers, upwards and downwards.
 const LEVEL_SMOOTHING: (f64, f64) = (0.5, 0.3);
-/// Windows over which the highest own level is taken, so that its effect has arrived.
+/// Number of windows over which the highest own level is taken: by then its effect has arrived.
 const LEVEL_HISTORY_WINDOWS: usize = 6;
-/// Gaps between arrivals by which a filter must lie above the own level to be another service's.
+/// Distance by which the upstream threshold must exceed the own level to be attributed to another
+/// service, in mean gaps between arrivals.
 const THRESHOLD_MARGIN_GAPS: f64 = 3.0;
-/// Bounds of that margin, in levels.
+/// Bounds of that distance, in levels.
 const THRESHOLD_MARGIN_RANGE: (f64, f64) = (
     Level::PER_TIER as f64 / 512.0,
     Level::PER_TIER as f64 / 10.0,
 );
-/// Distance from the lowest tier's floor, in levels, at which nothing counts as shed any more.
+/// Distance from the floor of the lowest tier, in levels, below which nothing is shed.
 const NO_SHED_MARGIN: f64 = Level::PER_TIER as f64 / 128.0;
-/// Demand per level below which a tier takes nothing.
+/// Lower bound of the demand per level as a divisor; avoids a division by zero.
 const MIN_DENSITY: f64 = 1e-9;
 
-/// How the controller is tuned.
+/// Parameters of the controller.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
-    /// Queued requests, as a share of the limit, at which the queue rests.
+    /// Target of the queue length, as a fraction of the concurrency limit.
     pub queue_target: f64,
-    /// Weight of one window in the moving demand for a level, above 0 and below 1.
+    /// Weight of one window in the moving demand per level, above 0 and below 1.
     pub demand_weight: f64,
 }
 
 impl Default for Tuning {
-    /// Returns the tuning that `rillgap-lab compare` showed to be best where a request may queue for
-    /// little longer than it runs (`docs/design/admission.md`, rounds 2 and 5).
+    /// Returns the values with the best results in `rillgap-lab compare` for services whose requests
+    /// may queue for little longer than they run (`docs/design/admission.md`, rounds 2 and 5).
     fn default() -> Self {
         Self {
             queue_target: 0.2,
@@ -59,25 +62,28 @@
     }
 }
 
-/// What the controller needs to know at the end of a window.
+/// Load of the back end at the end of a control window.
 #[derive(Clone, Debug)]
 pub struct WindowLoad {
     /// Concurrency limit.
     pub limit: f64,
     /// Mean slot time over all requests in microseconds.
     pub mean_service_micros: f64,
-    /// Requests queued of each tier.
+    /// Number of queued requests by tier.
     pub queued: BTreeMap<u8, usize>,
 }
 
-/// Controller of the published level.
+/// Controller of the level below which requests are to be shed upstream.
 #[derive(Clone, Debug)]
 pub struct Threshold {
     tuning: Tuning,
     level: f64,
+    /// Capacity with its lasting correction, as a fraction of the limit.
     trim: f64,
     window_started: Instant,
+    /// Ring buffer of the last published levels.
     recent_levels: [f64; LEVEL_HISTORY_WINDOWS],
+    /// Index in `recent_levels` of the next window.
     next_recent: usize,
     demand: BTreeMap<u8, TierDemand>,
 }
@@ -89,7 +95,7 @@
 }
 
 impl Threshold {
-    /// Creates a controller that sheds nothing yet.
+    /// Creates a controller whose level sheds nothing.
     pub fn new(tuning: Tuning) -> Self {
         Self {
             tuning,
@@ -102,7 +108,7 @@
         }
     }
 
-    /// Returns the level below which requests would be shed; zero while none would be.
+    /// Returns the level below which requests would be shed; 0 while none would be.
     pub fn level(&self) -> Level {
         if self.level < self.lowest_known_floor() + NO_SHED_MARGIN {
             return Level(0);
@@ -110,7 +116,7 @@
         Level(self.level as u32)
     }
 
-    /// Counts a request that asks to be run and is expected to take this much slot time.
+    /// Records the arrival of a request that is expected to occupy a slot for `work_micros`.
     pub fn record_arrival(&mut self, level: Level, work_micros: f64) {
         if f64::from(level.0) < self.min_counted_level() {
             return;
@@ -122,12 +128,12 @@
             .record_arrival(level, work_micros);
     }
 
-    /// Returns whether a window is over, so that [`Self::update`] has something to do.
+    /// Returns whether the control window is over and [`Self::update`] must be called.
     pub fn is_due(&self, now: Instant) -> bool {
         now.saturating_since(self.window_started) >= WINDOW
     }
 
-    /// Ends the window and moves the level.
+    /// Ends the control window and adjusts the level.
     pub fn update(&mut self, now: Instant, load: &WindowLoad) {
         let elapsed = micros(now.saturating_since(self.window_started)) as f64;
         let windows = elapsed / micros(WINDOW) as f64;
@@ -151,9 +157,11 @@
         self.move_level_towards(self.needed_level(load), windows);
     }
 
-    /// Returns the level below which arrivals are not counted: they may be of roots that were let in
-    /// before the level rose. While nothing is shed all are counted: otherwise tiers below the first one that was seen
-    /// would never be known, and never shed.
+    /// Returns the level below which arrivals are not counted, since they may belong to roots that
+    /// were admitted before the level rose.
+    ///
+    /// While nothing is shed, this is 0 and all arrivals are counted. Otherwise, tiers below the first
+    /// one with arrivals would never be recorded, and never be shed.
     fn min_counted_level(&self) -> f64 {
         self.recent_levels
             .iter()
@@ -161,7 +169,7 @@
             .fold(f64::from(self.level().0), f64::max)
     }
 
-    /// Returns the level at which nothing that was ever seen is shed.
+    /// Returns the floor of the lowest tier with recorded arrivals: as a level, it sheds none of them.
     fn lowest_known_floor(&self) -> f64 {
         self.demand.keys().next().map_or(0.0, |tier| floor(*tier))
     }
@@ -173,7 +181,7 @@
         self.level += share * (target - self.level);
     }
 
-    /// Returns the lowest level at which the demand that remains fits the capacity.
+    /// Returns the lowest level at which the demand above it fits the capacity.
     fn needed_level(&self, load: &WindowLoad) -> f64 {
         let mut carried = 0.0;
         let mut queued = 0;
@@ -186,7 +194,8 @@
             if tier_demand > remaining_capacity {
                 let admitted_levels =
                     remaining_capacity.max(0.0) / demand.density().max(MIN_DENSITY);
-                // A little lower, so that another service's filter nearby shows.
+                // Set slightly lower, so that a threshold of another service close above the own
+                // level becomes visible.
                 let probe = if other_threshold.is_none() {
                     threshold_margin(demand)
                 } else {
@@ -199,8 +208,8 @@
         self.lowest_known_floor()
     }
 
-    /// Returns the level below which a tier is kept away by other services' levels, which
-    /// go on whatever this back end publishes; `None` if the own level explains the filter.
+    /// Returns the upstream threshold of a tier if levels of other services cause it, which remain
+    /// in force whatever this back end publishes; `None` if the own level explains it.
     fn other_services_threshold(&self, tier: u8, demand: &TierDemand) -> Option<f64> {
         let own = self.min_counted_level();
         let is_own =
@@ -208,7 +217,8 @@
         (!is_own).then(|| demand.upstream_threshold())
     }
 
-    /// Returns the demand to admit, given the requests queued of the tiers that matter.
+    /// Returns the demand to admit, as a fraction of the concurrency limit. `queued` counts the queued
+    /// requests of the tiers that compete for the capacity.
     fn capacity(&self, queued: usize, load: &WindowLoad) -> f64 {
         let off_target = self.tuning.queue_target - queued as f64 / load.limit;
         let correction = off_target * load.mean_service_micros / QUEUE_RECOVERY_MICROS;
@@ -216,7 +226,8 @@
     }
 }
 
-/// Returns the distance from which a filter can be told from the own level.
+/// Returns the distance from the own level at which an upstream threshold is attributed to another
+/// service.
 fn threshold_margin(demand: &TierDemand) -> f64 {
     let (min, max) = THRESHOLD_MARGIN_RANGE;
     (THRESHOLD_MARGIN_GAPS * demand.gap()).clamp(min, max)
--- a/crates/rillgap-core/src/id.rs
+++ b/crates/rillgap-core/src/id.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Distinguishes successive runs of one node; every start draws a new one.
+/// Identifies one process lifetime of a node; chosen anew at every start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Incarnation(pub u64);
 
@@ -80,31 +80,32 @@
     }
 }
 
-/// Identifies one call of one hop; unique over all nodes and restarts.
+/// Identifies one call on one hop; unique across all nodes and restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct CallId {
-    /// Node that took the call from its caller.
+    /// Node that received the call from its caller.
     pub node: NodeId,
-    /// Run of that node.
+    /// Incarnation of that node.
     pub incarnation: Incarnation,
-    /// Position in that run's sequence of calls.
+    /// Sequence number of the call in that incarnation.
     pub sequence: u64,
 }
 
-/// Identifies one attempt to serve a call at one back end.
+/// Identifies one attempt of a call at one back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct AttemptId {
-    /// The call that is attempted.
+    /// Call that the attempt belongs to.
     pub call: CallId,
-    /// Zero for the first attempt.
+    /// Number of the attempt, 0 for the first.
     pub number: u16,
 }
 
-/// Identifies the root request that a chain of calls serves.
+/// Identifies the root request of a chain of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct RootId(pub u128);
 
-/// Opaque token that a back end returns with its own calls; it names the inbound call.
+/// Opaque token that a back end sends with its own calls; it identifies the inbound call that they
+/// are made for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct CallToken(pub u128);
 
@@ -113,13 +114,13 @@
 pub struct IdempotencyKey(pub u128);
 
 impl IdempotencyKey {
-    /// Returns the time at which the caller made the key (RFC 9562, section 5.7).
+    /// Returns the time at which the caller created the key (RFC 9562, section 5.7).
     pub const fn created_at(self) -> WallTime {
         WallTime::from_millis((self.0 >> 80) as u64)
     }
 }
 
-/// Digest of what a request asks for (see [`fingerprint`](crate::fingerprint)).
+/// Digest of the content of a request (see [`fingerprint`](crate::fingerprint)).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Fingerprint(pub u128);
 
@@ -129,7 +130,7 @@
     }
 }
 
-/// Version of the policy: increases by one with every accepted change.
+/// Version of the policy; increases by one with every accepted change.
 #[derive(
     Clone,
     Copy,
@@ -148,10 +149,11 @@
 #[serde(transparent)]
 pub struct PolicyVersion(pub u64);
 
-/// Version of the membership view: increases by one with every change of members.
+/// Version of the membership view; increases by one with every change of members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ViewVersion(pub u64);
 
-/// Identifies one change of policy, drawn by the operator's client, to settle lost answers.
+/// Identifies one change of the policy. The operator's client chooses it, so that a change whose
+/// answer was lost can be sent again without being applied twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ChangeId(pub u128);
--- a/crates/rillgap-core/src/lib.rs
+++ b/crates/rillgap-core/src/lib.rs
@@ -1,9 +1,9 @@
 //! Decision logic of rillgap as pure state machines, without I/O, threads or clock reads.
 //!
-//! Everything a node decides is decided here. A driver (the daemon, the simulation or a
-//! replay) feeds [`event::Event`]s with the current time into [`node::Node::handle`] and
-//! carries out the [`action::Action`]s that come back. The same inputs always give the same
-//! outputs: there is no clock, no thread and no unseeded random number in this crate.
+//! All decisions of a node are made in this crate. A driver (the daemon, the simulation or a
+//! replay) passes [`event::Event`]s and the current time to [`node::Node::handle`] and executes
+//! the [`action::Action`]s that it returns. The same inputs always produce the same outputs: the
+//! crate uses no clock, no threads and no unseeded random numbers.
 
 pub mod action;
 pub mod admission;
--- a/crates/rillgap-core/src/time.rs
+++ b/crates/rillgap-core/src/time.rs
@@ -1,11 +1,11 @@
-//! Time as the state machines see it: always an argument, never read from a clock.
+//! Time types of the state machines, which receive the time as an argument and never read a clock.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 /// A reading of one host's monotonic clock, in microseconds since an arbitrary origin.
 ///
-/// Readings of two hosts are not comparable; peers exchange durations only.
+/// Readings of different hosts are not comparable, so peers exchange durations only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(u64);
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Wall clock time in milliseconds since the Unix epoch, as UUID version 7 carries it.
+/// Wall-clock time in milliseconds since the Unix epoch, as in a UUID version 7.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WallTime(u64);
 
@@ -57,12 +57,12 @@
         self.0
     }
 
-    /// Returns this time moved into the future by `duration`.
+    /// Returns the time `duration` after this one.
     pub fn plus(self, duration: Duration) -> Self {
         Self(self.0.saturating_add(micros(duration) / 1_000))
     }
 
-    /// Returns this time moved into the past by `duration`, at the earliest the epoch.
+    /// Returns the time `duration` before this one, but not before the epoch.
     pub fn minus(self, duration: Duration) -> Self {
         Self(self.0.saturating_sub(micros(duration) / 1_000))
     }
@@ -73,7 +73,7 @@
 pub struct Now {
     /// Monotonic clock: for deadlines, timers and measured latencies.
     pub instant: Instant,
-    /// Wall clock: only for the age of idempotency keys and for records meant for people.
+    /// Wall clock: used only for the age of idempotency keys and for records that people read.
     pub wall: WallTime,
 }
 
--- a/crates/rillgap-core/tests/admission_back_end.rs
+++ b/crates/rillgap-core/tests/admission_back_end.rs
@@ -1,4 +1,4 @@
-//! Admission beside one back end.
+//! Tests of admission at one back end: limit, queue, deadlines and published level.
 
 use std::time::Duration;
 
@@ -48,7 +48,8 @@
     }
 }
 
-/// Admission whose limit has grown to `slots` and which has seen requests of [`SERVICE`].
+/// Returns an admission controller whose limit has grown to `slots` and whose latency estimate is
+/// [`SERVICE_TIME`].
 fn warm(slots: u16) -> BackEndAdmission {
     let mut admission = BackEndAdmission::default();
     admission.configure(&policy(slots));
@@ -67,6 +68,7 @@
     admission
 }
 
+/// Starts `slots` requests of the lowest class.
 fn fill(admission: &mut BackEndAdmission, now: Instant, slots: u64) {
     for sequence in 0..slots {
         let verdict = admission.offer(now, ticket(sequence, Class::Bulk, at(60_000)));
@@ -75,7 +77,7 @@
 }
 
 #[gtest]
-fn limit_starts_low_and_grows_to_the_slots() {
+fn limit_starts_at_a_quarter_of_the_slots_and_grows_to_all() {
     let mut cold = BackEndAdmission::default();
     cold.configure(&policy(12));
     expect_that!(cold.load().limit, eq(3));
@@ -95,7 +97,7 @@
 }
 
 #[gtest]
-fn failures_in_a_row_bring_slow_start() {
+fn consecutive_failures_restart_slow_start() {
     let mut admission = warm(12);
     for step in 0..8 {
         admission.offer(at(1_000), ticket(step, Class::Critical, at(60_000)));
@@ -129,26 +131,26 @@
 }
 
 #[gtest]
-fn what_cannot_meet_its_deadline_is_refused_at_once() {
+fn request_that_cannot_meet_its_deadline_is_refused_immediately() {
     let mut admission = warm(2);
     fill(&mut admission, at(1_000), 2);
     let verdict = admission.offer(at(1_000), ticket(10, Class::Critical, at(1_015)));
     let Verdict::Refuse(refusal) = verdict else {
-        panic!("not refused: {verdict:?}");
+        panic!("expected a refusal, got {verdict:?}");
     };
     expect_that!(refusal.code, eq(ResultCode::DeadlineUnmet));
     expect_that!(refusal.retry_after.millis, gt(0));
 }
 
 #[gtest]
-fn queued_ticket_is_refused_when_its_deadline_comes_too_close() {
+fn queued_ticket_is_refused_when_it_can_no_longer_meet_its_deadline() {
     let mut admission = warm(2);
     fill(&mut admission, at(1_000), 2);
     let verdict = admission.offer(at(1_000), ticket(10, Class::Critical, at(1_100)));
     assert_that!(verdict, eq(Verdict::Queue));
     let wake = admission
         .next_wake()
-        .expect("a wake-up for the queued ticket");
+        .expect("no wake-up time for the queued ticket");
     expect_that!(wake.as_micros(), le(1_080_000));
     let decisions = admission.poll(wake);
     assert_that!(decisions.len(), eq(1));
@@ -197,7 +199,7 @@
 }
 
 #[gtest]
-fn slow_estimate_is_probed_so_that_it_can_recover() {
+fn probe_is_admitted_when_the_latency_estimate_exceeds_the_deadline() {
     let mut admission = warm(10);
     for sequence in 0..100 {
         admission.offer(at(1_000), ticket(sequence, Class::Critical, at(90_000)));
@@ -211,7 +213,7 @@
 }
 
 #[gtest]
-fn answer_names_the_services_that_it_involved() {
+fn load_report_of_an_answer_includes_services_of_nested_calls() {
     let mut admission = warm(4);
     fill(&mut admission, at(1_000), 1);
     let nested = LoadReport {
@@ -232,8 +234,9 @@
     expect_that!(names, elements_are![eq(&"takst"), eq(&"logbok")]);
 }
 
-/// Offers `per_milli` requests of each class per millisecond to one back end, without an
-/// entry in front of it, and returns the published level.
+/// Offers `per_milli` requests of each class per millisecond to one back end and drops those below
+/// its published level, as an entry node would. Returns the controller and the end time in
+/// milliseconds.
 fn level_after_overload(per_milli: u64, millis: u64) -> (BackEndAdmission, u64) {
     let mut admission = warm(10);
     let mut sequence = 0;
@@ -281,7 +284,7 @@
 }
 
 #[gtest]
-fn no_control_starts_everything() {
+fn all_requests_start_without_control() {
     let mut admission = BackEndAdmission::new(AdmissionSettings::new(ControlMode::None), NodeId(1));
     admission.configure(&policy(2));
     for sequence in 0..100 {
@@ -291,7 +294,7 @@
 }
 
 #[gtest]
-fn fixed_limit_queues_in_order_of_arrival() {
+fn fixed_limit_starts_queued_requests_in_order_of_arrival() {
     let mut admission =
         BackEndAdmission::new(AdmissionSettings::new(ControlMode::Fixed), NodeId(1));
     admission.configure(&policy(1));
--- a/crates/rillgap-core/tests/admission_entry.rs
+++ b/crates/rillgap-core/tests/admission_entry.rs
@@ -1,4 +1,4 @@
-//! Admission at the entry, and the retry budget.
+//! Tests of admission at the entry and of the retry budget.
 
 use googletest::prelude::*;
 use rillgap_core::admission::{
@@ -47,7 +47,8 @@
     }
 }
 
-/// Entry that has learned that bookings involve `takst`, with `level` reported for it.
+/// Returns an entry for which answers to `bestilling` have involved `takst`, with `level` reported
+/// for the latter.
 fn entry(level: Level) -> EntryAdmission {
     let mut entry = EntryAdmission::default();
     let booking = ServiceName::new("bestilling");
@@ -59,6 +60,7 @@
     entry
 }
 
+/// Returns how many of 1,000 root requests are admitted.
 fn admitted(entry: &mut EntryAdmission, now: Instant, service: &str, class: Class) -> usize {
     let service = ServiceName::new(service);
     (0..1_000_u128)
@@ -67,11 +69,11 @@
 }
 
 #[gtest]
-fn deep_overload_is_refused_at_the_entry_by_class_and_share() {
-    let half_of_browsing = Level(Level::floor(Class::Sheddable).0 + Level::PER_TIER / 2);
-    let mut entry = entry(half_of_browsing);
+fn downstream_overload_is_refused_at_the_entry_by_class_and_level() {
+    let half_of_sheddable = Level(Level::floor(Class::Sheddable).0 + Level::PER_TIER / 2);
+    let mut entry = entry(half_of_sheddable);
     let now = at(500);
-    // A route of the same service that was never seen to involve takst.
+    // No answer of this route of the same service has involved takst.
     let service = ServiceName::new("bestilling");
     let other = |root| RootRequest {
         route: route("other"),
@@ -80,8 +82,8 @@
     let others = (0..1_000).filter(|root| entry.admit(now, other(*root)).is_ok());
     expect_that!(others.count(), eq(1_000));
     expect_that!(admitted(&mut entry, now, "bestilling", Class::Bulk), eq(0));
-    let browsing = admitted(&mut entry, now, "bestilling", Class::Sheddable);
-    expect_that!(browsing, all![gt(420), lt(580)]);
+    let sheddable = admitted(&mut entry, now, "bestilling", Class::Sheddable);
+    expect_that!(sheddable, all![gt(420), lt(580)]);
     expect_that!(
         admitted(&mut entry, now, "bestilling", Class::Critical),
         eq(1_000)
@@ -90,7 +92,7 @@
 }
 
 #[gtest]
-fn one_root_is_treated_alike_by_every_entry() {
+fn every_entry_decides_alike_on_a_root() {
     let level = Level(Level::floor(Class::Critical).0 + 100);
     let (mut here, mut there) = (entry(level), entry(level));
     let service = ServiceName::new("bestilling");
@@ -102,12 +104,12 @@
 }
 
 #[gtest]
-fn refusal_tells_when_to_come_back() {
+fn refusal_carries_a_retry_time() {
     let mut entry = entry(Level(Level::COUNT));
     let service = ServiceName::new("bestilling");
     let refusal = entry
         .admit(at(500), request(&service, Class::Critical, 1))
-        .expect_err("everything is refused");
+        .expect_err("request admitted above the highest level");
     expect_that!(refusal.code, eq(ResultCode::Overloaded));
     expect_that!(refusal.retry_after.millis, gt(0));
 }
@@ -115,7 +117,7 @@
 #[gtest]
 fn level_without_reports_decays_within_two_seconds() {
     let mut entry = entry(Level(Level::COUNT));
-    // The smoothed level comes close to the highest, but does not reach it.
+    // The smoothed level approaches the highest one without reaching it.
     expect_that!(
         admitted(&mut entry, at(600), "bestilling", Class::Critical),
         lt(10)
@@ -125,7 +127,7 @@
 }
 
 #[gtest]
-fn retries_are_a_share_of_successes() {
+fn retries_are_limited_to_a_fraction_of_successes() {
     let mut budget = RetryBudget::default();
     budget.configure(10);
     let service = ServiceName::new("takst");
--- a/crates/rillgap-core/tests/admission_threshold.rs
+++ b/crates/rillgap-core/tests/admission_threshold.rs
@@ -1,4 +1,4 @@
-//! The published level, from the demand of all tiers.
+//! Tests of the published level that follows from the demand of all tiers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 const LIMIT: f64 = 20.0;
 const WORK: Duration = Duration::from_millis(20);
 const WINDOW: Duration = Duration::from_millis(50);
-/// Requests of one window that keep all slots busy.
+/// Number of requests per window that occupies all slots.
 const FULL: u64 = 50;
-/// Windows after which the level has settled.
+/// Number of windows after which the level is stable.
 const WINDOWS: u64 = 60;
 
-/// Returns the levels of `count` requests of a tier, spread over it evenly.
+/// Returns the levels of `count` requests, evenly distributed over a tier.
 fn spread(tier: u8, count: u64) -> impl Iterator<Item = Level> {
-    let step = Level::PER_TIER / u32::try_from(count).expect("a small number");
+    let step = Level::PER_TIER / u32::try_from(count).expect("count does not fit u32");
     (0..count).map(move |number| Level(Level::tier_floor(tier).0 + number as u32 * step))
 }
 
@@ -38,11 +38,14 @@
     threshold.update(Instant::from_micros(0) + WINDOW * number as u32, &load);
 }
 
-/// A back end gets half of what it can carry of a high tier and all of it again of a low one. Its node had seen only the high
-/// tier while nothing was shed, took the floor of that tier for its level, and did not count what lies below: beside
-/// one such back end of 19 slots the level stayed zero while 150 requests a second were shed there, and the entries let all in.
+/// Guards against a controller that ignores a lower tier because a higher one was recorded first.
+///
+/// A back end receives half of its capacity in requests of a high tier and its full capacity in
+/// requests of a low one. If only the high tier arrives while nothing is shed, the level is the floor
+/// of that tier; when arrivals below it are not counted, the level stays 0. With 19 slots, a back end
+/// then shed 150 requests per second that the entries kept admitting.
 #[gtest]
-fn demand_of_a_lower_tier_counts_although_a_higher_one_was_seen_first() {
+fn demand_of_a_lower_tier_counts_after_a_higher_tier_was_recorded_first() {
     let mut threshold = Threshold::new(Tuning::default());
     arrive(&mut threshold, HIGH, 1);
     end_window(&mut threshold, 1, 0);
--- a/crates/rillgap-core/tests/result_codes.rs
+++ b/crates/rillgap-core/tests/result_codes.rs
@@ -1,4 +1,4 @@
-//! The table of result codes in `docs/ERRORS.md` is the one in the code.
+//! Checks that the table of result codes in `docs/ERRORS.md` matches the code.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 const PAGE: &str = include_str!("../../../docs/ERRORS.md");
 
-/// Returns the first five cells of every row of the page's table.
+/// Returns the first five cells of every row of the table.
 fn rows_of_page() -> Vec<Vec<&'static str>> {
     PAGE.lines()
         .filter(|line| line.starts_with("| ") && !line.starts_with("| Code"))
