--- a/crates/rillgap-cli/src/arguments.rs
+++ b/crates/rillgap-cli/src/arguments.rs
@@ -1,38 +1,40 @@
-//! Arguments of the command line, with defaults and units in their help.
+//! Command-line arguments. The help texts name defaults and units.
 
 use std::path::PathBuf;
 
 use argh::{FromArgValue, FromArgs};
 use rillgap_core::id::ChangeId;
 
-/// Address of the operators' listener that is asked if none is named.
+/// Operator listener to connect to if no `--node` is given.
 pub const DEFAULT_NODE: &str = "127.0.0.1:7440";
 
+/// Default of `--timeout`.
 const DEFAULT_TIMEOUT_SECONDS: u64 = 10;
+/// Default of `--wait`.
 const DEFAULT_WAIT_SECONDS: u64 = 10;
 
-/// Operates a rillgap deployment. Exit codes are the numbers of docs/ERRORS.md.
+/// Operates a rillgap deployment. docs/ERRORS.md lists the exit codes.
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 pub struct Arguments {
-    /// operators' listener of a node, IP:PORT (default 127.0.0.1:7440); if repeated, the next
-    /// one is asked when one gives no answer
+    /// operator listener of a node, IP:PORT (default 127.0.0.1:7440); may be repeated: if one does
+    /// not answer, the next one is tried
     #[argh(option)]
     pub node: Vec<String>,
-    /// form of the output: text or json (default text)
+    /// output format: text or json (default text)
     #[argh(option, default = "OutputForm::Text")]
     pub output: OutputForm,
-    /// longest wait for the answer to one call, in seconds, 1 to 300 (default 10)
+    /// timeout of one call, in seconds, 1 to 300 (default 10)
     #[argh(option, default = "Seconds(DEFAULT_TIMEOUT_SECONDS)")]
     pub timeout: Seconds,
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// Form of the output.
+/// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputForm {
-    /// Lines for people; a policy is printed as a policy file.
+    /// Human-readable lines; a policy is printed as a policy file.
     Text,
     /// One JSON document.
     Json,
@@ -48,7 +50,7 @@
     }
 }
 
-/// A time in whole seconds, 1 to 300.
+/// Duration in whole seconds, 1 to 300.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seconds(pub u64);
 
@@ -73,32 +75,32 @@
     }
 }
 
-/// What to do.
+/// Top-level command.
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
-    /// Policy of the deployment.
+    /// Shows, checks, compares or replaces the policy of the deployment.
     Policy(PolicyArguments),
-    /// One change of the policy.
+    /// Shows the progress of a policy change.
     Change(ChangeArguments),
-    /// Back ends entering and leaving service.
+    /// Takes back ends out of service, or puts them back.
     BackEnd(BackEndArguments),
-    /// Status of the deployment.
+    /// Shows the status of the deployment.
     Status(StatusArguments),
-    /// One node.
+    /// Acts on one node.
     Node(NodeArguments),
-    /// Logs.
+    /// Explains the outcome of a request from logs.
     Explain(ExplainArguments),
 }
 
-/// tell from logs of nodes what became of a request and why; asks no node
+/// explain from node logs how a request ended and why; contacts no node
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainArguments {
     /// identifier of the request
     #[argh(positional)]
     pub request: String,
-    /// logs of nodes, each named after its node (default: standard input)
+    /// log files, each named after its node (default: standard input)
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
@@ -107,33 +109,33 @@
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "policy")]
 pub struct PolicyArguments {
-    /// what to do with the policy
+    /// policy command to run
     #[argh(subcommand)]
     pub command: PolicyCommand,
 }
 
-/// What to do with the policy.
+/// Command on the policy.
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand)]
 pub enum PolicyCommand {
-    /// Print it.
+    /// Prints the policy in force.
     Get(GetPolicyArguments),
-    /// Check a file.
+    /// Checks a policy file.
     Check(CheckPolicyArguments),
-    /// Compare a file.
+    /// Compares a policy file with the policy in force.
     Plan(PlanPolicyArguments),
-    /// Compare a file; another name of `plan`.
+    /// Alias of `plan`.
     Diff(DiffPolicyArguments),
-    /// Put a file in force.
+    /// Puts a policy file in force.
     Apply(ApplyPolicyArguments),
 }
 
-/// print the policy in force at the node
+/// print the policy that is in force at the node
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "get")]
 pub struct GetPolicyArguments {}
 
-/// check a policy file without asking any node
+/// check a policy file; contacts no node
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct CheckPolicyArguments {
@@ -142,7 +144,7 @@
     pub file: PathBuf,
 }
 
-/// show what a policy file would change against the policy in force
+/// show the differences between the policy in force and a policy file
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "plan")]
 pub struct PlanPolicyArguments {
@@ -151,7 +153,7 @@
     pub file: PathBuf,
 }
 
-/// show what a policy file would change against the policy in force (same as plan)
+/// show the differences between the policy in force and a policy file (alias of plan)
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub struct DiffPolicyArguments {
@@ -160,63 +162,64 @@
     pub file: PathBuf,
 }
 
-/// put a policy file in force; exits with 0 once every machine has confirmed it, with 102 if some have not
+/// put a policy file in force; exits with 0 once every machine has confirmed it, and with 102 if
+/// some have not within the wait time
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct ApplyPolicyArguments {
     /// policy file in TOML
     #[argh(positional)]
     pub file: PathBuf,
-    /// version that must still be in force, as printed by plan (default: whichever is)
+    /// version that must still be in force, as printed by plan (default: any)
     #[argh(option)]
     pub expect_version: Option<u64>,
-    /// UUID of an earlier change whose answer was lost (default: a new one)
+    /// UUID of an earlier change whose answer was lost, to repeat that change (default: a new UUID)
     #[argh(option)]
     pub change: Option<ChangeArgument>,
-    /// longest wait until every machine has confirmed, in seconds, 1 to 300 (default 10)
+    /// maximum time to wait until every machine has confirmed, in seconds, 1 to 300 (default 10)
     #[argh(option, default = "Seconds(DEFAULT_WAIT_SECONDS)")]
     pub wait: Seconds,
 }
 
-/// tell how far a change has spread
+/// show which machines have not confirmed a change yet
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "change")]
 pub struct ChangeArguments {
     /// UUID of the change
     #[argh(positional)]
     pub id: ChangeArgument,
-    /// longest wait until every machine has confirmed, in seconds, 1 to 300 (default 10)
+    /// maximum time to wait until every machine has confirmed, in seconds, 1 to 300 (default 10)
     #[argh(option, default = "Seconds(DEFAULT_WAIT_SECONDS)")]
     pub wait: Seconds,
 }
 
-/// move back ends out of service and back
+/// take back ends out of service, or put them back
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "back-end")]
 pub struct BackEndArguments {
-    /// what to do with the back end
+    /// back-end command to run
     #[argh(subcommand)]
     pub command: BackEndCommand,
 }
 
-/// What to do with a back end.
+/// Command on a back end.
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand)]
 pub enum BackEndCommand {
-    /// Take it out of service.
+    /// Takes a back end out of service.
     Drain(DrainArguments),
-    /// Put it back into service.
+    /// Puts a back end back into service.
     Restore(RestoreArguments),
 }
 
-/// take a back end out of service: it gets no new requests and finishes those in flight
+/// take a back end out of service: it receives no new requests and finishes those in flight
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub struct DrainArguments {
     /// name of the back end in the policy
     #[argh(positional)]
     pub name: String,
-    /// longest wait until every machine has confirmed, in seconds, 1 to 300 (default 10)
+    /// maximum time to wait until every machine has confirmed, in seconds, 1 to 300 (default 10)
     #[argh(option, default = "Seconds(DEFAULT_WAIT_SECONDS)")]
     pub wait: Seconds,
 }
@@ -228,34 +231,34 @@
     /// name of the back end in the policy
     #[argh(positional)]
     pub name: String,
-    /// longest wait until every machine has confirmed, in seconds, 1 to 300 (default 10)
+    /// maximum time to wait until every machine has confirmed, in seconds, 1 to 300 (default 10)
     #[argh(option, default = "Seconds(DEFAULT_WAIT_SECONDS)")]
     pub wait: Seconds,
 }
 
-/// print versions and members as the node sees them
+/// print the versions and members that the node knows
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArguments {}
 
-/// act on the node that is asked
+/// act on the first named node
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "node")]
 pub struct NodeArguments {
-    /// what to do with the node
+    /// node command to run
     #[argh(subcommand)]
     pub command: NodeCommand,
 }
 
-/// What to do with a node.
+/// Command on a node.
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand)]
 pub enum NodeCommand {
-    /// Stop it.
+    /// Stops the node.
     Stop(StopArguments),
 }
 
-/// stop the first named node as planned: it cuts no request in flight
+/// stop the first named node gracefully: it finishes the requests in flight
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 #[argh(subcommand, name = "stop")]
 pub struct StopArguments {}
--- a/crates/rillgap-cli/src/command.rs
+++ b/crates/rillgap-cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Execution of the commands.
 
 use std::fs::File;
 use std::io::{BufReader, Write};
@@ -23,7 +23,7 @@
 use crate::policy_file;
 use crate::session::{ChangeRequest, Session};
 
-/// Runs one command and returns the code with which the process exits.
+/// Runs one command and returns the exit code of the process.
 pub async fn run(
     arguments: Arguments,
     output: &mut impl Write,
@@ -37,7 +37,7 @@
     runner.run(arguments.command).await
 }
 
-/// One command in progress.
+/// Executes one command: calls nodes through the session and prints the result.
 struct Runner<'a, W> {
     session: Session,
     printer: Printer<'a, W>,
@@ -111,7 +111,7 @@
         id: ChangeId,
         wait: Seconds,
     ) -> Result<ResultCode, CommandError> {
-        log::info!("ctl: change sent; change={}", change_text(id));
+        log::info!("ctl: sending change; change={}", change_text(id));
         let wait = Duration::from_secs(wait.0);
         let change = self.session.change(&request, id, wait).await?;
         self.report(id, &change)
--- a/crates/rillgap-cli/src/difference.rs
+++ b/crates/rillgap-cli/src/difference.rs
@@ -1,4 +1,4 @@
-//! Differences between two policies, key by key.
+//! Comparison of two policies, key by key.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,14 +7,14 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// One key whose value differs.
+/// A key whose value differs between two policies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// Where it stands, such as `service[takst].slots`.
+    /// Path of the key, such as `service[takst].slots`.
     pub key: String,
-    /// Value in force; `None` if the key is new.
+    /// Value in the policy in force; `None` if the key is added.
     pub before: Option<String>,
-    /// Value of the new policy; `None` if the key goes.
+    /// Value in the new policy; `None` if the key is removed.
     pub after: Option<String>,
 }
 
@@ -30,9 +30,9 @@
     }
 }
 
-/// Returns what differs between the policy in force and a new one, ordered by key.
+/// Returns the differences between the policy in force and a new one, ordered by key.
 ///
-/// Versions are left out, for the system sets them.
+/// Versions are not compared, since rillgap assigns them.
 pub fn between(before: &Policy, after: &Policy) -> Vec<Difference> {
     let before = values(before);
     let after = values(after);
@@ -50,7 +50,7 @@
         .collect()
 }
 
-/// Returns every value of a policy by its key.
+/// Returns all values of a policy by key.
 fn values(policy: &Policy) -> BTreeMap<String, String> {
     let mut values = BTreeMap::new();
     insert(&mut values, "bounds", &policy.bounds);
@@ -71,7 +71,8 @@
     values
 }
 
-/// Adds the fields of one entry; its type is one of the policy's, which are all plain structs.
+/// Adds the fields of one entry of the policy. All types of entries are plain structs, so they
+/// serialize to JSON objects; anything else is ignored.
 fn insert(values: &mut BTreeMap<String, String>, key: &str, entry: &impl Serialize) {
     let Ok(Value::Object(fields)) = serde_json::to_value(entry) else {
         return;
--- a/crates/rillgap-cli/src/error.rs
+++ b/crates/rillgap-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the command line.
+//! Errors of commands and their exit codes.
 
 use std::path::PathBuf;
 
@@ -10,39 +10,39 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// A policy file cannot be read.
+    /// A policy file or a log cannot be read.
     #[error("{}: {source}", file.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A policy file is no TOML, or has unknown keys or values of another type.
+    /// A policy file is not valid TOML, or has unknown keys or values of a wrong type.
     #[error("{}: {source}", file.display())]
     Syntax {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Position, key and what was expected.
+        /// Position, key and expected value.
         source: Box<toml::de::Error>,
     },
     /// A policy file has values that are not allowed.
     #[error("{}: {source}", file.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Keys, values and what is allowed.
+        /// Keys, their values and the allowed ranges.
         source: InvalidPolicy,
     },
-    /// A call failed.
+    /// A call to a node failed.
     #[error("{0}")]
     Call(#[from] OperatorError),
-    /// A change was sent and no answer told of its effect.
+    /// A change was sent, but its answers were lost, so its effect is not known.
     #[error("{source}; follow it with `rillgapctl change {change}`")]
     Unsettled {
         /// UUID of the change.
         change: String,
-        /// Last failure.
+        /// Error of the last call.
         source: OperatorError,
     },
     /// The output cannot be written.
@@ -54,7 +54,7 @@
 }
 
 impl CommandError {
-    /// Returns the numbered result, with which the process exits.
+    /// Returns the result code, which is also the exit code of the process.
     pub fn code(&self) -> ResultCode {
         match self {
             Self::Unreadable { .. } => ResultCode::SettingsUnreadable,
--- a/crates/rillgap-cli/src/explain/configuration.rs
+++ b/crates/rillgap-cli/src/explain/configuration.rs
@@ -1,15 +1,15 @@
-//! The configuration by which a request was decided, and its age.
+//! Description of the configuration that decided a request.
 
 use super::Record;
 use super::verdict::{ANSWERED, last};
 
-/// Message of the line that tells that a configuration is in force.
+/// Message of the log record that a configuration is in force.
 const IN_FORCE: &str = "configuration: in force";
-/// Message of the line that tells that the store has come back from a copy.
+/// Message of the log record that the store was restored from a backup.
 const STORE_RESTORED: &str = "store: back from a copy";
 
-/// Describes the configuration by which the owner of a request has decided: for how long it had been in force there, and
-/// whether the store may have lost it meanwhile.
+/// Describes the configuration that the node which answered a request used: its version, for how
+/// long it had been in force at that node, and whether the store may have lost it since.
 pub(super) fn describe(request: &str, path: &[Record], node_events: &[Record]) -> Option<String> {
     let answer = last(path, request, ANSWERED)?;
     let version = answer.number("configuration")?;
@@ -30,7 +30,7 @@
     let lost = restored_at.filter(|at| Some(*at) > in_force_at);
     let lost = lost.map_or_else(String::new, |at| {
         let since = answer.time - at;
-        format!("; the store came back from a copy {since:.1} s before and may have lost it")
+        format!("; the store was restored from a backup {since:.1} s before and may have lost it")
     });
     Some(format!("decided by configuration {version}{age}{lost}"))
 }
--- a/crates/rillgap-cli/src/explain/mod.rs
+++ b/crates/rillgap-cli/src/explain/mod.rs
@@ -1,4 +1,4 @@
-//! From a request's identifier to its cause, by the logs of nodes alone.
+//! Explains from the logs of nodes how a request ended and why.
 
 mod configuration;
 mod record;
@@ -12,29 +12,30 @@
 pub use record::Record;
 pub use verdict::Verdict;
 
-/// Time before a request's first line from which changes of what its nodes believe are shown, in
+/// Time before the first log record of a request from which events at its nodes are shown, in
 /// seconds.
 const CONTEXT_SECONDS: f64 = 5.0;
-/// Most lines about beliefs that are kept while logs are read.
+/// Maximum number of node events that are kept while logs are read; later ones are dropped.
 const MAX_NODE_EVENTS: usize = 200_000;
 
-/// What logs tell of a request.
+/// Explanation of a request from logs.
 #[derive(Clone, Debug, Serialize)]
 pub struct Explanation {
-    /// Identifier that was asked for.
+    /// Identifier of the request.
     pub request: String,
     /// How the request ended and why.
     pub verdict: Verdict,
-    /// Which configuration decided, and for how long it had been in force there, if the logs tell.
+    /// Configuration that decided the request; `None` if the logs do not show it.
     pub configuration: Option<String>,
-    /// Lines about the request, its calls and the requests that it was made for, in their order.
+    /// Log records of the request, of its calls and of the requests that it is a call of, by time.
     pub path: Vec<Record>,
-    /// What the nodes on that path began to believe shortly before.
+    /// Log records without a request, such as lost peers, from the nodes on the path shortly before
+    /// and during the request, by time.
     #[serde(rename = "beliefs")]
     pub node_events: Vec<Record>,
 }
 
-/// Reads logs and keeps what a request needs.
+/// Reads logs and keeps the records that are needed to explain a request.
 #[derive(Debug)]
 pub struct Explainer {
     request: String,
@@ -43,7 +44,7 @@
 }
 
 impl Explainer {
-    /// Creates an explainer of a request.
+    /// Creates an explainer of the request with this identifier.
     pub fn new(request: &str) -> Self {
         Self {
             request: request.to_owned(),
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Reads a log; `node` names the node of lines that do not.
+    /// Reads a log. `node` is the node of lines that do not name one themselves.
     ///
     /// # Errors
     ///
@@ -68,7 +69,7 @@
         Ok(())
     }
 
-    /// Returns what the logs tell.
+    /// Returns the explanation from all logs that were read.
     pub fn explain(mut self) -> Explanation {
         let by_time = |left: &Record, right: &Record| left.time.total_cmp(&right.time);
         self.path.sort_by(by_time);
@@ -113,8 +114,8 @@
     }
 }
 
-/// Returns whether an identifier is another one or extends it behind a separator, as that of a call
-/// extends that of the request which it is made for.
+/// Returns whether an identifier equals another one or extends it after a separator. The identifier
+/// of a call extends that of its parent request.
 fn extends(id: &str, shorter: &str) -> bool {
     let rest = id.strip_prefix(shorter);
     rest.is_some_and(|rest| !rest.starts_with(|next: char| next.is_alphanumeric()))
--- a/crates/rillgap-cli/src/explain/record.rs
+++ b/crates/rillgap-cli/src/explain/record.rs
@@ -1,29 +1,32 @@
-//! One line of a log.
+//! Parser of log lines.
 
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// Fields that stand in [`Record`] themselves, or that nobody needs to see.
+/// Fields left out of [`Record::fields`]: those with a field of their own, and those without use in
+/// an explanation.
 const OMITTED_FIELDS: [&str; 6] = ["message", "time", "uptime", "level", "request", "node"];
 
-/// One line of a log.
+/// Parsed log line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Record {
-    /// Node that wrote it.
+    /// Node that wrote the line.
     pub node: String,
-    /// Time of day in seconds, by the clock of the node's machine.
+    /// Wall-clock time of the node's machine, in seconds since the Unix epoch.
     pub time: f64,
-    /// What happened.
+    /// Message of the record, such as `outbound: answered`.
     pub message: String,
-    /// Request that it is about.
+    /// Identifier of the request; `None` if the record concerns no single request.
     pub request: Option<String>,
-    /// The other fields.
+    /// All other fields.
     pub fields: Map<String, Value>,
 }
 
 impl Record {
-    /// Reads a line: a JSON object, with or without words before it, the last of which then names
-    /// the node. `None` if it is something else.
+    /// Parses a line that holds a JSON object; `None` for other lines.
+    ///
+    /// The node is the `node` field of the object, else the last word before the object, else
+    /// `node`.
     pub fn parse(line: &str, node: &str) -> Option<Self> {
         let start = line.find('{')?;
         let mut fields: Map<String, Value> = serde_json::from_str(line[start..].trim_end()).ok()?;
@@ -46,17 +49,17 @@
         })
     }
 
-    /// Returns a field with a text.
+    /// Returns a text field; `None` if it is missing or of another type.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.fields.get(name).and_then(Value::as_str)
     }
 
-    /// Returns a field with a number.
+    /// Returns an unsigned integer field; `None` if it is missing or of another type.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name).and_then(Value::as_u64)
     }
 
-    /// Returns the other fields as `name=value`, in their order.
+    /// Formats [`Self::fields`] as `name=value` pairs.
     pub fn detail(&self) -> String {
         let pair = |(name, value): (&String, &Value)| match value {
             Value::String(text) => format!("{name}={text}"),
--- a/crates/rillgap-cli/src/explain/verdict.rs
+++ b/crates/rillgap-cli/src/explain/verdict.rs
@@ -1,32 +1,32 @@
-//! How a request ended, and what the lines about it say of the cause.
+//! Determines from log records how a request ended and why.
 
 use rillgap_core::code::ResultCode;
 use serde::Serialize;
 
 use super::{Record, extends};
 
-/// Message of the line that tells a request's end.
+/// Message of the log record of an answered request.
 pub(super) const ANSWERED: &str = "outbound: answered";
-/// Message of the line with which the node beside a back end gives a request up.
+/// Message of the log record with which a back end's node reports a request without an answer.
 const UNANSWERED: &str = "inbound: no answer";
-/// Message of the line that tells that the caller left.
+/// Message of the log record that the caller disconnected.
 const CALLER_GONE: &str = "outbound: caller gone";
-/// Status from which an answer is a failure.
+/// Lowest HTTP status of a failure.
 const MIN_FAILURE_STATUS: u64 = 500;
 
-/// How a request ended, and why.
+/// How a request ended and why.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// Status that the caller got; `None` if no line tells.
+    /// HTTP status of the answer to the caller; `None` if no record shows it.
     pub status: Option<u64>,
-    /// Number of the result code; 0 for an answer of the back end's own.
+    /// Number of the result code; 0 if the back end answered, `None` if no record shows the answer.
     pub code: Option<u64>,
-    /// One sentence for each step from the end to the cause.
+    /// Steps from the end of the request back to its cause, one sentence each.
     pub because: Vec<String>,
 }
 
 impl Verdict {
-    /// Judges by the lines about a request and its calls, in their order.
+    /// Derives the verdict from the records of a request and its calls, ordered by time.
     pub fn of(request: &str, path: &[Record]) -> Self {
         let answer = last(path, request, ANSWERED);
         Self {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns a sentence for each step from a request's end to its cause.
+/// Returns one sentence for each step from the end of a request back to its cause.
 fn steps(request: &str, path: &[Record]) -> Vec<String> {
     let answer = last(path, request, ANSWERED);
     let unanswered = last(path, request, UNANSWERED);
@@ -47,7 +47,7 @@
         None => describe_missing_end(request, path).to_owned(),
     });
     sentences.extend(unanswered.map(describe_no_answer));
-    // A failure of the back end's own may come from a call that it made.
+    // If the back end itself answered with a failure, a failed call of its own may be the cause.
     let is_own_failure = answer.is_none_or(|answer| {
         answer.number("code") == Some(0) && answer.number("status") >= Some(MIN_FAILURE_STATUS)
     });
@@ -62,22 +62,24 @@
 
 fn describe_missing_end(request: &str, path: &[Record]) -> &'static str {
     if path.is_empty() {
-        "no line tells of it: it succeeded and was not sampled, or the logs are not those of its \
-         node and time"
+        "no log record of the request: it succeeded and was not sampled, or the logs are from \
+         another node or time"
     } else if last(path, request, CALLER_GONE).is_some() {
-        "the caller left before an answer"
+        "the caller disconnected before it was answered"
     } else {
-        "no line tells its end: the node that took it ended first, or the line was left out"
+        "no log record of its end: the node that received it ended first, or the record was dropped"
     }
 }
 
+/// Returns the last record of a request with a message.
 pub(super) fn last<'a>(path: &'a [Record], request: &str, message: &str) -> Option<&'a Record> {
     path.iter()
         .rev()
         .find(|record| record.request.as_deref() == Some(request) && record.message == message)
 }
 
-/// Returns the first call of a request that came to nothing.
+/// Returns the identifier of the outermost failed call of a request; of several, the one logged
+/// first.
 fn failed_call<'a>(path: &'a [Record], request: &str) -> Option<&'a str> {
     let is_failure = |record: &&Record| {
         let answered =
@@ -88,7 +90,8 @@
         .filter(is_failure)
         .filter_map(|record| record.request.as_deref())
         .filter(|id| *id != request && extends(id, request))
-        // Of several calls one below the other, the nearest.
+        // The identifier of a nested call is longer than that of its parent. The next step follows
+        // the cause from the outermost call on.
         .min_by_key(|id| id.len())
 }
 
@@ -105,7 +108,7 @@
     let attempts = answer.number("attempts").unwrap_or(0);
     let millis = answer.number("elapsed_micros").unwrap_or(0) as f64 / 1_000.0;
     let reason = match code {
-        0 => "the answer of a back end".to_owned(),
+        0 => "answer of the back end".to_owned(),
         code => format!("code {code}, {}", title(code)),
     };
     let peer = answer.text("peer").filter(|peer| !peer.is_empty());
@@ -124,7 +127,8 @@
     let reason = title(code);
     let count = |name| unanswered.number(name).unwrap_or(0);
     format!(
-        "{request}: {node} gave it up (code {code}, {reason}) with {} running and {} waiting of {} allowed",
+        "{request}: {node} got no answer from its back end (code {code}, {reason}) with {} running, \
+         {} queued, limit {}",
         count("running"),
         count("queued"),
         count("limit")
--- a/crates/rillgap-cli/src/lib.rs
+++ b/crates/rillgap-cli/src/lib.rs
@@ -1,7 +1,7 @@
-//! The rillgapctl command line.
+//! The `rillgapctl` command line.
 //!
-//! Everything that it does to a deployment is a remote procedure call of the operators' schema;
-//! `explain` reads logs and asks nobody.
+//! Commands that read or change a deployment are remote procedure calls of the operator schema.
+//! `explain` and `policy check` contact no node.
 
 pub mod arguments;
 mod command;
--- a/crates/rillgap-cli/src/main.rs
+++ b/crates/rillgap-cli/src/main.rs
@@ -18,7 +18,7 @@
     let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(error) => {
-            log::error!("ctl: no runtime; error={error}");
+            log::error!("ctl: cannot create the runtime; error={error}");
             return exit_code(ResultCode::Internal);
         }
     };
@@ -32,7 +32,8 @@
     }
 }
 
-/// Reads the command line; prints help or what is wrong with it.
+/// Parses the command line. Prints the help or an error and returns the exit code if there is
+/// nothing to run.
 fn parse() -> Result<Arguments, ExitCode> {
     let words: Vec<String> = std::env::args().collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
--- a/crates/rillgap-cli/src/output.rs
+++ b/crates/rillgap-cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Output in text or JSON.
+//! Output of results as text or JSON.
 
 use std::io::Write;
 
@@ -17,9 +17,9 @@
 /// Writes the results of commands.
 #[derive(Debug)]
 pub struct Printer<'a, W> {
-    /// Form of the output.
+    /// Output format.
     pub form: OutputForm,
-    /// Where it goes.
+    /// Destination of the output.
     pub target: &'a mut W,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Writes what a policy would change against the one in force.
+    /// Writes the differences between the policy in force, which has this `version`, and a new one.
     pub fn plan(
         &mut self,
         version: PolicyVersion,
@@ -66,7 +66,7 @@
         self.line(&format!("{count} differences against version {version}"))
     }
 
-    /// Writes what became of a request.
+    /// Writes how a request ended, why, and the log records that show it.
     pub fn explanation(&mut self, explanation: &Explanation) -> Result<(), CommandError> {
         if self.form == OutputForm::Json {
             return self.json(&json!(explanation));
@@ -78,12 +78,10 @@
             self.line(sentence)?;
         }
         self.records("\nPath", &explanation.path)?;
-        self.records(
-            "\nWhat its nodes began to believe",
-            &explanation.node_events,
-        )
+        self.records("\nEvents at its nodes", &explanation.node_events)
     }
 
+    /// Writes a table of log records with their time since the first one.
     fn records(&mut self, title: &str, records: &[Record]) -> Result<(), CommandError> {
         let Some(first) = records.first() else {
             return Ok(());
@@ -102,7 +100,7 @@
         Ok(())
     }
 
-    /// Writes how far a change has come.
+    /// Writes whether a change is in force everywhere, and which nodes have not confirmed it.
     pub fn change(&mut self, id: ChangeId, change: &Change) -> Result<(), CommandError> {
         let id = change_text(id);
         let version = change.version.0;
--- a/crates/rillgap-cli/src/policy_file.rs
+++ b/crates/rillgap-cli/src/policy_file.rs
@@ -1,4 +1,4 @@
-//! Policy files in TOML.
+//! Reading and writing of policy files in TOML.
 
 use std::path::Path;
 
@@ -23,7 +23,7 @@
     Ok(policy)
 }
 
-/// Writes a policy in the form of a policy file.
+/// Formats a policy as a policy file.
 pub fn write(policy: &Policy) -> Result<String, CommandError> {
     toml::to_string(policy).map_err(|error| CommandError::Encode(error.to_string()))
 }
--- a/crates/rillgap-cli/src/session.rs
+++ b/crates/rillgap-cli/src/session.rs
@@ -1,4 +1,4 @@
-//! Calls to the named nodes, repeated where an answer was lost.
+//! Calls to the nodes of the command line, with retries of changes whose answer was lost.
 
 use std::time::Duration;
 
@@ -13,43 +13,44 @@
 use crate::arguments::{Arguments, DEFAULT_NODE};
 use crate::error::CommandError;
 
-/// Calls made for one request before it is given up.
+/// Maximum number of calls for one change.
 const MAX_CALLS: usize = 5;
 
-/// Pause before a call is repeated.
+/// Delay before a call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Pause between two looks at a pending change.
+/// Interval between two queries of a pending change.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A change of the policy that is to be made.
+/// A requested change of the policy.
 #[derive(Clone, Debug)]
 pub enum ChangeRequest {
     /// Replaces the policy.
     Policy {
-        /// The new one.
+        /// The new policy.
         policy: Policy,
         /// Version that must still be in force.
         expected: Option<PolicyVersion>,
     },
-    /// Moves a back end into or out of service.
+    /// Puts a back end into service or takes it out.
     BackEnd {
-        /// The back end.
+        /// Name of the back end.
         name: BackEndName,
-        /// Its new state.
+        /// New state of the back end.
         state: BackEndState,
     },
 }
 
-/// Clients of the named nodes, of which one is asked at a time.
+/// Clients of the named nodes, one of which is in use at a time.
 #[derive(Debug)]
 pub struct Session {
     clients: Vec<OperatorClient>,
+    /// Index in `clients` of the one in use.
     current: usize,
 }
 
 impl Session {
-    /// Prepares clients of the nodes that the command line names.
+    /// Creates clients of the nodes that the command line names.
     pub fn new(arguments: &Arguments) -> Result<Self, CommandError> {
         let timeout = Duration::from_secs(arguments.timeout.0);
         let client = |address: &str| OperatorClient::new(address, timeout);
@@ -65,14 +66,14 @@
         })
     }
 
-    /// Returns the client of the node that is asked now.
+    /// Returns the client in use.
     pub fn client(&mut self) -> &mut OperatorClient {
         &mut self.clients[self.current]
     }
 
-    /// Makes a change and waits, `wait` at the most, until every machine has confirmed it.
+    /// Sends a change and waits up to `wait` until every machine has confirmed it.
     ///
-    /// The same change identifier goes with every repeat, so that it is applied once at most.
+    /// Retries carry the same change identifier, so the change is applied at most once.
     pub async fn change(
         &mut self,
         request: &ChangeRequest,
@@ -84,7 +85,7 @@
         self.poll_until_accepted(stored, change, deadline).await
     }
 
-    /// Tells how far a change has come, and waits as [`Self::change`] does.
+    /// Returns the state of a change, after waiting as [`Self::change`] does.
     pub async fn follow(
         &mut self,
         change: ChangeId,
@@ -95,6 +96,7 @@
         self.poll_until_accepted(first, change, deadline).await
     }
 
+    /// Sends a change until an answer shows its effect, at most [`MAX_CALLS`] times.
     async fn store(
         &mut self,
         request: &ChangeRequest,
@@ -105,7 +107,7 @@
                 Err(error) if has_unknown_effect(&error) => {
                     let change = change_text(change);
                     log::warn!(
-                        "ctl: effect not known, call repeated; change={change} error={error}"
+                        "ctl: effect of the change unknown, retrying; change={change} error={error}"
                     );
                     self.switch_to_next_node();
                     sleep(RETRY_DELAY).await;
@@ -117,6 +119,7 @@
         last.map_err(|error| self.final_error(error, change))
     }
 
+    /// Returns the error of the last call as the error of the command.
     fn final_error(&self, error: OperatorError, change: ChangeId) -> CommandError {
         if !has_unknown_effect(&error) {
             return CommandError::Call(error);
@@ -143,6 +146,8 @@
         }
     }
 
+    /// Queries a change until it is accepted or the deadline has passed; returns its last known
+    /// state.
     async fn poll_until_accepted(
         &mut self,
         mut latest: Change,
@@ -154,7 +159,7 @@
             match timeout_at(deadline, self.client().get_change(change)).await {
                 Ok(Ok(newer)) => latest = newer,
                 Ok(Err(error)) => {
-                    log::warn!("ctl: no news of the change; error={error}");
+                    log::warn!("ctl: cannot query the change; error={error}");
                     self.switch_to_next_node();
                 }
                 Err(_) => break,
@@ -168,7 +173,7 @@
     }
 }
 
-/// Returns whether the call may have taken effect, so that a repeat tells.
+/// Returns whether the call may have taken effect, which a retry can show.
 fn has_unknown_effect(error: &OperatorError) -> bool {
     matches!(
         error.code(),
--- a/crates/rillgap-cli/tests/commands.rs
+++ b/crates/rillgap-cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Commands against a node that gives prepared replies.
+//! Tests of commands against a node that sends scripted replies.
 
 use std::future::pending;
 
@@ -15,13 +15,13 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// What a node does with one request.
+/// Reaction of the node to one request.
 enum Script {
     Reply(OperatorReply),
     LoseAnswer,
 }
 
-/// Serves a node that follows `script`; its task returns the requests.
+/// Starts a node that reacts to requests as `script` says; its task returns the requests.
 async fn node(script: Vec<Script>) -> (String, JoinHandle<Vec<OperatorRequest>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -102,7 +102,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn lost_answer_is_settled_by_repeating_the_same_change() {
+async fn change_with_lost_answer_is_retried_with_the_same_identifier() {
     let (address, node) = node(vec![Script::LoseAnswer, Script::Reply(accepted(5))]).await;
 
     let (result, output) = run(&address, &["back-end", "drain", "takst-1"]).await;
@@ -123,7 +123,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn pending_change_names_machines_and_exits_with_its_number() {
+async fn pending_change_lists_missing_nodes_and_returns_change_pending() {
     let replies = (0..20).map(|_| Script::Reply(pending_reply(6)));
     let (address, _node) = node(replies.collect()).await;
 
@@ -135,7 +135,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn change_is_followed_until_it_is_accepted() {
+async fn change_is_queried_until_it_is_accepted() {
     let (address, _node) = node(vec![
         Script::Reply(pending_reply(6)),
         Script::Reply(accepted(6)),
@@ -153,7 +153,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn plan_shows_what_differs() {
+async fn plan_prints_the_differences() {
     let (address, _node) = node(vec![Script::Reply(OperatorReply::Policy(
         policy_with_slots(21),
     ))])
@@ -171,7 +171,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn conflict_is_not_repeated() {
+async fn version_conflict_is_not_retried() {
     let (address, node) = node(vec![Script::Reply(OperatorReply::Failed {
         code: ResultCode::VersionConflict,
         version: PolicyVersion(9),
--- a/crates/rillgap-cli/tests/exit_codes.rs
+++ b/crates/rillgap-cli/tests/exit_codes.rs
@@ -1,4 +1,4 @@
-//! The process exits with the numbers of the result codes and names what is wrong.
+//! Tests of exit codes and error messages of the process.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn policies_that_ship_are_valid() {
+fn shipped_policies_are_valid() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     for deployment in ["trondheim", "jylland"] {
         let (code, errors) = check(&deploy.join(deployment).join("policy.toml"));
@@ -66,7 +66,7 @@
 }
 
 #[gtest]
-fn value_out_of_range_is_named() {
+fn value_out_of_range_is_reported() {
     let text = VALID.replace("extra-attempts = 3", "extra-attempts = 33");
     let (code, errors) = check(&policy_file("range.toml", &text));
 
@@ -79,7 +79,7 @@
 }
 
 #[gtest]
-fn unknown_key_is_named() {
+fn unknown_key_is_reported() {
     let text = VALID.replace("slots", "slotz");
     let (code, errors) = check(&policy_file("key.toml", &text));
 
@@ -89,7 +89,7 @@
 }
 
 #[gtest]
-fn missing_file_is_unreadable() {
+fn missing_file_is_reported_as_unreadable() {
     let (code, errors) = check(Path::new("does-not-exist.toml"));
 
     expect_that!(code, some(eq(170)));
--- a/crates/rillgap-cli/tests/explain.rs
+++ b/crates/rillgap-cli/tests/explain.rs
@@ -1,9 +1,9 @@
-//! From a request's identifier to its cause, by logs alone.
+//! Tests of explanations of requests from logs.
 
 use googletest::prelude::*;
 use rillgap_cli::explain::{Explainer, Explanation};
 
-/// Lines of three nodes, as a collector gathers them.
+/// Log lines of three nodes with the prefixes of a log collector.
 const LOG: &str = r#"
   31.1000 entry-1 {"level":"INFO","message":"mesh: peer","peer":"fares-2","is_up":false,"cause":"link closed","time":100.0,"uptime":9.0}
   20.0000 entry-1 {"level":"INFO","message":"store: dependency","is_up":true,"time":80.0,"uptime":1.0}
@@ -27,12 +27,12 @@
 }
 
 #[gtest]
-fn failed_request_leads_to_the_call_that_failed_and_to_its_queue() {
+fn failed_request_is_traced_to_its_failed_call_and_the_queue_there() {
     let because = sentences("a1");
     expect_that!(because.len(), eq(3));
     expect_that!(
         because[0],
-        contains_substring("entry-1 answered 500 (the answer of a back end)")
+        contains_substring("entry-1 answered 500 (answer of the back end)")
     );
     expect_that!(
         because[1],
@@ -40,12 +40,12 @@
     );
     expect_that!(
         because[2],
-        contains_substring("36 running and 89 waiting of 36 allowed")
+        contains_substring("36 running, 89 queued, limit 36")
     );
 }
 
 #[gtest]
-fn configuration_that_decided_is_told_with_its_age() {
+fn configuration_is_described_with_its_age_and_a_restored_store() {
     let log = concat!(
         r#"n-1 {"message":"configuration: in force","version":7,"source":"store","time":90.0,"level":"INFO"}"#,
         "\n",
@@ -55,19 +55,19 @@
         "\n",
         r#"n-1 {"message":"outbound: answered","request":"y","status":404,"code":16,"configuration":7,"time":93.5,"level":"INFO"}"#,
     );
-    let told = |request: &str| {
+    let describe = |request: &str| {
         let mut explainer = Explainer::new(request);
         explainer.read("", log.as_bytes()).expect("a log");
         explainer.explain().configuration
     };
     let before = "decided by configuration 7, in force there for 2.5 s";
-    expect_that!(told("x"), some(eq(before)));
-    let after = "decided by configuration 7, in force there for 3.5 s; the store came back from a copy 0.5 s before and may have lost it";
-    expect_that!(told("y"), some(eq(after)));
+    expect_that!(describe("x"), some(eq(before)));
+    let after = "decided by configuration 7, in force there for 3.5 s; the store was restored from a backup 0.5 s before and may have lost it";
+    expect_that!(describe("y"), some(eq(after)));
 }
 
 #[gtest]
-fn call_is_followed_also_if_its_last_line_was_left_out() {
+fn call_is_followed_without_its_answered_record() {
     let log: String = LOG
         .lines()
         .filter(|line| !line.contains("books-1 {"))
@@ -79,12 +79,12 @@
     expect_that!(because[0], contains_substring("entry-1 answered 500"));
     expect_that!(
         because[2],
-        contains_substring("a1.b2: fares-1 gave it up (code 41")
+        contains_substring("a1.b2: fares-1 got no answer from its back end (code 41")
     );
 }
 
 #[gtest]
-fn path_is_in_order_and_beliefs_are_those_of_its_nodes_shortly_before() {
+fn path_is_ordered_by_time_and_events_are_those_at_its_nodes_shortly_before() {
     let explanation = explain("a1");
     let nodes: Vec<&str> = explanation
         .path
@@ -104,7 +104,7 @@
 }
 
 #[gtest]
-fn refusal_at_the_entry_needs_no_other_node() {
+fn refusal_at_the_entry_is_explained_by_one_record() {
     let verdict = explain("c3").verdict;
     expect_that!(verdict.status, some(eq(503)));
     expect_that!(
@@ -114,16 +114,19 @@
 }
 
 #[gtest]
-fn request_without_an_end_says_why_it_may_have_none() {
+fn request_without_an_answer_is_explained() {
     expect_that!(
         sentences("d4"),
-        elements_are![contains_substring("caller left")]
+        elements_are![contains_substring("caller disconnected")]
     );
     let unfinished = sentences("e5");
-    expect_that!(unfinished[0], contains_substring("no line tells its end"));
+    expect_that!(
+        unfinished[0],
+        contains_substring("no log record of its end")
+    );
     expect_that!(
         unfinished[1],
-        contains_substring("fares-1 gave it up (code 71")
+        contains_substring("fares-1 got no answer from its back end (code 71")
     );
     expect_that!(
         sentences("none"),
@@ -132,19 +135,19 @@
 }
 
 #[gtest]
-fn call_shows_the_request_that_it_was_made_for() {
+fn path_of_a_call_includes_its_parent_request() {
     let requests: Vec<_> = explain("a1.b2")
         .path
         .into_iter()
         .filter_map(|record| record.request)
         .collect();
     expect_that!(requests, contains(eq("a1")));
-    // No call of `a`: nothing separates the rest.
+    // `a1` is not a call of `a`: no separator follows the prefix.
     expect_that!(explain("a").path, is_empty());
 }
 
 #[gtest]
-fn node_is_named_by_the_line_its_prefix_or_the_file() {
+fn node_comes_from_the_prefix_of_the_line_or_from_the_file() {
     let mut explainer = Explainer::new("x");
     let line = r#"{"message":"outbound: caller gone","request":"x","time":1.0}"#;
     explainer.read("from-file", line.as_bytes()).expect("a log");
@@ -162,7 +165,7 @@
 }
 
 #[gtest]
-fn broken_lines_are_passed_over() {
+fn malformed_lines_are_ignored() {
     let mut explainer = Explainer::new("x");
     let log: &[u8] =
         b"{\n{}\n{\"message\":7}\n\xff\xfe{\"message\":\"m\"}\n{\"message\":\"m\",\"time\":\"x\"}";
--- a/crates/rillgap-cli/tests/policy_file.rs
+++ b/crates/rillgap-cli/tests/policy_file.rs
@@ -1,4 +1,5 @@
-//! Policy files: what is written can be read, and no text makes the reader panic.
+//! Property tests of policy files: a written file reads back unchanged, and no input makes the
+//! reader panic.
 
 use std::path::{Path, PathBuf};
 
@@ -72,7 +73,7 @@
     })]
 
     #[test]
-    fn written_policy_is_read_back(policy in valid_policy()) {
+    fn written_policy_reads_back_unchanged(policy in valid_policy()) {
         let text = policy_file::write(&policy).unwrap();
         let file = write_file("round-trip.toml", &text);
 
@@ -83,7 +84,7 @@
     }
 
     #[test]
-    fn damaged_file_is_refused_or_valid(
+    fn damaged_file_is_rejected_or_valid(
         policy in valid_policy(),
         position in any::<prop::sample::Index>(),
         replacement in "[\\PC\n]{0,4}",
--- a/crates/rillgap-core/src/admission/demand.rs
+++ b/crates/rillgap-core/src/admission/demand.rs
@@ -73,8 +73,9 @@
         self.current.lowest = self.current.lowest.min(level);
     }
 
-    /// Ends a window in which the concurrency limit offered `offered_micros` of slot time. `windows`
-    /// is its length in nominal windows; arrivals below `min_counted_level` were not counted.
+    /// Ends a window in which the concurrency limit offered `offered_micros` of slot time.
+    /// `windows` is its length in nominal windows; arrivals below `min_counted_level` were not
+    /// counted.
     pub fn end_window(&mut self, offered_micros: f64, windows: f64, min_counted_level: f64) {
         let work = self.current.work_micros / offered_micros;
         self.history[self.next] = self.current;
@@ -101,8 +102,8 @@
         self.density
     }
 
-    /// Returns the level below which nothing of the tier arrives, whether this back end's own level or
-    /// that of another service is the cause.
+    /// Returns the level below which nothing of the tier arrives, whether this back end's own level
+    /// or that of another service is the cause.
     pub fn upstream_threshold(&self) -> f64 {
         self.upstream_threshold
     }
--- a/crates/rillgap-core/src/admission/mode.rs
+++ b/crates/rillgap-core/src/admission/mode.rs
@@ -31,8 +31,8 @@
         matches!(self.mode, ControlMode::Full)
     }
 
-    /// Returns whether attempts are limited per hop only, without a limit for the whole chain, as in
-    /// the baselines.
+    /// Returns whether attempts are limited per hop only, without a limit for the whole chain, as
+    /// in the baselines.
     pub const fn has_unbounded_chain(&self) -> bool {
         !matches!(self.mode, ControlMode::Full)
     }
--- a/crates/rillgap-core/src/admission/reported.rs
+++ b/crates/rillgap-core/src/admission/reported.rs
@@ -18,7 +18,8 @@
 const DECAY_PER_MICRO: f64 = Level::PER_TIER as f64 / 250_000.0;
 /// Weight of one answer in the fraction of answers that involve a service.
 const INVOLVEMENT_WEIGHT: f64 = 0.05;
-/// Minimum fraction of a route's answers that involve a service for its level to apply to the route.
+/// Minimum fraction of a route's answers that involve a service for its level to apply to the
+/// route.
 const MIN_INVOLVED_FRACTION: f64 = 0.2;
 
 /// Smoothed level of one reporter.
@@ -135,8 +136,8 @@
             .retain(|_, fraction| *fraction > INVOLVEMENT_WEIGHT / 10.0);
     }
 
-    /// Records the services that an incomplete answer involved. The request may have failed before it
-    /// reached others, so no fraction is reduced.
+    /// Records the services that an incomplete answer involved. The request may have failed before
+    /// it reached others, so no fraction is reduced.
     pub fn record_partial_answer<'a>(&mut self, services: impl Iterator<Item = &'a S>)
     where
         S: 'a,
--- a/crates/rillgap-core/src/admission/threshold.rs
+++ b/crates/rillgap-core/src/admission/threshold.rs
@@ -4,9 +4,9 @@
 //! At the end of every control window, the controller computes from the demand per level
 //! ([`super::demand`]) the level at which the remaining demand fits the capacity of the concurrency
 //! limit. The demand per level does not depend on the level, so the loop does not oscillate when a
-//! new level takes effect late. The queue corrects errors of the estimate: its distance from a short
-//! target changes the assumed capacity, immediately by a proportional term and lastingly by a slow
-//! trim.
+//! new level takes effect late. The queue corrects errors of the estimate: its distance from a
+//! short target changes the assumed capacity, immediately by a proportional term and lastingly by a
+//! slow trim.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -52,8 +52,9 @@
 }
 
 impl Default for Tuning {
-    /// Returns the values with the best results in `rillgap-lab compare` for services whose requests
-    /// may queue for little longer than they run (`docs/design/admission.md`, rounds 2 and 5).
+    /// Returns the values with the best results in `rillgap-lab compare` for services whose
+    /// requests may queue for little longer than they run (`docs/design/admission.md`, rounds 2 and
+    /// 5).
     fn default() -> Self {
         Self {
             queue_target: 0.2,
@@ -160,8 +161,8 @@
     /// Returns the level below which arrivals are not counted, since they may belong to roots that
     /// were admitted before the level rose.
     ///
-    /// While nothing is shed, this is 0 and all arrivals are counted. Otherwise, tiers below the first
-    /// one with arrivals would never be recorded, and never be shed.
+    /// While nothing is shed, this is 0 and all arrivals are counted. Otherwise, tiers below the
+    /// first one with arrivals would never be recorded, and never be shed.
     fn min_counted_level(&self) -> f64 {
         self.recent_levels
             .iter()
@@ -169,7 +170,8 @@
             .fold(f64::from(self.level().0), f64::max)
     }
 
-    /// Returns the floor of the lowest tier with recorded arrivals: as a level, it sheds none of them.
+    /// Returns the floor of the lowest tier with recorded arrivals: as a level, it sheds none of
+    /// them.
     fn lowest_known_floor(&self) -> f64 {
         self.demand.keys().next().map_or(0.0, |tier| floor(*tier))
     }
@@ -217,8 +219,8 @@
         (!is_own).then(|| demand.upstream_threshold())
     }
 
-    /// Returns the demand to admit, as a fraction of the concurrency limit. `queued` counts the queued
-    /// requests of the tiers that compete for the capacity.
+    /// Returns the demand to admit, as a fraction of the concurrency limit. `queued` counts the
+    /// queued requests of the tiers that compete for the capacity.
     fn capacity(&self, queued: usize, load: &WindowLoad) -> f64 {
         let off_target = self.tuning.queue_target - queued as f64 / load.limit;
         let correction = off_target * load.mean_service_micros / QUEUE_RECOVERY_MICROS;
--- a/crates/rillgap-core/src/code.rs
+++ b/crates/rillgap-core/src/code.rs
@@ -71,8 +71,8 @@
     KeyRequired = 11, 400, NotRun, "idempotency key required";
     /// The idempotency key is not a UUID of version 7.
     KeyMalformed = 12, 400, NotRun, "idempotency key malformed";
-    /// The idempotency key is older than the maximum key lifetime, so the record of its execution is
-    /// gone.
+    /// The idempotency key is older than the maximum key lifetime, so the record of its execution
+    /// is gone.
     KeyTooOld = 13, 400, Unknown, "idempotency key too old";
     /// The timestamp of the idempotency key is in the future.
     KeyFromFuture = 14, 400, NotRun, "idempotency key from the future";
@@ -112,8 +112,8 @@
     NotReady = 46, 503, NotRun, "node not ready";
     /// The attempt was sent to an earlier incarnation of the back end's node.
     WrongIncarnation = 47, 503, NotRun, "attempt meant for an earlier run";
-    /// Another attempt with the same key barred this one before it arrived, and may itself have been
-    /// executed.
+    /// Another attempt with the same key barred this one before it arrived, and may itself have
+    /// been executed.
     AttemptBarred = 48, 409, Unknown, "attempt barred by another one of its key";
     /// The back end refused the request without executing it.
     BackEndShed = 49, 503, NotRun, "back end shed the request";
@@ -151,7 +151,7 @@
     PolicyInvalid = 100, 400, NotRun, "policy invalid";
     /// The policy in force is not the expected version.
     VersionConflict = 101, 409, NotRun, "policy version conflict";
-    /// The change is stored, but not yet confirmed by every node.
+    /// The change is stored, but not yet confirmed by every machine.
     ChangePending = 102, 202, Unknown, "change pending";
     /// No change with this identifier is known.
     ChangeUnknown = 103, 404, NotRun, "change unknown";
--- a/crates/rillgap-core/tests/admission_threshold.rs
+++ b/crates/rillgap-core/tests/admission_threshold.rs
@@ -41,9 +41,9 @@
 /// Guards against a controller that ignores a lower tier because a higher one was recorded first.
 ///
 /// A back end receives half of its capacity in requests of a high tier and its full capacity in
-/// requests of a low one. If only the high tier arrives while nothing is shed, the level is the floor
-/// of that tier; when arrivals below it are not counted, the level stays 0. With 19 slots, a back end
-/// then shed 150 requests per second that the entries kept admitting.
+/// requests of a low one. If only the high tier arrives while nothing is shed, the level is the
+/// floor of that tier; when arrivals below it are not counted, the level stays 0. With 19 slots, a
+/// back end then shed 150 requests per second that the entries kept admitting.
 #[gtest]
 fn demand_of_a_lower_tier_counts_after_a_higher_tier_was_recorded_first() {
     let mut threshold = Threshold::new(Tuning::default());
