--- a/crates/rillgap-cli/src/session.rs
+++ b/crates/rillgap-cli/src/session.rs
@@ -1,4 +1,4 @@
-//! Calls to the named nodes, repeated where an answer was lost.
+//! Calls to the nodes of the command line, with retries of changes whose answer was lost.
 
 use std::time::Duration;
 
@@ -13,43 +13,44 @@
 use crate::arguments::{Arguments, DEFAULT_NODE};
 use crate::error::CommandError;
 
-/// Calls made for one request before it is given up.
+/// Maximum number of calls for one change.
 const MAX_CALLS: usize = 5;
 
-/// Pause before a call is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before a call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Pause between two looks at a pending change.
-const POLL_PAUSE: Duration = Duration::from_millis(200);
+/// Interval between two queries of a pending change.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A change of the policy that is to be made.
+/// A requested change of the policy.
 #[derive(Clone, Debug)]
-pub enum Alteration {
+pub enum ChangeRequest {
     /// Replaces the policy.
     Policy {
-        /// The new one.
+        /// The new policy.
         policy: Policy,
         /// Version that must still be in force.
         expected: Option<PolicyVersion>,
     },
-    /// Moves a back end into or out of service.
+    /// Puts a back end into service or takes it out.
     BackEnd {
-        /// The back end.
+        /// Name of the back end.
         name: BackEndName,
-        /// Its new state.
+        /// New state of the back end.
         state: BackEndState,
     },
 }
 
-/// Clients of the named nodes, of which one is asked at a time.
+/// Clients of the named nodes, one of which is in use at a time.
 #[derive(Debug)]
 pub struct Session {
     clients: Vec<OperatorClient>,
+    /// Index in `clients` of the one in use.
     current: usize,
 }
 
 impl Session {
-    /// Prepares clients of the nodes that the command line names.
+    /// Creates clients of the nodes that the command line names.
     pub fn new(arguments: &Arguments) -> Result<Self, CommandError> {
         let timeout = Duration::from_secs(arguments.timeout.0);
         let client = |address: &str| OperatorClient::new(address, timeout);
@@ -65,26 +66,26 @@
         })
     }
 
-    /// Returns the client of the node that is asked now.
+    /// Returns the client in use.
     pub fn client(&mut self) -> &mut OperatorClient {
         &mut self.clients[self.current]
     }
 
-    /// Makes a change and waits, `wait` at the most, until every machine has confirmed it.
+    /// Sends a change and waits up to `wait` until every machine has confirmed it.
     ///
-    /// The same change identifier goes with every repeat, so that it is applied once at most.
+    /// Retries carry the same change identifier, so the change is applied at most once.
     pub async fn change(
         &mut self,
-        alteration: &Alteration,
+        request: &ChangeRequest,
         change: ChangeId,
         wait: Duration,
     ) -> Result<Change, CommandError> {
         let deadline = Instant::now() + wait;
-        let stored = self.store(alteration, change).await?;
-        self.follow_from(stored, change, deadline).await
+        let stored = self.store(request, change).await?;
+        self.poll_until_accepted(stored, change, deadline).await
     }
 
-    /// Tells how far a change has come, and waits as [`Self::change`] does.
+    /// Returns the state of a change, after waiting as [`Self::change`] does.
     pub async fn follow(
         &mut self,
         change: ChangeId,
@@ -92,33 +93,35 @@
     ) -> Result<Change, CommandError> {
         let deadline = Instant::now() + wait;
         let first = self.client().get_change(change).await?;
-        self.follow_from(first, change, deadline).await
+        self.poll_until_accepted(first, change, deadline).await
     }
 
+    /// Sends a change until an answer shows its effect, at most [`MAX_CALLS`] times.
     async fn store(
         &mut self,
-        alteration: &Alteration,
+        request: &ChangeRequest,
         change: ChangeId,
     ) -> Result<Change, CommandError> {
         for _ in 1..MAX_CALLS {
-            match self.send(alteration, change).await {
-                Err(error) if is_undecided(&error) => {
+            match self.send(request, change).await {
+                Err(error) if has_unknown_effect(&error) => {
                     let change = change_text(change);
                     log::warn!(
-                        "ctl: effect not known, call repeated; change={change} error={error}"
+                        "ctl: effect of the change unknown, retrying; change={change} error={error}"
                     );
-                    self.ask_next_node();
-                    sleep(REPEAT_PAUSE).await;
+                    self.switch_to_next_node();
+                    sleep(RETRY_DELAY).await;
                 }
                 result => return Ok(result?),
             }
         }
-        let last = self.send(alteration, change).await;
-        last.map_err(|error| self.give_up(error, change))
+        let last = self.send(request, change).await;
+        last.map_err(|error| self.final_error(error, change))
     }
 
-    fn give_up(&self, error: OperatorError, change: ChangeId) -> CommandError {
-        if !is_undecided(&error) {
+    /// Returns the error of the last call as the error of the command.
+    fn final_error(&self, error: OperatorError, change: ChangeId) -> CommandError {
+        if !has_unknown_effect(&error) {
             return CommandError::Call(error);
         }
         CommandError::Unsettled {
@@ -129,33 +132,35 @@
 
     async fn send(
         &mut self,
-        alteration: &Alteration,
+        request: &ChangeRequest,
         change: ChangeId,
     ) -> Result<Change, OperatorError> {
         let client = self.client();
-        match alteration.clone() {
-            Alteration::Policy { policy, expected } => {
+        match request.clone() {
+            ChangeRequest::Policy { policy, expected } => {
                 client.apply_policy(policy, expected, change).await
             }
-            Alteration::BackEnd { name, state } => {
+            ChangeRequest::BackEnd { name, state } => {
                 client.set_back_end_state(name, state, change).await
             }
         }
     }
 
-    async fn follow_from(
+    /// Queries a change until it is accepted or the deadline has passed; returns its last known
+    /// state.
+    async fn poll_until_accepted(
         &mut self,
         mut latest: Change,
         change: ChangeId,
         deadline: Instant,
     ) -> Result<Change, CommandError> {
         while latest.state != ChangeState::Accepted && Instant::now() < deadline {
-            sleep(POLL_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
             match timeout_at(deadline, self.client().get_change(change)).await {
                 Ok(Ok(newer)) => latest = newer,
                 Ok(Err(error)) => {
-                    log::warn!("ctl: no news of the change; error={error}");
-                    self.ask_next_node();
+                    log::warn!("ctl: cannot query the change; error={error}");
+                    self.switch_to_next_node();
                 }
                 Err(_) => break,
             }
@@ -163,13 +168,13 @@
         Ok(latest)
     }
 
-    fn ask_next_node(&mut self) {
+    fn switch_to_next_node(&mut self) {
         self.current = (self.current + 1) % self.clients.len();
     }
 }
 
-/// Returns whether the call may have taken effect, so that a repeat tells.
-fn is_undecided(error: &OperatorError) -> bool {
+/// Returns whether the call may have taken effect, which a retry can show.
+fn has_unknown_effect(error: &OperatorError) -> bool {
     matches!(
         error.code(),
         ResultCode::OperatorUnreachable | ResultCode::ChangeUnsettled
