--- a/crates/rillgap-http/src/h1/body.rs
+++ b/crates/rillgap-http/src/h1/body.rs
@@ -5,7 +5,7 @@
 use super::error::MessageError;
 
 /// Longest line of a chunk's size or of a trailer, in bytes.
-const MAX_LINE: usize = 4 * 1024;
+const MAX_LINE_BYTES: usize = 4 * 1024;
 
 /// How a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -127,7 +127,7 @@
                 };
                 Ok(true)
             }
-            Ok(httparse::Status::Partial) if input.len() <= MAX_LINE => Ok(false),
+            Ok(httparse::Status::Partial) if input.len() <= MAX_LINE_BYTES => Ok(false),
             _ => Err(MessageError::MalformedChunk),
         }
     }
@@ -147,7 +147,7 @@
     /// Passes over one line of the trailers; an empty one ends the body.
     fn trailer(&mut self, input: &mut BytesMut) -> Result<bool, MessageError> {
         let Some(end) = input.windows(2).position(|pair| pair == b"\r\n") else {
-            if input.len() > MAX_LINE {
+            if input.len() > MAX_LINE_BYTES {
                 return Err(MessageError::MalformedChunk);
             }
             return Ok(false);
--- a/crates/rillgap-http/src/h1/head.rs
+++ b/crates/rillgap-http/src/h1/head.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeadLimits {
     /// Longest head in bytes, start line included.
-    pub bytes: usize,
+    pub max_bytes: usize,
 }
 
 impl HeadLimits {
@@ -29,7 +29,7 @@
             Err(httparse::Error::TooManyHeaders) => return Err(MessageError::TooManyFields),
             Err(_) => return Err(MessageError::MalformedHead),
         };
-        if length > self.bytes {
+        if length > self.max_bytes {
             return Err(MessageError::HeadTooLong);
         }
         Ok(is_whole.then_some(length))
--- a/crates/rillgap-http/tests/h1.rs
+++ b/crates/rillgap-http/tests/h1.rs
@@ -7,7 +7,7 @@
     ResponseHead, decode_request, decode_response,
 };
 
-const LIMITS: HeadLimits = HeadLimits { bytes: 1_024 };
+const LIMITS: HeadLimits = HeadLimits { max_bytes: 1_024 };
 
 fn request(text: &str) -> std::result::Result<Option<RequestHead>, MessageError> {
     let mut input = BytesMut::from(text.as_bytes());
--- a/crates/rillgap-sidecar/src/back_end/connection.rs
+++ b/crates/rillgap-sidecar/src/back_end/connection.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use super::Job;
-use super::response::{ResponseReader, Step};
+use super::response::{Progress, ResponseReader};
 use crate::dialect::HeaderNames;
 use crate::hub::Hub;
 use crate::read::{read_some, release_if_empty};
@@ -21,9 +21,9 @@
 /// Longest time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which a connection is kept if the back end does not say how long it keeps it.
-const DEFAULT_KEEP: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Share of the time that the back end names for which a connection is kept.
-const KEEP_SHARE: f64 = 0.7;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 
 /// How a request on a connection ended.
 enum Outcome {
@@ -47,7 +47,7 @@
     };
     let Ok(Ok(stream)) = connected else {
         let client = hub.back_end();
-        client.ended(&hub, job.exchange.id, ExchangeResult::NotSent);
+        client.report_end(&hub, job.exchange.id, ExchangeResult::NotSent);
         return;
     };
     hub.metrics().back_end_connections.inc();
@@ -59,7 +59,7 @@
     hub: Rc<Hub>,
     stream: TcpStream,
     input: BytesMut,
-    keep: Duration,
+    idle_timeout: Duration,
 }
 
 impl BackEndConnection {
@@ -70,7 +70,7 @@
             hub,
             stream,
             input: BytesMut::new(),
-            keep: DEFAULT_KEEP,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
         }
     }
 
@@ -91,27 +91,27 @@
                     if !reusable {
                         let hub = self.hub.clone();
                         drop(self);
-                        hub.back_end().ended(&hub, exchange, result);
+                        hub.back_end().report_end(&hub, exchange, result);
                         return;
                     }
                     // Offered first, so that a request that the end of this one lets start can
                     // use the connection.
-                    self.hub.back_end().offer(sender.clone());
-                    self.hub.back_end().ended(&self.hub, exchange, result);
+                    self.hub.back_end().add_idle(sender.clone());
+                    self.hub.back_end().report_end(&self.hub, exchange, result);
                 }
             }
-            match self.rest(&mut jobs).await {
+            match self.wait_for_job(&mut jobs).await {
                 Some(next) => job = next,
                 None => return,
             }
         }
     }
 
-    /// Waits for the next job; `None` if the connection has ended or rested for too long.
-    async fn rest(&mut self, jobs: &mut UnboundedReceiver<Job>) -> Option<Job> {
-        let until = self.hub.now() + self.keep;
-        let rested = tokio::time::sleep_until(self.hub.deadline(until));
-        tokio::pin!(rested);
+    /// Waits for the next job; `None` if the connection has ended or idle_timer for too long.
+    async fn wait_for_job(&mut self, jobs: &mut UnboundedReceiver<Job>) -> Option<Job> {
+        let until = self.hub.now() + self.idle_timeout;
+        let idle_timer = tokio::time::sleep_until(self.hub.deadline(until));
+        tokio::pin!(idle_timer);
         loop {
             tokio::select! {
                 biased;
@@ -127,23 +127,23 @@
                 }
                 // Bytes that nobody asked for, the end, or nothing.
                 _ = self.stream.readable() => {
-                    if !self.is_quiet() {
+                    if !self.has_no_input() {
                         break;
                     }
                 }
-                () = &mut rested => break,
+                () = &mut idle_timer => break,
             }
         }
         jobs.close();
         if let Ok(job) = jobs.try_recv() {
             self.hub.back_end().run(&self.hub, job);
         }
-        self.hub.back_end().forget_closed();
+        self.hub.back_end().remove_closed();
         None
     }
 
     async fn run(&mut self, job: &mut Job) -> Outcome {
-        if !self.is_quiet() {
+        if !self.has_no_input() {
             return Outcome::Stale;
         }
         let names = self.hub.dialect().headers().clone();
@@ -159,8 +159,8 @@
                 biased;
                 _ = &mut job.cancelled => return Outcome::Cancelled,
                 received = read_some(&mut receiving, &mut self.input) => {
-                    let step = self.take_in(received, &mut reader, &names);
-                    if let Some(outcome) = self.conclude(step, output.is_empty()) {
+                    let progress = self.on_received(received, &mut reader, &names);
+                    if let Some(outcome) = self.outcome_of(progress, output.is_empty()) {
                         return outcome;
                     }
                 }
@@ -170,39 +170,39 @@
     }
 
     /// Returns whether nothing has arrived since the last answer.
-    fn is_quiet(&self) -> bool {
+    fn has_no_input(&self) -> bool {
         let mut byte = [0];
         let nothing = self.stream.try_read(&mut byte);
         self.input.is_empty()
             && matches!(nothing, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    fn take_in(
+    fn on_received(
         &mut self,
         received: io::Result<usize>,
         reader: &mut ResponseReader,
         names: &HeaderNames,
-    ) -> Step {
-        let step = match received {
-            Ok(0) => reader.at_end(),
+    ) -> Progress {
+        let progress = match received {
+            Ok(0) => reader.on_close(),
             Ok(_) => reader.read(&mut self.input, names),
-            Err(_) => Step::Broken,
+            Err(_) => Progress::Broken,
         };
         release_if_empty(&mut self.input);
-        step
+        progress
     }
 
-    fn conclude(&mut self, step: Step, is_sent: bool) -> Option<Outcome> {
-        match step {
-            Step::Partial => None,
-            Step::Broken => Some(lost()),
-            Step::Complete {
+    fn outcome_of(&mut self, progress: Progress, is_sent: bool) -> Option<Outcome> {
+        match progress {
+            Progress::Partial => None,
+            Progress::Broken => Some(lost()),
+            Progress::Complete {
                 result,
                 keep_alive,
-                keep,
+                idle_timeout,
             } => {
-                if let Some(keep) = keep {
-                    self.keep = keep.mul_f64(KEEP_SHARE);
+                if let Some(idle_timeout) = idle_timeout {
+                    self.idle_timeout = idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
                 }
                 let reusable = keep_alive && is_sent && self.input.is_empty();
                 Some(Outcome::Ended { result, reusable })
--- a/crates/rillgap-sidecar/src/back_end/mod.rs
+++ b/crates/rillgap-sidecar/src/back_end/mod.rs
@@ -27,9 +27,9 @@
 pub struct BackEndClient {
     address: SocketAddr,
     /// Incarnation that the idle connections lead to.
-    connected: RefCell<Option<Incarnation>>,
+    connected_incarnation: RefCell<Option<Incarnation>>,
     idle: RefCell<Vec<mpsc::UnboundedSender<Job>>>,
-    under_way: RefCell<BTreeMap<ExchangeId, oneshot::Sender<()>>>,
+    in_flight: RefCell<BTreeMap<ExchangeId, oneshot::Sender<()>>>,
 }
 
 impl BackEndClient {
@@ -37,17 +37,17 @@
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            connected: RefCell::default(),
+            connected_incarnation: RefCell::default(),
             idle: RefCell::default(),
-            under_way: RefCell::default(),
+            in_flight: RefCell::default(),
         }
     }
 
     /// Hands a request to the back end; its end is an event.
     pub fn start(&self, hub: &Rc<Hub>, exchange: Exchange) {
-        self.forget_earlier_runs(&exchange.incarnation);
+        self.close_earlier_connections(&exchange.incarnation);
         let (cancel, cancelled) = oneshot::channel();
-        self.under_way.borrow_mut().insert(exchange.id, cancel);
+        self.in_flight.borrow_mut().insert(exchange.id, cancel);
         self.run(
             hub,
             Job {
@@ -58,8 +58,10 @@
     }
 
     /// Closes idle connections to an earlier run of the back end: they may have died silently with it.
-    fn forget_earlier_runs(&self, incarnation: &Incarnation) {
-        let before = self.connected.replace(Some(incarnation.clone()));
+    fn close_earlier_connections(&self, incarnation: &Incarnation) {
+        let before = self
+            .connected_incarnation
+            .replace(Some(incarnation.clone()));
         if before.is_some_and(|before| before != *incarnation) {
             self.idle.borrow_mut().clear();
         }
@@ -67,7 +69,7 @@
 
     /// Closes the connection on which a request runs.
     pub fn cancel(&self, exchange: ExchangeId) {
-        self.under_way.borrow_mut().remove(&exchange);
+        self.in_flight.borrow_mut().remove(&exchange);
     }
 
     /// Asks the health endpoint; the answer is an event.
@@ -75,7 +77,7 @@
         let hub = hub.clone();
         let address = self.address;
         tokio::task::spawn_local(async move {
-            let result = probe::ask(hub.dialect().headers(), address, &path).await;
+            let result = probe::send(hub.dialect().headers(), address, &path).await;
             hub.dispatch(Event::ProbeEnded { probe, result });
         });
     }
@@ -98,21 +100,21 @@
     }
 
     /// Takes back a connection whose request has ended.
-    fn offer(&self, connection: mpsc::UnboundedSender<Job>) {
+    fn add_idle(&self, connection: mpsc::UnboundedSender<Job>) {
         self.idle.borrow_mut().push(connection);
     }
 
     /// Forgets connections that have closed.
-    fn forget_closed(&self) {
+    fn remove_closed(&self) {
         self.idle
             .borrow_mut()
             .retain(|connection| !connection.is_closed());
     }
 
     /// Reports how a request ended, unless it was cancelled.
-    fn ended(&self, hub: &Rc<Hub>, exchange: ExchangeId, result: ExchangeResult) {
-        let was_awaited = self.under_way.borrow_mut().remove(&exchange).is_some();
-        if was_awaited {
+    fn report_end(&self, hub: &Rc<Hub>, exchange: ExchangeId, result: ExchangeResult) {
+        let is_in_flight = self.in_flight.borrow_mut().remove(&exchange).is_some();
+        if is_in_flight {
             hub.dispatch(Event::ExchangeEnded { exchange, result });
         }
     }
--- a/crates/rillgap-sidecar/src/back_end/probe.rs
+++ b/crates/rillgap-sidecar/src/back_end/probe.rs
@@ -14,15 +14,15 @@
 use crate::dialect::HeaderNames;
 
 /// Longest time for an answer.
-const TIMEOUT: Duration = Duration::from_millis(1_500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest head of an answer.
-const HEAD_LIMIT: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Status of a back end that is healthy and not leaving.
-const HEALTHY: u16 = 200;
+const HEALTHY_STATUS: u16 = 200;
 
 /// Asks the health endpoint.
-pub(super) async fn ask(names: &HeaderNames, address: SocketAddr, path: &str) -> ProbeResult {
-    match timeout(TIMEOUT, exchange(names, address, path)).await {
+pub(super) async fn send(names: &HeaderNames, address: SocketAddr, path: &str) -> ProbeResult {
+    match timeout(PROBE_TIMEOUT, exchange(names, address, path)).await {
         Ok(Ok(result)) => result,
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => ProbeResult::Refused,
         Ok(Err(_)) | Err(_) => ProbeResult::Unreachable,
@@ -36,7 +36,9 @@
     let mut input = BytesMut::new();
     loop {
         let mut instance = String::new();
-        let limits = HeadLimits { bytes: HEAD_LIMIT };
+        let limits = HeadLimits {
+            max_bytes: MAX_HEAD_BYTES,
+        };
         let head = decode_response(&mut input, limits, false, |name, value| {
             if name.eq_ignore_ascii_case(names.instance) {
                 instance = String::from_utf8_lossy(value).trim().to_owned();
@@ -44,7 +46,7 @@
             false
         });
         match head {
-            Ok(Some(head)) if head.status == HEALTHY && !instance.is_empty() => {
+            Ok(Some(head)) if head.status == HEALTHY_STATUS && !instance.is_empty() => {
                 return Ok(ProbeResult::Healthy { instance });
             }
             Ok(Some(_)) => return Ok(ProbeResult::Unhealthy),
--- a/crates/rillgap-sidecar/src/back_end/response.rs
+++ b/crates/rillgap-sidecar/src/back_end/response.rs
@@ -12,16 +12,16 @@
 use crate::dialect::HeaderNames;
 
 /// Longest head of an answer.
-const HEAD_LIMIT: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// Longest body of an answer.
-const BODY_LIMIT: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 /// Status of an answer of another back end than the expected one.
-const MISDIRECTED: u16 = 421;
+const MISDIRECTED_STATUS: u16 = 421;
 /// Answers to other requests that are passed over.
-const MOST_FOREIGN: u32 = 4;
+const MAX_FOREIGN_ANSWERS: u32 = 4;
 
 /// What the bytes so far amount to.
-pub(super) enum Step {
+pub(super) enum Progress {
     /// More bytes are needed.
     Partial,
     /// The answer is whole.
@@ -30,7 +30,7 @@
         /// Whether the connection may carry another request.
         keep_alive: bool,
         /// How long the back end keeps the connection.
-        keep: Option<Duration>,
+        idle_timeout: Option<Duration>,
     },
     /// The bytes are no answer, or the connection ended within it.
     Broken,
@@ -38,21 +38,21 @@
 
 /// Fields that decide what an answer is worth.
 #[derive(Clone, Debug, Default)]
-struct Marks {
+struct AnswerFields {
     request_id: Option<String>,
     is_signed: bool,
-    not_executed: bool,
+    is_not_run: bool,
     is_encoded: bool,
-    keep: Option<Duration>,
+    idle_timeout: Option<Duration>,
 }
 
 /// Reads the answer to one request.
 pub(super) struct ResponseReader {
     request_id: String,
     is_head: bool,
-    current: Option<(ResponseHead, Marks, BodyDecoder)>,
+    current: Option<(ResponseHead, AnswerFields, BodyDecoder)>,
     body: Vec<u8>,
-    foreign: u32,
+    foreign_answers: u32,
 }
 
 impl ResponseReader {
@@ -62,30 +62,30 @@
             is_head,
             current: None,
             body: Vec::new(),
-            foreign: 0,
+            foreign_answers: 0,
         }
     }
 
     /// Takes in bytes.
-    pub fn read(&mut self, input: &mut BytesMut, names: &HeaderNames) -> Step {
+    pub fn read(&mut self, input: &mut BytesMut, names: &HeaderNames) -> Progress {
         loop {
             if self.current.is_none() && !self.read_head(input, names).unwrap_or(false) {
-                return match self.peek_head(input) {
-                    true => Step::Partial,
-                    false => Step::Broken,
+                return match self.is_partial_head(input) {
+                    true => Progress::Partial,
+                    false => Progress::Broken,
                 };
             }
             let Some((_, _, decoder)) = &mut self.current else {
-                return Step::Broken;
+                return Progress::Broken;
             };
             match decoder.decode(input, &mut self.body) {
-                Err(_) => return Step::Broken,
-                Ok(_) if self.body.len() > BODY_LIMIT => return Step::Broken,
-                Ok(BodyProgress::Partial) => return Step::Partial,
+                Err(_) => return Progress::Broken,
+                Ok(_) if self.body.len() > MAX_BODY_BYTES => return Progress::Broken,
+                Ok(BodyProgress::Partial) => return Progress::Partial,
                 Ok(BodyProgress::Complete) => {}
             }
-            match self.conclude() {
-                Some(step) => return step,
+            match self.finish() {
+                Some(progress) => return progress,
                 // An answer to another request: the own one may follow.
                 None => continue,
             }
@@ -93,40 +93,44 @@
     }
 
     /// Takes in that the connection was closed cleanly.
-    pub fn at_end(&mut self) -> Step {
+    pub fn on_close(&mut self) -> Progress {
         let is_complete = self
             .current
             .as_ref()
             .is_some_and(|(_, _, decoder)| decoder.is_complete_at_close());
         if !is_complete {
-            return Step::Broken;
+            return Progress::Broken;
         }
-        self.conclude().unwrap_or(Step::Broken)
+        self.finish().unwrap_or(Progress::Broken)
     }
 
-    /// Reads a head; returns whether one is there. Errors are told apart by [`Self::peek_head`].
+    /// Reads a head; returns whether one is there. Errors are told apart by [`Self::is_partial_head`].
     fn read_head(&mut self, input: &mut BytesMut, names: &HeaderNames) -> Option<bool> {
         loop {
-            let mut marks = Marks::default();
-            let limits = HeadLimits { bytes: HEAD_LIMIT };
+            let mut answer_fields = AnswerFields::default();
+            let limits = HeadLimits {
+                max_bytes: MAX_HEAD_BYTES,
+            };
             let head = decode_response(input, limits, self.is_head, |name, value| {
-                marks.note(name, value, names)
+                answer_fields.record(name, value, names)
             });
             let head = head.ok()??;
             if head.is_interim() {
                 continue;
             }
             let decoder = BodyDecoder::new(head.framing);
-            self.current = Some((head, marks, decoder));
+            self.current = Some((head, answer_fields, decoder));
             self.body.clear();
             return Some(true);
         }
     }
 
     /// Returns whether the bytes can still become a head.
-    fn peek_head(&self, input: &BytesMut) -> bool {
+    fn is_partial_head(&self, input: &BytesMut) -> bool {
         let mut copy = input.clone();
-        let limits = HeadLimits { bytes: HEAD_LIMIT };
+        let limits = HeadLimits {
+            max_bytes: MAX_HEAD_BYTES,
+        };
         matches!(
             decode_response(&mut copy, limits, self.is_head, |_, _| true),
             Ok(None)
@@ -134,24 +138,26 @@
     }
 
     /// Judges a whole answer; `None` if it belongs to another request.
-    fn conclude(&mut self) -> Option<Step> {
-        let (head, marks, _) = self.current.take()?;
-        let is_foreign = marks
+    fn finish(&mut self) -> Option<Progress> {
+        let (head, answer_fields, _) = self.current.take()?;
+        let is_foreign = answer_fields
             .request_id
             .as_ref()
             .is_some_and(|id| *id != self.request_id);
         if is_foreign {
-            self.foreign += 1;
-            if self.foreign > MOST_FOREIGN || head.connection == Connection::Close {
-                return Some(Step::Broken);
+            self.foreign_answers += 1;
+            if self.foreign_answers > MAX_FOREIGN_ANSWERS || head.connection == Connection::Close {
+                return Some(Progress::Broken);
             }
             return None;
         }
         let is_success = (200..300).contains(&head.status);
-        let is_genuine = marks.is_signed && marks.request_id.is_some() && !marks.is_encoded;
-        let result = if marks.not_executed {
+        let is_genuine = answer_fields.is_signed
+            && answer_fields.request_id.is_some()
+            && !answer_fields.is_encoded;
+        let result = if answer_fields.is_not_run {
             ExchangeResult::NotExecuted
-        } else if head.status == MISDIRECTED {
+        } else if head.status == MISDIRECTED_STATUS {
             ExchangeResult::WrongInstance
         } else if is_success && !is_genuine {
             ExchangeResult::Lost
@@ -162,28 +168,28 @@
                 body: std::mem::take(&mut self.body),
             })
         };
-        let is_sound = result != ExchangeResult::Lost && self.foreign == 0;
-        Some(Step::Complete {
+        let is_reusable = result != ExchangeResult::Lost && self.foreign_answers == 0;
+        Some(Progress::Complete {
             result,
-            keep_alive: head.connection == Connection::KeepAlive && is_sound,
-            keep: marks.keep,
+            keep_alive: head.connection == Connection::KeepAlive && is_reusable,
+            idle_timeout: answer_fields.idle_timeout,
         })
     }
 }
 
-impl Marks {
+impl AnswerFields {
     /// Notes a field; returns whether it is passed on.
-    fn note(&mut self, name: &str, value: &[u8], names: &HeaderNames) -> bool {
+    fn record(&mut self, name: &str, value: &[u8], names: &HeaderNames) -> bool {
         if name.eq_ignore_ascii_case(names.request_id) {
             self.request_id = Some(String::from_utf8_lossy(value).trim().to_owned());
         } else if name.eq_ignore_ascii_case(names.signature) {
             self.is_signed = !value.is_empty();
         } else if name.eq_ignore_ascii_case(names.not_executed) {
-            self.not_executed = true;
+            self.is_not_run = true;
         } else if name.eq_ignore_ascii_case("content-encoding") {
             self.is_encoded = !value.eq_ignore_ascii_case(b"identity");
         } else if name.eq_ignore_ascii_case("keep-alive") {
-            self.keep = parse_keep_alive(value);
+            self.idle_timeout = parse_keep_alive(value);
         }
         true
     }
--- a/crates/rillgap-sidecar/src/caller/connection.rs
+++ b/crates/rillgap-sidecar/src/caller/connection.rs
@@ -20,19 +20,19 @@
 use crate::read::{read_some, release_if_empty};
 
 /// Most requests of one connection under way.
-const MOST_PIPELINED: usize = 32;
+const MAX_PIPELINED_REQUESTS: usize = 32;
 /// Bytes of further requests that are read ahead.
-const MOST_READ_AHEAD: usize = 256 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 256 * 1024;
 /// Longest time for which an answer may lie unread.
-const UNREAD_LIMIT: Duration = Duration::from_secs(10);
+const UNREAD_ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Shortest time between two looks at whether the connection is without progress.
-const LEAST_WAIT: Duration = Duration::from_millis(20);
+const MIN_TIMER_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest time for which the peer's close is waited for after the last answer.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A request that waits for its answer.
 #[derive(Debug)]
-struct PendingTurn {
+struct PendingRequest {
     pipeline_index: PipelineIndex,
     is_head: bool,
     connection: Connection,
@@ -40,16 +40,16 @@
 
 /// Why a connection ends.
 #[derive(Debug)]
-enum End {
+enum ConnectionEnd {
     /// The peer has closed, or does not read or send.
-    Gone,
+    Aborted,
     /// All answers are written and no further request is taken.
     Finished,
 }
 
-impl From<io::Error> for End {
+impl From<io::Error> for ConnectionEnd {
     fn from(_: io::Error) -> Self {
-        Self::Gone
+        Self::Aborted
     }
 }
 
@@ -61,10 +61,10 @@
     reader: RequestReader,
     input: BytesMut,
     output: BytesMut,
-    pending: VecDeque<PendingTurn>,
+    pending: VecDeque<PendingRequest>,
     answers: BTreeMap<PipelineIndex, CallerAnswer>,
     next_pipeline_index: u64,
-    takes_requests: bool,
+    accepts_requests: bool,
     active_at: Instant,
 }
 
@@ -83,37 +83,40 @@
             pending: VecDeque::new(),
             answers: BTreeMap::new(),
             next_pipeline_index: 0,
-            takes_requests: true,
+            accepts_requests: true,
             active_at,
         }
     }
 
     /// Serves the connection until it ends.
     pub async fn run(mut self, mut answers: UnboundedReceiver<PipelinedAnswer>) {
-        if let Err(End::Finished) = self.serve(&mut answers).await {
+        if let Err(ConnectionEnd::Finished) = self.serve(&mut answers).await {
             self.linger().await;
         }
     }
 
-    async fn serve(&mut self, answers: &mut UnboundedReceiver<PipelinedAnswer>) -> Result<(), End> {
+    async fn serve(
+        &mut self,
+        answers: &mut UnboundedReceiver<PipelinedAnswer>,
+    ) -> Result<(), ConnectionEnd> {
         let timer = tokio::time::sleep_until(self.hub.deadline(self.times_out_at()));
         tokio::pin!(timer);
         loop {
-            if !self.takes_requests && self.pending.is_empty() && self.output.is_empty() {
-                return Err(End::Finished);
+            if !self.accepts_requests && self.pending.is_empty() && self.output.is_empty() {
+                return Err(ConnectionEnd::Finished);
             }
-            let may_read = self.input.len() < MOST_READ_AHEAD;
+            let may_read = self.input.len() < MAX_READ_AHEAD_BYTES;
             let (mut receiving, sending) = self.stream.split();
             tokio::select! {
                 biased;
                 answer = answers.recv() => {
                     let Some((pipeline_index, answer)) = answer else {
-                        return Err(End::Gone);
+                        return Err(ConnectionEnd::Aborted);
                     };
-                    self.take_answers(pipeline_index, answer, answers)?;
+                    self.on_answers(pipeline_index, answer, answers)?;
                 }
                 received = read_some(&mut receiving, &mut self.input), if may_read => {
-                    self.take_in(received?)?;
+                    self.on_received(received?)?;
                 }
                 ready = sending.writable(), if !self.output.is_empty() => {
                     ready?;
@@ -123,9 +126,9 @@
                     let times_out_at = self.times_out_at();
                     let now = self.hub.now();
                     if times_out_at <= now {
-                        self.time_out()?;
+                        self.on_timeout()?;
                     }
-                    let again = self.times_out_at().max(now + LEAST_WAIT);
+                    let again = self.times_out_at().max(now + MIN_TIMER_INTERVAL);
                     timer.as_mut().reset(self.hub.deadline(again));
                 }
             }
@@ -137,8 +140,8 @@
         let limits = self.hub.with_node(|node| node.limits());
         let idle = Duration::from_millis(u64::from(limits.idle_timeout_millis));
         let head = Duration::from_millis(u64::from(limits.head_timeout_millis));
-        let patience = if !self.output.is_empty() {
-            UNREAD_LIMIT
+        let timeout = if !self.output.is_empty() {
+            UNREAD_ANSWER_TIMEOUT
         } else if !self.pending.is_empty() {
             // The node answers every request in its time.
             Duration::from_secs(3_600)
@@ -147,29 +150,32 @@
         } else {
             idle
         };
-        self.active_at + patience
+        self.active_at + timeout
     }
 
-    fn time_out(&mut self) -> Result<(), End> {
+    fn on_timeout(&mut self) -> Result<(), ConnectionEnd> {
         if self.pending.is_empty() && self.reader.is_within_request(&self.input) {
             self.refuse(ResultCode::RequestTimeout)?;
             return Ok(());
         }
-        Err(End::Gone)
+        Err(ConnectionEnd::Aborted)
     }
 
-    fn take_in(&mut self, received: usize) -> Result<(), End> {
+    fn on_received(&mut self, received: usize) -> Result<(), ConnectionEnd> {
         if received == 0 {
-            return Err(End::Gone);
+            return Err(ConnectionEnd::Aborted);
         }
         if !self.reader.is_within_request(&self.input) || self.pending.is_empty() {
             self.active_at = self.hub.now();
         }
-        self.take_requests()
+        self.read_requests()
     }
 
-    fn take_requests(&mut self) -> Result<(), End> {
-        while self.takes_requests && self.pending.len() < MOST_PIPELINED && !self.input.is_empty() {
+    fn read_requests(&mut self) -> Result<(), ConnectionEnd> {
+        while self.accepts_requests
+            && self.pending.len() < MAX_PIPELINED_REQUESTS
+            && !self.input.is_empty()
+        {
             let (limits, withholds_credentials) = self
                 .hub
                 .with_node(|node| (node.limits(), node.withholds_credentials()));
@@ -178,7 +184,7 @@
                 self.reader
                     .read(&mut self.input, &*dialect, &limits, withholds_credentials);
             match progress {
-                Progress::Request(read) => self.begin(*read),
+                Progress::Request(read) => self.dispatch_request(*read),
                 Progress::Partial => return Ok(()),
                 Progress::SendContinue => {
                     self.output
@@ -188,18 +194,18 @@
                 Progress::Refused(code) => return self.refuse(code),
             }
         }
-        if !self.takes_requests {
+        if !self.accepts_requests {
             self.input.clear();
         }
         release_if_empty(&mut self.input);
         Ok(())
     }
 
-    fn begin(&mut self, read: ReadRequest) {
+    fn dispatch_request(&mut self, read: ReadRequest) {
         let pipeline_index = PipelineIndex(self.next_pipeline_index);
         self.next_pipeline_index += 1;
-        self.takes_requests = read.connection == Connection::KeepAlive;
-        self.pending.push_back(PendingTurn {
+        self.accepts_requests = read.connection == Connection::KeepAlive;
+        self.pending.push_back(PendingRequest {
             pipeline_index,
             is_head: read.is_head,
             connection: read.connection,
@@ -212,14 +218,14 @@
     }
 
     /// Refuses bytes that are no request; nothing further is read from them.
-    fn refuse(&mut self, code: ResultCode) -> Result<(), End> {
-        self.takes_requests = false;
+    fn refuse(&mut self, code: ResultCode) -> Result<(), ConnectionEnd> {
+        self.accepts_requests = false;
         self.input.clear();
         self.reader = RequestReader::default();
         log::warn!(code = code.number(), connection = self.id.0; "caller: bytes refused");
         let pipeline_index = PipelineIndex(self.next_pipeline_index);
         self.next_pipeline_index += 1;
-        self.pending.push_back(PendingTurn {
+        self.pending.push_back(PendingRequest {
             pipeline_index,
             is_head: false,
             connection: Connection::Close,
@@ -235,23 +241,23 @@
     }
 
     /// Takes in an answer and all others that wait.
-    fn take_answers(
+    fn on_answers(
         &mut self,
         pipeline_index: PipelineIndex,
         answer: CallerAnswer,
         answers: &mut UnboundedReceiver<PipelinedAnswer>,
-    ) -> Result<(), End> {
+    ) -> Result<(), ConnectionEnd> {
         self.answers.insert(pipeline_index, answer);
         while let Ok((pipeline_index, answer)) = answers.try_recv() {
             self.answers.insert(pipeline_index, answer);
         }
         self.write_answers()?;
         // Requests that had to wait for a place.
-        self.take_requests()
+        self.read_requests()
     }
 
     /// Writes the answers whose turn has come.
-    fn write_answers(&mut self) -> Result<(), End> {
+    fn write_answers(&mut self) -> Result<(), ConnectionEnd> {
         while let Some(answer) = self
             .pending
             .front()
@@ -265,7 +271,7 @@
         self.flush()
     }
 
-    fn encode(&mut self, pending: &PendingTurn, answer: &CallerAnswer) {
+    fn encode(&mut self, pending: &PendingRequest, answer: &CallerAnswer) {
         // A request that was already taken keeps the connection open for its answer.
         let is_last = self.pending.is_empty() && !self.reader.is_within_request(&self.input);
         let closes = pending.connection == Connection::Close || answer.close && is_last;
@@ -278,7 +284,7 @@
         }
         if closes {
             head.extend_from_slice(b"Connection: close\r\n");
-            self.takes_requests = false;
+            self.accepts_requests = false;
         }
         head.extend_from_slice(b"\r\n");
         self.output.extend_from_slice(&head);
@@ -288,7 +294,7 @@
         self.active_at = self.hub.now();
     }
 
-    fn flush(&mut self) -> Result<(), End> {
+    fn flush(&mut self) -> Result<(), ConnectionEnd> {
         while !self.output.is_empty() {
             match self.stream.try_write(&self.output) {
                 Ok(written) => {
@@ -311,7 +317,7 @@
             return;
         }
         // A close of the peer that never comes, or that comes late, ends the connection all the same.
-        let _ = tokio::time::timeout(LINGER, self.read_to_end()).await;
+        let _ = tokio::time::timeout(LINGER_TIMEOUT, self.read_to_end()).await;
     }
 
     async fn read_to_end(&mut self) {
--- a/crates/rillgap-sidecar/src/caller/mod.rs
+++ b/crates/rillgap-sidecar/src/caller/mod.rs
@@ -13,7 +13,7 @@
 use connection::CallerConnection;
 
 /// Most connections at a time; further ones are closed at once.
-const MOST_CONNECTIONS: usize = 3_000;
+const MAX_CONNECTIONS: usize = 3_000;
 
 /// Accepts connections until the process ends.
 pub async fn accept(hub: Rc<Hub>, listener: TcpListener) {
@@ -22,7 +22,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        if hub.caller_count() >= MOST_CONNECTIONS {
+        if hub.caller_count() >= MAX_CONNECTIONS {
             continue;
         }
         let hub = hub.clone();
--- a/crates/rillgap-sidecar/src/caller/reader.rs
+++ b/crates/rillgap-sidecar/src/caller/reader.rs
@@ -37,7 +37,7 @@
 
 /// A request of which only the head has arrived.
 #[derive(Debug)]
-struct Unfinished {
+struct PartialRequest {
     head: RequestHead,
     request_id: String,
     deadline: Option<Duration>,
@@ -49,18 +49,18 @@
 /// Reads requests out of the bytes of a connection.
 #[derive(Debug, Default)]
 pub(super) struct RequestReader {
-    unfinished: Option<Unfinished>,
+    partial: Option<PartialRequest>,
 }
 
 impl RequestReader {
     /// Returns whether a request has begun to arrive.
     pub fn is_within_request(&self, input: &BytesMut) -> bool {
-        self.unfinished.is_some() || !input.is_empty()
+        self.partial.is_some() || !input.is_empty()
     }
 
     /// Returns whether a head has arrived and its body has not ended.
     pub const fn is_within_body(&self) -> bool {
-        self.unfinished.is_some()
+        self.partial.is_some()
     }
 
     /// Takes the next request out of `input`. Credentials are left out of what is passed on if the node
@@ -73,36 +73,36 @@
         withholds_credentials: bool,
     ) -> Progress {
         let mut wants_continue = false;
-        if self.unfinished.is_none() {
+        if self.partial.is_none() {
             match read_head(input, dialect, limits, withholds_credentials) {
-                Ok(Some(unfinished)) => {
-                    wants_continue = unfinished.head.expects_continue;
-                    self.unfinished = Some(unfinished);
+                Ok(Some(partial)) => {
+                    wants_continue = partial.head.expects_continue;
+                    self.partial = Some(partial);
                 }
                 Ok(None) => return Progress::Partial,
                 Err(code) => return Progress::Refused(code),
             }
         }
-        let Some(unfinished) = &mut self.unfinished else {
+        let Some(partial) = &mut self.partial else {
             return Progress::Partial;
         };
-        match unfinished.decoder.decode(input, &mut unfinished.body) {
+        match partial.decoder.decode(input, &mut partial.body) {
             Err(_) => return Progress::Refused(ResultCode::MalformedRequest),
-            Ok(_) if unfinished.body.len() as u64 > limits.body_bytes => {
+            Ok(_) if partial.body.len() as u64 > limits.body_bytes => {
                 return Progress::Refused(ResultCode::BodyTooLong);
             }
             Ok(BodyProgress::Partial) if wants_continue => return Progress::SendContinue,
             Ok(BodyProgress::Partial) => return Progress::Partial,
             Ok(BodyProgress::Complete) => {}
         }
-        match self.unfinished.take() {
-            Some(unfinished) => Progress::Request(Box::new(unfinished.finish(dialect))),
+        match self.partial.take() {
+            Some(partial) => Progress::Request(Box::new(partial.finish(dialect))),
             None => Progress::Partial,
         }
     }
 }
 
-impl Unfinished {
+impl PartialRequest {
     fn finish(self, dialect: &dyn Dialect) -> ReadRequest {
         let parent_id = dialect.parent_id(&self.request_id).map(str::to_owned);
         ReadRequest {
@@ -128,13 +128,13 @@
     dialect: &dyn Dialect,
     limits: &CallerLimits,
     withholds_credentials: bool,
-) -> Result<Option<Unfinished>, ResultCode> {
+) -> Result<Option<PartialRequest>, ResultCode> {
     let names = dialect.headers();
     let mut credential = Credential::Absent;
     let mut request_id = String::new();
     let mut deadline = None;
     let head_limits = HeadLimits {
-        bytes: limits.head_bytes as usize,
+        max_bytes: limits.head_bytes as usize,
     };
     let head = decode_request(input, head_limits, |name, value| {
         if name.eq_ignore_ascii_case(names.request_id) {
@@ -149,7 +149,7 @@
             credential = read_credential(credential, value, dialect);
             return !withholds_credentials;
         }
-        !is_set_by_nodes(name, names)
+        !is_reserved_field(name, names)
     });
     let head = match head {
         Ok(Some(head)) => head,
@@ -162,7 +162,7 @@
     if matches!(head.framing, Framing::Length(length) if length > limits.body_bytes) {
         return Err(ResultCode::BodyTooLong);
     }
-    Ok(Some(Unfinished {
+    Ok(Some(PartialRequest {
         decoder: BodyDecoder::new(head.framing),
         head,
         request_id,
@@ -182,7 +182,7 @@
 }
 
 /// Returns whether only nodes and back ends may set a field; a caller's is dropped.
-fn is_set_by_nodes(name: &str, names: &HeaderNames) -> bool {
+fn is_reserved_field(name: &str, names: &HeaderNames) -> bool {
     [
         names.caller_service,
         names.expected_instance,
--- a/crates/rillgap-sidecar/src/control.rs
+++ b/crates/rillgap-sidecar/src/control.rs
@@ -17,12 +17,13 @@
 use crate::hub::Hub;
 
 /// Longest body of a call.
-const BODY_LIMIT: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Content type of the metrics.
-const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const OPEN_METRICS_CONTENT_TYPE: &str =
+    "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Content type of the answer on readiness.
-const JSON: &str = "application/json";
+const JSON_CONTENT_TYPE: &str = "application/json";
 
 /// What a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,10 +60,14 @@
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     if service == ControlService::Metrics {
         hub.update_gauges();
-        return Ok(text(StatusCode::OK, OPEN_METRICS, hub.metrics().encode()));
+        return Ok(text(
+            StatusCode::OK,
+            OPEN_METRICS_CONTENT_TYPE,
+            hub.metrics().encode(),
+        ));
     }
     let (parts, body) = request.into_parts();
-    let Ok(body) = Limited::new(body, BODY_LIMIT).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
         let code = ResultCode::BodyTooLong.number();
         log::warn!(code, path = parts.uri.path(); "control: call refused: body cut short or too long");
         return Ok(empty(StatusCode::PAYLOAD_TOO_LARGE));
@@ -73,10 +78,10 @@
         .control_call(parts.method.as_str(), parts.uri.path(), &body);
     Ok(match call {
         Ok(ControlCall::Readiness) => readiness(&hub),
-        Ok(call) => empty(carry_out(&hub, call).await),
+        Ok(call) => empty(execute(&hub, call).await),
         Err(ControlError::UnknownCall) => empty(StatusCode::NOT_FOUND),
         Err(error @ ControlError::Malformed(_)) => {
-            note_malformed(&hub, parts.uri.path(), &error);
+            record_malformed_call(&hub, parts.uri.path(), &error);
             empty(StatusCode::BAD_REQUEST)
         }
     })
@@ -84,7 +89,7 @@
 
 /// Counts a malformed call, and logs the first, second, fourth, eighth and so on: another writer may go on for
 /// ever.
-fn note_malformed(hub: &Hub, path: &str, error: &ControlError) {
+fn record_malformed_call(hub: &Hub, path: &str, error: &ControlError) {
     let calls = &hub.metrics().refused_control_calls;
     let count = calls.inc() + 1;
     if count.is_power_of_two() {
@@ -93,7 +98,7 @@
     }
 }
 
-async fn carry_out(hub: &Rc<Hub>, call: ControlCall) -> StatusCode {
+async fn execute(hub: &Rc<Hub>, call: ControlCall) -> StatusCode {
     let acknowledged = match call {
         ControlCall::Readiness => return readiness_status(hub),
         ControlCall::Heartbeat(heartbeat) => hub.announce(|announcement| Event::Heartbeat {
@@ -132,7 +137,7 @@
             r#"{{"configuration-version":{version},"configuration-age-seconds":{age},"proof-age-seconds":{proof_age},"store-epoch":{epoch}}}"#
         )
     });
-    text(readiness_status(hub), JSON, body)
+    text(readiness_status(hub), JSON_CONTENT_TYPE, body)
 }
 
 fn seconds_or_null(duration: Option<Duration>) -> String {
--- a/crates/rillgap-sidecar/src/daemon.rs
+++ b/crates/rillgap-sidecar/src/daemon.rs
@@ -23,7 +23,7 @@
 
 /// Time for what was answered and logged last to leave the process; more than the pause of the
 /// log's writer.
-const LAST_WRITES: Duration = Duration::from_millis(150);
+const EXIT_DELAY: Duration = Duration::from_millis(150);
 
 /// Why the daemon ended other than by a planned stop.
 #[derive(Debug, thiserror::Error)]
@@ -108,7 +108,7 @@
             _ = hangup.recv() => current = reload(&path, current),
         }
     }
-    tokio::time::sleep(LAST_WRITES).await;
+    tokio::time::sleep(EXIT_DELAY).await;
     Ok(())
 }
 
@@ -123,7 +123,7 @@
     metrics: Metrics,
 ) -> Result<Rc<Hub>, DaemonError> {
     let (incarnation, random_seed) = uuid::Uuid::new_v4().as_u64_pair();
-    let forward = settings.forward(incarnation, random_seed);
+    let forward = settings.forward_settings(incarnation, random_seed);
     let log = RequestLog::new(settings.log.clone());
     let listen = &settings.listen;
     let callers = bind(listen.callers).await?;
--- a/crates/rillgap-sidecar/src/hub.rs
+++ b/crates/rillgap-sidecar/src/hub.rs
@@ -117,8 +117,8 @@
     }
 
     /// Looks at the node.
-    pub fn with_node<T>(&self, look: impl FnOnce(&Node) -> T) -> T {
-        look(&self.node.borrow())
+    pub fn with_node<T>(&self, read: impl FnOnce(&Node) -> T) -> T {
+        read(&self.node.borrow())
     }
 
     /// Registers a connection of a caller.
@@ -201,7 +201,7 @@
             let now = self.now();
             self.node.borrow_mut().handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.execute(action);
             }
         }
         self.spare_actions.set(actions);
@@ -239,7 +239,7 @@
         }
     }
 
-    fn carry_out(self: &Rc<Self>, action: Action) {
+    fn execute(self: &Rc<Self>, action: Action) {
         match action {
             Action::Answer {
                 connection,
@@ -267,9 +267,9 @@
                 announcement,
                 is_accepted,
             } => {
-                if let Some(waiting) = self.announcements.borrow_mut().remove(&announcement) {
+                if let Some(sender) = self.announcements.borrow_mut().remove(&announcement) {
                     // Whoever has announced it may have gone.
-                    let _ = waiting.send(is_accepted);
+                    let _ = sender.send(is_accepted);
                 }
             }
             Action::Probe { probe, path } => self.back_end.probe(self, probe, path),
@@ -283,9 +283,9 @@
                     hub.dispatch(Event::Store { request: id, reply });
                 });
             }
-            Action::Log(note) => {
-                self.metrics.observe(&note);
-                self.log.borrow_mut().write(&note);
+            Action::Log(record) => {
+                self.metrics.observe(&record);
+                self.log.borrow_mut().write(&record);
             }
             Action::Exit => self.exit.notify_one(),
         }
--- a/crates/rillgap-sidecar/src/link/codec.rs
+++ b/crates/rillgap-sidecar/src/link/codec.rs
@@ -18,11 +18,11 @@
 use rillgap_forward::store_epoch::StoreEpoch;
 
 /// Longest frame in bytes, without its length.
-const MAX_FRAME: usize = 96 * 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 96 * 1024 * 1024;
 /// Length of the length field in bytes.
-const LENGTH_FIELD: usize = 4;
+const LENGTH_BYTES: usize = 4;
 /// Length of a number in bytes.
-const NUMBER: usize = 8;
+const NUMBER_BYTES: usize = 8;
 
 const HELLO: u8 = 0;
 const REQUEST: u8 = 1;
@@ -42,8 +42,8 @@
 const STORE_EPOCH: u8 = 15;
 const FOLLOW: u8 = 16;
 const UNFOLLOW: u8 = 17;
-const STORE_NEWS: u8 = 18;
-const NO_STORE_NEWS: u8 = 19;
+const STORE_CONTACT: u8 = 18;
+const NO_STORE_CONTACT: u8 = 19;
 
 /// Why bytes are not frames.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -84,35 +84,41 @@
     pub fn encode(&mut self, message: &LinkMessage, out: &mut BytesMut) -> Result<(), FrameError> {
         let buffers = &mut self.buffers;
         match message {
-            LinkMessage::Hello(hello) => put(out, HELLO, &[], buffers.hello.encode(hello)),
+            LinkMessage::Hello(hello) => put_frame(out, HELLO, &[], buffers.hello.encode(hello)),
             LinkMessage::Request { sequence, request } => {
                 let number = sequence.0.to_be_bytes();
-                put(out, REQUEST, &number, buffers.request.encode(&**request))
+                put_frame(out, REQUEST, &number, buffers.request.encode(&**request))
             }
-            LinkMessage::Cancel(sequence) => put(out, CANCEL, &sequence.0.to_be_bytes(), &[]),
+            LinkMessage::Cancel(sequence) => put_frame(out, CANCEL, &sequence.0.to_be_bytes(), &[]),
             LinkMessage::Response(response) => {
-                put(out, RESPONSE, &[], buffers.response.encode(response))
+                put_frame(out, RESPONSE, &[], buffers.response.encode(response))
             }
-            LinkMessage::Status(status) => put(out, STATUS, &[], buffers.status.encode(status)),
-            LinkMessage::Ping => put(out, PING, &[], &[]),
-            LinkMessage::Pong => put(out, PONG, &[], &[]),
+            LinkMessage::Status(status) => {
+                put_frame(out, STATUS, &[], buffers.status.encode(status))
+            }
+            LinkMessage::Ping => put_frame(out, PING, &[], &[]),
+            LinkMessage::Pong => put_frame(out, PONG, &[], &[]),
             LinkMessage::ConfigurationOffer(version) => {
-                put(out, CONFIGURATION_OFFER, &version.to_be_bytes(), &[])
+                put_frame(out, CONFIGURATION_OFFER, &version.to_be_bytes(), &[])
             }
             LinkMessage::ConfigurationQuery(version) => {
-                put(out, CONFIGURATION_QUERY, &version.to_be_bytes(), &[])
+                put_frame(out, CONFIGURATION_QUERY, &version.to_be_bytes(), &[])
             }
             LinkMessage::Configuration(configuration) => {
                 let payload = buffers.configuration.encode(&**configuration);
-                put(out, CONFIGURATION, &[], payload)
+                put_frame(out, CONFIGURATION, &[], payload)
+            }
+            LinkMessage::Follow(true) => put_frame(out, FOLLOW, &[], &[]),
+            LinkMessage::Follow(false) => put_frame(out, UNFOLLOW, &[], &[]),
+            LinkMessage::StoreContact(Some(age)) => {
+                put_frame(out, STORE_CONTACT, &age.to_be_bytes(), &[])
+            }
+            LinkMessage::StoreContact(None) => put_frame(out, NO_STORE_CONTACT, &[], &[]),
+            LinkMessage::StoreEpoch(epoch) => {
+                put_frame(out, STORE_EPOCH, &epoch.0.to_be_bytes(), &[])
             }
-            LinkMessage::Follow(true) => put(out, FOLLOW, &[], &[]),
-            LinkMessage::Follow(false) => put(out, UNFOLLOW, &[], &[]),
-            LinkMessage::StoreContact(Some(age)) => put(out, STORE_NEWS, &age.to_be_bytes(), &[]),
-            LinkMessage::StoreContact(None) => put(out, NO_STORE_NEWS, &[], &[]),
-            LinkMessage::StoreEpoch(epoch) => put(out, STORE_EPOCH, &epoch.0.to_be_bytes(), &[]),
             LinkMessage::FreshnessQuery(number) => {
-                put(out, FRESHNESS_QUERY, &number.0.to_be_bytes(), &[])
+                put_frame(out, FRESHNESS_QUERY, &number.0.to_be_bytes(), &[])
             }
             LinkMessage::FreshnessAnswer(answer) => {
                 let numbers = [
@@ -122,28 +128,33 @@
                     answer.age_micros,
                 ];
                 let bytes = numbers.map(u64::to_be_bytes);
-                put(out, FRESHNESS_ANSWER, bytes.as_flattened(), &[])
+                put_frame(out, FRESHNESS_ANSWER, bytes.as_flattened(), &[])
             }
             LinkMessage::TokenQuery(query) => {
-                put(out, TOKEN_QUERY, &[], buffers.token_query.encode(query))
+                put_frame(out, TOKEN_QUERY, &[], buffers.token_query.encode(query))
             }
             LinkMessage::TokenAnswer(answer) => {
-                put(out, TOKEN_ANSWER, &[], buffers.token_answer.encode(answer))
+                put_frame(out, TOKEN_ANSWER, &[], buffers.token_answer.encode(answer))
             }
             LinkMessage::CrashEvidence(evidence) => {
                 let payload = buffers.crash_evidence.encode(evidence);
-                put(out, CRASH_EVIDENCE, &[], payload)
+                put_frame(out, CRASH_EVIDENCE, &[], payload)
             }
         }
     }
 }
 
-fn put(out: &mut BytesMut, kind: u8, prefix: &[u8], payload: &[u8]) -> Result<(), FrameError> {
+fn put_frame(
+    out: &mut BytesMut,
+    kind: u8,
+    prefix: &[u8],
+    payload: &[u8],
+) -> Result<(), FrameError> {
     let length = 1 + prefix.len() + payload.len();
-    if length > MAX_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong);
     }
-    out.reserve(LENGTH_FIELD + length);
+    out.reserve(LENGTH_BYTES + length);
     out.put_u32(u32::try_from(length).map_err(|_| FrameError::TooLong)?);
     out.put_u8(kind);
     out.put_slice(prefix);
@@ -164,18 +175,18 @@
     ///
     /// Fails if the bytes are not a frame.
     pub fn decode(&mut self, input: &mut BytesMut) -> Result<Option<LinkMessage>, FrameError> {
-        if input.len() < LENGTH_FIELD {
+        if input.len() < LENGTH_BYTES {
             return Ok(None);
         }
-        let mut field = &input[..LENGTH_FIELD];
+        let mut field = &input[..LENGTH_BYTES];
         let length = field.get_u32() as usize;
-        if length > MAX_FRAME {
+        if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong);
         }
-        if input.len() < LENGTH_FIELD + length {
+        if input.len() < LENGTH_BYTES + length {
             return Ok(None);
         }
-        input.advance(LENGTH_FIELD);
+        input.advance(LENGTH_BYTES);
         let frame = input.split_to(length);
         self.decode_frame(&frame).map(Some)
     }
@@ -212,10 +223,10 @@
                 .map(|configuration| LinkMessage::Configuration(Arc::new(configuration))),
             FOLLOW => Ok(LinkMessage::Follow(true)),
             UNFOLLOW => Ok(LinkMessage::Follow(false)),
-            STORE_NEWS => {
+            STORE_CONTACT => {
                 split_number(payload).map(|(age, _)| LinkMessage::StoreContact(Some(age)))
             }
-            NO_STORE_NEWS => Ok(LinkMessage::StoreContact(None)),
+            NO_STORE_CONTACT => Ok(LinkMessage::StoreContact(None)),
             STORE_EPOCH => {
                 split_number(payload).map(|(epoch, _)| LinkMessage::StoreEpoch(StoreEpoch(epoch)))
             }
@@ -256,7 +267,7 @@
 
 fn split_number(payload: &[u8]) -> Result<(u64, &[u8]), FrameError> {
     let (number, rest) = payload
-        .split_first_chunk::<NUMBER>()
+        .split_first_chunk::<NUMBER_BYTES>()
         .ok_or(FrameError::Malformed)?;
     Ok((u64::from_be_bytes(*number), rest))
 }
--- a/crates/rillgap-sidecar/src/link/mod.rs
+++ b/crates/rillgap-sidecar/src/link/mod.rs
@@ -24,7 +24,7 @@
 const OPEN_TIMEOUT: Duration = Duration::from_millis(900);
 /// Bytes that a peer may leave unread before its link is given up. A configuration, the longest
 /// message, has at most 1 MiB in the store.
-const MOST_UNSENT: usize = 8 * 1024 * 1024;
+const MAX_UNSENT_BYTES: usize = 8 * 1024 * 1024;
 
 /// Why a link ended.
 #[derive(Debug, thiserror::Error)]
@@ -79,8 +79,8 @@
     let (sender, receiver) = unbounded_channel();
     let mut connection = LinkConnection::new(hub.clone(), stream);
     let hello = hub.with_node(|node| node.hello());
-    let introduced = timeout(OPEN_TIMEOUT, connection.introduce(hello)).await;
-    let Ok(Ok(hello)) = introduced else {
+    let received = timeout(OPEN_TIMEOUT, connection.exchange_hello(hello)).await;
+    let Ok(Ok(hello)) = received else {
         return;
     };
     hub.add_link(link, sender);
@@ -88,7 +88,7 @@
         Direction::Opened => Event::LinkOpened { link, hello },
         Direction::Accepted => Event::LinkAccepted { link, hello },
     });
-    if let Err(error) = connection.exchange(link, receiver).await {
+    if let Err(error) = connection.carry_messages(link, receiver).await {
         log::debug!(link = link.0; "link: ended: {error}");
     }
 }
@@ -114,7 +114,7 @@
     }
 
     /// Sends the node's introduction and returns the peer's.
-    async fn introduce(&mut self, hello: Hello) -> Result<Hello, LinkError> {
+    async fn exchange_hello(&mut self, hello: Hello) -> Result<Hello, LinkError> {
         let hello = LinkMessage::Hello(hello);
         self.hub.encode_frame(&hello, &mut self.output)?;
         self.flush()?;
@@ -140,7 +140,7 @@
     }
 
     /// Carries messages both ways until the link ends or its queue is closed.
-    async fn exchange(
+    async fn carry_messages(
         &mut self,
         link: LinkId,
         mut messages: UnboundedReceiver<LinkMessage>,
@@ -179,7 +179,7 @@
         while let Ok(message) = messages.try_recv() {
             self.hub.encode_frame(&message, &mut self.output)?;
         }
-        if self.output.len() > MOST_UNSENT {
+        if self.output.len() > MAX_UNSENT_BYTES {
             return Err(LinkError::TooMuchUnsent);
         }
         Ok(())
--- a/crates/rillgap-sidecar/src/logging/mod.rs
+++ b/crates/rillgap-sidecar/src/logging/mod.rs
@@ -1,7 +1,7 @@
 //! Structured logs on standard output: one JSON object a line.
 
-mod notes;
 mod output;
+mod request_log;
 
-pub use notes::RequestLog;
 pub use output::start;
+pub use request_log::RequestLog;
--- a/crates/rillgap-sidecar/src/logging/output.rs
+++ b/crates/rillgap-sidecar/src/logging/output.rs
@@ -14,9 +14,9 @@
 /// Level of records that are written unless `RUST_LOG` says otherwise.
 const DEFAULT_LEVEL: &str = "info";
 /// Lines that wait to be written.
-const QUEUE: usize = 2_048;
+const QUEUE_LINES: usize = 2_048;
 /// Pause between two writes, so that a burst of lines costs one.
-const BATCH_PAUSE: Duration = Duration::from_millis(100);
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Starts logging to standard output; lines that do not fit into the queue are counted.
 ///
@@ -24,7 +24,7 @@
 ///
 /// Fails if the operating system refuses the writer's thread.
 pub fn start(dropped: Counter) -> io::Result<()> {
-    let (sender, receiver) = sync_channel(QUEUE);
+    let (sender, receiver) = sync_channel(QUEUE_LINES);
     std::thread::Builder::new()
         .name("log".to_owned())
         .spawn(move || write_lines(&receiver))?;
@@ -70,7 +70,7 @@
             return;
         }
         drop(output);
-        std::thread::sleep(BATCH_PAUSE);
+        std::thread::sleep(WRITE_INTERVAL);
     }
 }
 
@@ -81,7 +81,7 @@
     fields.insert("message".to_owned(), record.args().to_string().into());
     record
         .key_values()
-        .visit(&mut Collector {
+        .visit(&mut FieldCollector {
             fields: &mut fields,
         })
         .map_err(io::Error::other)?;
@@ -99,11 +99,11 @@
     since_epoch.unwrap_or_default().as_secs_f64()
 }
 
-struct Collector<'a> {
+struct FieldCollector<'a> {
     fields: &'a mut Map<String, Json>,
 }
 
-impl<'kvs> VisitSource<'kvs> for Collector<'_> {
+impl<'kvs> VisitSource<'kvs> for FieldCollector<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let json = if let Some(number) = value.to_u64() {
             number.into()
--- a/crates/rillgap-sidecar/src/logging/notes.rs
+++ b/crates/rillgap-sidecar/src/logging/request_log.rs
@@ -14,9 +14,9 @@
 #[derive(Debug)]
 pub struct RequestLog {
     settings: LogSection,
-    second: u64,
-    written: u32,
-    left_out: u64,
+    current_second: u64,
+    lines_in_second: u32,
+    omitted_lines: u64,
     clock: SteadyClock,
 }
 
@@ -25,23 +25,23 @@
     pub fn new(settings: LogSection) -> Self {
         Self {
             settings,
-            second: 0,
-            written: 0,
-            left_out: 0,
+            current_second: 0,
+            lines_in_second: 0,
+            omitted_lines: 0,
             clock: SteadyClock::start(),
         }
     }
 
     /// Writes a record unless a bound leaves it out.
-    pub fn write(&mut self, note: &LogRecord) {
-        if self.is_sampled_out(note) || !self.has_room(note) {
+    pub fn write(&mut self, record: &LogRecord) {
+        if self.is_sampled_out(record) || !self.is_within_limit(record) {
             return;
         }
-        write(note, self.clock.elapsed().as_secs_f64());
+        write(record, self.clock.elapsed().as_secs_f64());
     }
 
-    fn is_sampled_out(&self, note: &LogRecord) -> bool {
-        let id = match note {
+    fn is_sampled_out(&self, record: &LogRecord) -> bool {
+        let id = match record {
             LogRecord::Answered {
                 request_id,
                 status,
@@ -57,18 +57,18 @@
         }
     }
 
-    fn has_room(&mut self, note: &LogRecord) -> bool {
+    fn is_within_limit(&mut self, record: &LogRecord) -> bool {
         let second = self.clock.elapsed().as_secs();
-        if second != self.second {
-            if self.left_out > 0 {
-                log::warn!(lines = self.left_out; "log: lines left out");
+        if second != self.current_second {
+            if self.omitted_lines > 0 {
+                log::warn!(lines = self.omitted_lines; "log: lines left out");
             }
-            self.second = second;
-            self.written = 0;
-            self.left_out = 0;
+            self.current_second = second;
+            self.lines_in_second = 0;
+            self.omitted_lines = 0;
         }
         let is_about_request = matches!(
-            note,
+            record,
             LogRecord::Answered { .. }
                 | LogRecord::Retried { .. }
                 | LogRecord::NotAnswered { .. }
@@ -76,17 +76,17 @@
                 | LogRecord::RequestQuarantined { .. }
                 | LogRecord::TenantLimit { .. }
         );
-        if is_about_request && self.written >= self.settings.lines_per_second {
-            self.left_out += 1;
+        if is_about_request && self.lines_in_second >= self.settings.lines_per_second {
+            self.omitted_lines += 1;
             return false;
         }
-        self.written += 1;
+        self.lines_in_second += 1;
         true
     }
 }
 
 /// Writes an age; -1 stands for none.
-fn age_or_none(millis: Option<u64>) -> i64 {
+fn age_or_minus_one(millis: Option<u64>) -> i64 {
     millis.map_or(-1, |millis| i64::try_from(millis).unwrap_or(i64::MAX))
 }
 
@@ -94,8 +94,8 @@
     BuildHasherDefault::<DefaultHasher>::default().hash_one(id)
 }
 
-fn write(note: &LogRecord, uptime: f64) {
-    match note {
+fn write(record: &LogRecord, uptime: f64) {
+    match record {
         LogRecord::Answered {
             request_id,
             route,
@@ -109,7 +109,7 @@
             tenant,
             proof_age_millis,
         } => log::info!(
-            uptime, tenant = tenant.as_str(), proof_age_millis = age_or_none(*proof_age_millis), request = request_id.as_str(), route = route.as_str(), status,
+            uptime, tenant = tenant.as_str(), proof_age_millis = age_or_minus_one(*proof_age_millis), request = request_id.as_str(), route = route.as_str(), status,
             code = code.map_or(0, |code| code.number()), peer = peer.as_str(), attempts,
             elapsed_micros, queued_micros = timing.queued_micros,
             back_end_micros = timing.back_end_micros, configuration; "outbound: answered"
@@ -243,7 +243,7 @@
             is_proven,
             proof_age_millis,
         } => log::info!(
-            uptime, is_proven, proof_age_millis = age_or_none(*proof_age_millis); "configuration: freshness"
+            uptime, is_proven, proof_age_millis = age_or_minus_one(*proof_age_millis); "configuration: freshness"
         ),
         LogRecord::BucketOffer { offers, peers } => log::info!(
             uptime, offers, peers = *peers as u64; "limits: offer to own buckets"
--- a/crates/rillgap-sidecar/src/metrics.rs
+++ b/crates/rillgap-sidecar/src/metrics.rs
@@ -46,14 +46,14 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct MoveLabels {
+struct RetryLabels {
     paid: &'static str,
 }
 
 /// Tenants that are counted by name; all others are counted together.
-const MOST_TENANTS: usize = 200;
+const MAX_TENANT_LABELS: usize = 200;
 /// Name under which the others are counted.
-const OTHER_TENANTS: &str = "other";
+const OTHER_TENANTS_LABEL: &str = "other";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct TenantLabels {
@@ -69,7 +69,7 @@
     latency: Histogram,
     forwarding: Histogram,
     failures: Family<CodeLabels, Counter>,
-    moves: Family<MoveLabels, Counter>,
+    retries: Family<RetryLabels, Counter>,
     tenants: Family<TenantLabels, Counter>,
     tenant_names: Arc<Mutex<BTreeSet<String>>>,
     store_calls: Family<StoreLabels, Counter>,
@@ -121,7 +121,7 @@
             latency: Histogram::new(buckets),
             forwarding: Histogram::new(forwarding_buckets),
             failures: Family::default(),
-            moves: Family::default(),
+            retries: Family::default(),
             tenants: Family::default(),
             tenant_names: Arc::default(),
             store_calls: Family::default(),
@@ -142,7 +142,7 @@
             peers: Gauge::default(),
             ready: Gauge::default(),
         };
-        metrics.registry = Arc::new(metrics.registered());
+        metrics.registry = Arc::new(metrics.build_registry());
         metrics
     }
 
@@ -155,8 +155,8 @@
     }
 
     /// Counts what a record for the log tells.
-    pub fn observe(&self, note: &LogRecord) {
-        match note {
+    pub fn observe(&self, record: &LogRecord) {
+        match record {
             LogRecord::Answered {
                 status,
                 code,
@@ -181,7 +181,7 @@
             }
             LogRecord::Retried { paid, .. } => {
                 let paid = if *paid { "yes" } else { "no" };
-                self.moves.get_or_create(&MoveLabels { paid }).inc();
+                self.retries.get_or_create(&RetryLabels { paid }).inc();
             }
             LogRecord::NotAnswered { code, .. } => {
                 let code = code.number();
@@ -222,8 +222,8 @@
         if names.contains(tenant) {
             return tenant.to_owned();
         }
-        if names.len() >= MOST_TENANTS {
-            return OTHER_TENANTS.to_owned();
+        if names.len() >= MAX_TENANT_LABELS {
+            return OTHER_TENANTS_LABEL.to_owned();
         }
         names.insert(tenant.to_owned());
         tenant.to_owned()
@@ -247,7 +247,7 @@
             .inc();
     }
 
-    fn registered(&self) -> Registry {
+    fn build_registry(&self) -> Registry {
         let mut registry = Registry::with_prefix("rillgap");
         registry.register(
             "answers",
@@ -274,7 +274,7 @@
         registry.register(
             "moves",
             "Requests sent to another node, by whether the retry budget paid",
-            self.moves.clone(),
+            self.retries.clone(),
         );
         registry.register(
             "tenant_answers",
--- a/crates/rillgap-sidecar/src/read.rs
+++ b/crates/rillgap-sidecar/src/read.rs
@@ -14,9 +14,9 @@
 use tokio::net::tcp::ReadHalf;
 
 /// Most bytes that are read at a time.
-const READ_SIZE: usize = 16 * 1024;
+const MAX_READ_BYTES: usize = 16 * 1024;
 /// Capacity that an empty buffer may keep, in bytes.
-const KEPT_CAPACITY: usize = 1024;
+const MAX_EMPTY_CAPACITY: usize = 1024;
 
 /// Waits until something arrives on a socket and appends it to `input`; returns the number of bytes, 0
 /// at the end of the stream. Nothing is lost if the future is dropped before it is ready.
@@ -29,7 +29,7 @@
 /// Fails if the connection is lost.
 pub async fn read_some(stream: &mut ReadHalf<'_>, input: &mut BytesMut) -> io::Result<usize> {
     poll_fn(|context| {
-        let mut chunk = [MaybeUninit::uninit(); READ_SIZE];
+        let mut chunk = [MaybeUninit::uninit(); MAX_READ_BYTES];
         let mut buffer = ReadBuf::uninit(&mut chunk);
         ready!(Pin::new(&mut *stream).poll_read(context, &mut buffer))?;
         input.extend_from_slice(buffer.filled());
@@ -40,7 +40,7 @@
 
 /// Frees the memory of a buffer that is empty.
 pub fn release_if_empty(buffer: &mut BytesMut) {
-    if buffer.is_empty() && buffer.capacity() > KEPT_CAPACITY {
+    if buffer.is_empty() && buffer.capacity() > MAX_EMPTY_CAPACITY {
         *buffer = BytesMut::new();
     }
 }
--- a/crates/rillgap-sidecar/src/settings.rs
+++ b/crates/rillgap-sidecar/src/settings.rs
@@ -233,7 +233,7 @@
     }
 
     /// Returns the settings of the node's state machine.
-    pub fn forward(&self, incarnation: u64, random_seed: u64) -> ForwardSettings {
+    pub fn forward_settings(&self, incarnation: u64, random_seed: u64) -> ForwardSettings {
         ForwardSettings {
             record: NodeRecord {
                 name: self.node.name.clone(),
--- a/crates/rillgap-sidecar/tests/path/main.rs
+++ b/crates/rillgap-sidecar/tests/path/main.rs
@@ -155,7 +155,7 @@
 #[gtest]
 fn close_of_the_caller_reaches_the_back_end() {
     with_pair(
-        |_| Reply::Silence,
+        |_| Reply::NoAnswer,
         |pair| async move {
             let mut caller = pair.connect().await;
             caller.get("a", "/safe/1").await;
@@ -167,7 +167,8 @@
                 eq(0)
             );
             expect_that!(
-                pair.beside.with_node(|node| node.inbound().in_flight()),
+                pair.back_end_node
+                    .with_node(|node| node.inbound().in_flight()),
                 eq(0)
             );
         },
--- a/crates/rillgap-sidecar/tests/path/support.rs
+++ b/crates/rillgap-sidecar/tests/path/support.rs
@@ -148,7 +148,7 @@
     /// Sends these bytes once the back end has seen so many requests.
     AfterSeen(usize, Vec<u8>),
     /// Never answers.
-    Silence,
+    NoAnswer,
 }
 
 /// A request as the back end saw it.
@@ -232,7 +232,7 @@
                     until(|| self.seen.borrow().len() >= count).await;
                     let _ = stream.write_all(&bytes).await;
                 }
-                Reply::Silence => {}
+                Reply::NoAnswer => {}
             }
         }
         self.closed.set(self.closed.get() + 1);
@@ -243,7 +243,7 @@
     stream: &mut TcpStream,
     input: &mut BytesMut,
 ) -> Option<(RequestHead, Vec<u8>)> {
-    let limits = HeadLimits { bytes: 100_000 };
+    let limits = HeadLimits { max_bytes: 100_000 };
     let head = loop {
         if let Some(head) = decode_request(input, limits, |_, _| true).ok()? {
             break head;
@@ -298,7 +298,7 @@
 
     /// Returns the next answer; `None` if the connection ends before it is whole.
     pub async fn answer(&mut self) -> Option<Answer> {
-        let limits = HeadLimits { bytes: 100_000 };
+        let limits = HeadLimits { max_bytes: 100_000 };
         let head = loop {
             let head = decode_response(&mut self.input, limits, false, |_, _| true).ok()?;
             match head {
@@ -332,7 +332,7 @@
 /// An entry node and a node beside a scripted back end.
 pub struct Pair {
     pub entry: Rc<Hub>,
-    pub beside: Rc<Hub>,
+    pub back_end_node: Rc<Hub>,
     pub back_end: Rc<BackEnd>,
     callers: SocketAddr,
 }
@@ -344,8 +344,8 @@
             ..MemoryStore::default()
         });
         let (back_end, address) = BackEnd::start(script).await;
-        let (beside, _) = start_node(&store, "beside", "work", address).await;
-        let nowhere = own_address();
+        let (back_end_node, _) = start_node(&store, "beside", "work", address).await;
+        let nowhere = unused_address();
         let (entry, callers) = start_node(&store, "entry", "front", nowhere).await;
         let heartbeat = Heartbeat {
             incarnation: Incarnation::without_start(INSTANCE),
@@ -355,8 +355,8 @@
             state: AnnouncedState::Ready,
             sequence: 1,
         };
-        until(|| beside.with_node(|node| node.is_ready())).await;
-        let acknowledged = beside.announce(|announcement| Event::Heartbeat {
+        until(|| back_end_node.with_node(|node| node.is_ready())).await;
+        let acknowledged = back_end_node.announce(|announcement| Event::Heartbeat {
             announcement,
             heartbeat,
         });
@@ -372,7 +372,7 @@
         .await;
         Self {
             entry,
-            beside,
+            back_end_node,
             back_end,
             callers,
         }
@@ -399,7 +399,7 @@
 /// Returns an address of its own for each call, also of tests that run side by side.
 ///
 /// A port that the system hands out and gets back could meanwhile serve an outgoing connection.
-fn own_address() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let network = 64 + (std::process::id() % 128) as u8;
@@ -413,10 +413,10 @@
     service: &str,
     back_end: SocketAddr,
 ) -> (Rc<Hub>, SocketAddr) {
-    let callers = own_address();
-    let control = own_address();
-    let readiness = own_address();
-    let mesh = own_address();
+    let callers = unused_address();
+    let control = unused_address();
+    let readiness = unused_address();
+    let mesh = unused_address();
     let text = format!(
         "[node]\nname = \"{name}\"\nzone = \"z\"\nregion = \"r\"\n\
          [listen]\ncallers = \"{callers}\"\ncontrol = \"{control}\"\n\
--- a/crates/rillgap-sidecar/tests/settings.rs
+++ b/crates/rillgap-sidecar/tests/settings.rs
@@ -41,7 +41,7 @@
 #[gtest]
 fn valid_settings_are_taken_over() {
     let settings = parse(VALID).expect("valid settings");
-    let forward = settings.forward(1, 2);
+    let forward = settings.forward_settings(1, 2);
     expect_that!(forward.record.name, eq("node-a"));
     expect_that!(forward.heartbeat_interval, eq(Duration::from_millis(1_500)));
     expect_that!(forward.grace, eq(Duration::from_secs(6)));
@@ -52,18 +52,18 @@
 #[gtest]
 fn bound_on_revocation_is_taken_over() {
     let text = format!("{VALID}revocation-seconds = 5\n");
-    let forward = parse(&text).expect("valid settings").forward(1, 2);
+    let forward = parse(&text).expect("valid settings").forward_settings(1, 2);
     expect_that!(forward.revocation, some(eq(Duration::from_secs(5))));
 }
 
 #[gtest]
 fn peers_are_told_the_advertised_address() {
-    let own = parse(VALID).expect("valid settings").forward(1, 2);
+    let own = parse(VALID).expect("valid settings").forward_settings(1, 2);
     expect_that!(own.record.address.to_string(), eq("127.0.1.1:7000"));
     let mesh = "mesh = \"127.0.1.1:7000\"";
     let advertised = format!("{mesh}\nmesh-advertised = \"127.0.2.1:7001\"");
     let text = VALID.replace(mesh, &advertised);
-    let proxied = parse(&text).expect("valid settings").forward(1, 2);
+    let proxied = parse(&text).expect("valid settings").forward_settings(1, 2);
     expect_that!(proxied.record.address.to_string(), eq("127.0.2.1:7001"));
 }
 
