--- a/crates/rillgap-clock/src/lib.rs
+++ b/crates/rillgap-clock/src/lib.rs
@@ -1,9 +1,10 @@
 //! The steady clock of a daemon: the one place where it is read.
 //!
-//! The runtime's own clock does not count the time for which a machine is suspended. Every age that is reckoned by
-//! it is too young afterwards: a proof of freshness, a key that was taken away, the silence of a peer, the time that is left
-//! for a request. This clock counts that time. The runtime's timers do not, and fire late after it; so what is due
-//! is looked for at each event, before anything else is decided.
+//! The runtime's own clock does not count the time for which a machine is suspended. Every age that
+//! is reckoned by it is too young afterwards: a proof of freshness, a key that was taken away, the
+//! silence of a peer, the time that is left for a request. This clock counts that time. The
+//! runtime's timers do not, and fire late after it; so what is due is looked for at each event,
+//! before anything else is decided.
 
 use std::time::Duration;
 
--- a/crates/rillgap-clock/tests/steady_clock.rs
+++ b/crates/rillgap-clock/tests/steady_clock.rs
@@ -5,7 +5,8 @@
 use googletest::prelude::*;
 use rillgap_clock::SteadyClock;
 
-/// Returns the machine's time since its start in seconds, which counts suspended time (proc(5), `/proc/uptime`).
+/// Returns the machine's time since its start in seconds, which counts suspended time (proc(5),
+/// `/proc/uptime`).
 fn uptime() -> f64 {
     let text = std::fs::read_to_string("/proc/uptime").unwrap_or_default();
     let first = text.split_whitespace().next().unwrap_or_default();
--- a/crates/rillgap-sidecar/src/back_end/connection.rs
+++ b/crates/rillgap-sidecar/src/back_end/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the back end: one request at a time.
+//! Runs requests on one connection to the back end, one at a time.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,23 +18,25 @@
 use crate::hub::Hub;
 use crate::read::{read_some, release_if_empty};
 
-/// Longest time to open a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which a connection is kept if the back end does not say how long it keeps it.
+/// Idle timeout of a connection if the back end sends none in `Keep-Alive`.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Share of the time that the back end names for which a connection is kept.
+/// Fraction of the `Keep-Alive` timeout of the back end after which an idle connection is closed,
+/// so that the node closes it before the back end does.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 
-/// How a request on a connection ended.
+/// Result of running a request on a connection.
 enum Outcome {
-    /// With this result; the connection can be used again if `reusable`.
+    /// The request ended with `result`; the connection can be used again if `reusable`.
     Ended {
         result: ExchangeResult,
         reusable: bool,
     },
-    /// Nobody waits for it any more.
+    /// The request was cancelled.
     Cancelled,
-    /// Not a byte of it was sent: the connection had ended before.
+    /// The connection had been closed or had unexpected input before a byte of the request was
+    /// sent.
     Stale,
 }
 
@@ -64,7 +66,8 @@
 
 impl BackEndConnection {
     fn new(hub: Rc<Hub>, stream: TcpStream) -> Self {
-        // Requests would wait for acknowledgements; a connection works without it, too.
+        // Without `TCP_NODELAY` requests may wait for acknowledgements. The connection also works
+        // without it, so an error is ignored.
         let _ = stream.set_nodelay(true);
         Self {
             hub,
@@ -94,8 +97,8 @@
                         hub.back_end().report_end(&hub, exchange, result);
                         return;
                     }
-                    // Offered first, so that a request that the end of this one lets start can
-                    // use the connection.
+                    // The connection becomes idle before the end is reported, so that a request
+                    // that is started because of this end can use it.
                     self.hub.back_end().add_idle(sender.clone());
                     self.hub.back_end().report_end(&self.hub, exchange, result);
                 }
@@ -107,7 +110,8 @@
         }
     }
 
-    /// Waits for the next job; `None` if the connection has ended or idle_timer for too long.
+    /// Waits for the next job; `None` if the connection has ended or has been idle for
+    /// too long.
     async fn wait_for_job(&mut self, jobs: &mut UnboundedReceiver<Job>) -> Option<Job> {
         let until = self.hub.now() + self.idle_timeout;
         let idle_timer = tokio::time::sleep_until(self.hub.deadline(until));
@@ -116,7 +120,8 @@
             tokio::select! {
                 biased;
                 job = jobs.recv() => {
-                    // After a suspension the timer is late, and the back end may have closed the connection.
+                    // After a suspension of the machine the timer fires late, and the back end
+                    // may have closed the connection.
                     if self.hub.now() < until {
                         return job;
                     }
@@ -125,7 +130,7 @@
                     }
                     break;
                 }
-                // Bytes that nobody asked for, the end, or nothing.
+                // Unexpected bytes, the end of the connection, or a spurious wake-up.
                 _ = self.stream.readable() => {
                     if !self.has_no_input() {
                         break;
@@ -142,6 +147,7 @@
         None
     }
 
+    /// Sends a request and reads its answer.
     async fn run(&mut self, job: &mut Job) -> Outcome {
         if !self.has_no_input() {
             return Outcome::Stale;
@@ -169,7 +175,7 @@
         }
     }
 
-    /// Returns whether nothing has arrived since the last answer.
+    /// Returns whether the connection is open and nothing has arrived since the last answer.
     fn has_no_input(&self) -> bool {
         let mut byte = [0];
         let nothing = self.stream.try_read(&mut byte);
--- a/crates/rillgap-sidecar/src/back_end/mod.rs
+++ b/crates/rillgap-sidecar/src/back_end/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to the back end beside the node.
+//! Client of the node's back end: a pool of connections, and health probes.
 
 mod connection;
 mod probe;
@@ -17,16 +17,17 @@
 
 use crate::hub::Hub;
 
-/// A request for a connection, with the receiver that ends when nobody waits for it.
+/// A request to run on a connection; `cancelled` completes when the request is cancelled.
 pub(super) struct Job {
     pub exchange: Exchange,
     pub cancelled: oneshot::Receiver<()>,
 }
 
-/// Connections to the back end; the one used last is used first.
+/// Pool of connections to the back end; the most recently used idle connection is used first.
 pub struct BackEndClient {
     address: SocketAddr,
-    /// Incarnation that the idle connections lead to.
+    /// Incarnation of the back end to which the idle connections were opened; `None` before the
+    /// first request.
     connected_incarnation: RefCell<Option<Incarnation>>,
     idle: RefCell<Vec<mpsc::UnboundedSender<Job>>>,
     in_flight: RefCell<BTreeMap<ExchangeId, oneshot::Sender<()>>>,
@@ -43,7 +44,8 @@
         }
     }
 
-    /// Hands a request to the back end; its end is an event.
+    /// Sends a request to the back end; [`Event::ExchangeEnded`] reports its end unless it is
+    /// cancelled.
     pub fn start(&self, hub: &Rc<Hub>, exchange: Exchange) {
         self.close_earlier_connections(&exchange.incarnation);
         let (cancel, cancelled) = oneshot::channel();
@@ -57,7 +59,8 @@
         );
     }
 
-    /// Closes idle connections to an earlier run of the back end: they may have died silently with it.
+    /// Closes idle connections to an earlier incarnation of the back end, which may have ended
+    /// without closing them.
     fn close_earlier_connections(&self, incarnation: &Incarnation) {
         let before = self
             .connected_incarnation
@@ -67,12 +70,12 @@
         }
     }
 
-    /// Closes the connection on which a request runs.
+    /// Cancels a request, which closes its connection.
     pub fn cancel(&self, exchange: ExchangeId) {
         self.in_flight.borrow_mut().remove(&exchange);
     }
 
-    /// Asks the health endpoint; the answer is an event.
+    /// Probes the health endpoint; [`Event::ProbeEnded`] reports the result.
     pub fn probe(&self, hub: &Rc<Hub>, probe: ProbeId, path: String) {
         let hub = hub.clone();
         let address = self.address;
@@ -99,12 +102,12 @@
         self.idle.borrow_mut().pop()
     }
 
-    /// Takes back a connection whose request has ended.
+    /// Adds a connection whose request has ended to the idle connections.
     fn add_idle(&self, connection: mpsc::UnboundedSender<Job>) {
         self.idle.borrow_mut().push(connection);
     }
 
-    /// Forgets connections that have closed.
+    /// Removes closed connections from the idle connections.
     fn remove_closed(&self) {
         self.idle
             .borrow_mut()
--- a/crates/rillgap-sidecar/src/back_end/probe.rs
+++ b/crates/rillgap-sidecar/src/back_end/probe.rs
@@ -1,4 +1,4 @@
-//! One look at the back end's health endpoint.
+//! Probes the back end's health endpoint.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 
 use crate::dialect::HeaderNames;
 
-/// Longest time for an answer.
+/// Timeout of a probe, from opening the connection to the end of the answer's head.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Longest head of an answer.
+/// Maximum length of an answer's head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Status of a back end that is healthy and not leaving.
 const HEALTHY_STATUS: u16 = 200;
 
-/// Asks the health endpoint.
+/// Sends one probe and returns its result.
 pub(super) async fn send(names: &HeaderNames, address: SocketAddr, path: &str) -> ProbeResult {
     match timeout(PROBE_TIMEOUT, exchange(names, address, path)).await {
         Ok(Ok(result)) => result,
--- a/crates/rillgap-sidecar/src/back_end/response.rs
+++ b/crates/rillgap-sidecar/src/back_end/response.rs
@@ -1,4 +1,7 @@
-//! Reads the answer to one request and judges whether it is whole, genuine and its own.
+//! Reads the answer to one request and checks that it is complete, genuine and belongs to the
+//! request.
+//!
+//! A successful answer is genuine if it is signed, names its request and has no content encoding.
 
 use std::time::Duration;
 
@@ -11,32 +14,32 @@
 
 use crate::dialect::HeaderNames;
 
-/// Longest head of an answer.
+/// Maximum length of an answer's head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Longest body of an answer.
+/// Maximum length of an answer's body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
-/// Status of an answer of another back end than the expected one.
+/// Status with which a back end answers a request that is meant for another one.
 const MISDIRECTED_STATUS: u16 = 421;
-/// Answers to other requests that are passed over.
+/// Maximum number of answers to other requests that are skipped.
 const MAX_FOREIGN_ANSWERS: u32 = 4;
 
-/// What the bytes so far amount to.
+/// Result of reading the bytes received so far.
 pub(super) enum Progress {
     /// More bytes are needed.
     Partial,
-    /// The answer is whole.
+    /// The answer is complete.
     Complete {
         result: ExchangeResult,
         /// Whether the connection may carry another request.
         keep_alive: bool,
-        /// How long the back end keeps the connection.
+        /// Time for which the back end keeps an idle connection; `None` if it does not say so.
         idle_timeout: Option<Duration>,
     },
-    /// The bytes are no answer, or the connection ended within it.
+    /// The bytes are not an answer, or the connection ended within the answer.
     Broken,
 }
 
-/// Fields that decide what an answer is worth.
+/// Header fields that decide how an answer is classified.
 #[derive(Clone, Debug, Default)]
 struct AnswerFields {
     request_id: Option<String>,
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Takes in bytes.
+    /// Reads received bytes.
     pub fn read(&mut self, input: &mut BytesMut, names: &HeaderNames) -> Progress {
         loop {
             if self.current.is_none() && !self.read_head(input, names).unwrap_or(false) {
@@ -86,13 +89,13 @@
             }
             match self.finish() {
                 Some(progress) => return progress,
-                // An answer to another request: the own one may follow.
+                // This answer belongs to another request; the expected one may follow.
                 None => continue,
             }
         }
     }
 
-    /// Takes in that the connection was closed cleanly.
+    /// Handles a clean close of the connection.
     pub fn on_close(&mut self) -> Progress {
         let is_complete = self
             .current
@@ -104,7 +107,8 @@
         self.finish().unwrap_or(Progress::Broken)
     }
 
-    /// Reads a head; returns whether one is there. Errors are told apart by [`Self::is_partial_head`].
+    /// Reads a head; returns `Some(true)` once it is complete. `None` stands for a partial head as
+    /// well as for an error: [`Self::is_partial_head`] distinguishes them.
     fn read_head(&mut self, input: &mut BytesMut, names: &HeaderNames) -> Option<bool> {
         loop {
             let mut answer_fields = AnswerFields::default();
@@ -125,7 +129,7 @@
         }
     }
 
-    /// Returns whether the bytes can still become a head.
+    /// Returns whether the bytes are a valid but incomplete head.
     fn is_partial_head(&self, input: &BytesMut) -> bool {
         let mut copy = input.clone();
         let limits = HeadLimits {
@@ -137,7 +141,7 @@
         )
     }
 
-    /// Judges a whole answer; `None` if it belongs to another request.
+    /// Classifies a complete answer; `None` if it belongs to another request.
     fn finish(&mut self) -> Option<Progress> {
         let (head, answer_fields, _) = self.current.take()?;
         let is_foreign = answer_fields
@@ -178,7 +182,8 @@
 }
 
 impl AnswerFields {
-    /// Notes a field; returns whether it is passed on.
+    /// Records a field if it matters for the classification. Returns `true`, since every field is
+    /// passed on.
     fn record(&mut self, name: &str, value: &[u8], names: &HeaderNames) -> bool {
         if name.eq_ignore_ascii_case(names.request_id) {
             self.request_id = Some(String::from_utf8_lossy(value).trim().to_owned());
--- a/crates/rillgap-sidecar/src/caller/connection.rs
+++ b/crates/rillgap-sidecar/src/caller/connection.rs
@@ -1,4 +1,5 @@
-//! One connection of a caller: requests run side by side, answers go back in order.
+//! Serves one connection of a caller: requests run concurrently, answers are sent in the order of
+//! the requests.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -19,15 +20,15 @@
 use crate::hub::{Hub, PipelinedAnswer};
 use crate::read::{read_some, release_if_empty};
 
-/// Most requests of one connection under way.
+/// Maximum number of requests of one connection that are in flight.
 const MAX_PIPELINED_REQUESTS: usize = 32;
-/// Bytes of further requests that are read ahead.
+/// Maximum number of bytes of further requests that are read ahead.
 const MAX_READ_AHEAD_BYTES: usize = 256 * 1024;
-/// Longest time for which an answer may lie unread.
+/// Timeout for a caller that does not read its answers.
 const UNREAD_ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Shortest time between two looks at whether the connection is without progress.
+/// Minimum time between two checks for a timeout.
 const MIN_TIMER_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest time for which the peer's close is waited for after the last answer.
+/// Timeout for the peer's close after the last answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A request that waits for its answer.
@@ -41,9 +42,9 @@
 /// Why a connection ends.
 #[derive(Debug)]
 enum ConnectionEnd {
-    /// The peer has closed, or does not read or send.
+    /// The peer has closed the connection, or has timed out.
     Aborted,
-    /// All answers are written and no further request is taken.
+    /// All answers are written, and no further request is accepted.
     Finished,
 }
 
@@ -70,7 +71,8 @@
 
 impl CallerConnection {
     pub fn new(hub: Rc<Hub>, id: ConnectionId, stream: TcpStream) -> Self {
-        // Answers would wait for acknowledgements; a connection works without it, too.
+        // Without `TCP_NODELAY` answers may wait for acknowledgements. The connection also works
+        // without it, so an error is ignored.
         let _ = stream.set_nodelay(true);
         let active_at = hub.now();
         Self {
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Returns when the connection has been without progress for too long.
+    /// Returns the time at which the connection times out if it makes no progress until then.
     fn times_out_at(&self) -> Instant {
         let limits = self.hub.with_node(|node| node.limits());
         let idle = Duration::from_millis(u64::from(limits.idle_timeout_millis));
@@ -143,7 +145,7 @@
         let timeout = if !self.output.is_empty() {
             UNREAD_ANSWER_TIMEOUT
         } else if !self.pending.is_empty() {
-            // The node answers every request in its time.
+            // The node itself ends every request in time.
             Duration::from_secs(3_600)
         } else if self.reader.is_within_request(&self.input) && !self.reader.is_within_body() {
             head
@@ -217,7 +219,7 @@
         });
     }
 
-    /// Refuses bytes that are no request; nothing further is read from them.
+    /// Refuses bytes that are not a request; no further requests are read from the connection.
     fn refuse(&mut self, code: ResultCode) -> Result<(), ConnectionEnd> {
         self.accepts_requests = false;
         self.input.clear();
@@ -240,7 +242,7 @@
         self.write_answers()
     }
 
-    /// Takes in an answer and all others that wait.
+    /// Handles an answer and all others that are queued.
     fn on_answers(
         &mut self,
         pipeline_index: PipelineIndex,
@@ -252,11 +254,11 @@
             self.answers.insert(pipeline_index, answer);
         }
         self.write_answers()?;
-        // Requests that had to wait for a place.
+        // Requests may have waited because `MAX_PIPELINED_REQUESTS` were in flight.
         self.read_requests()
     }
 
-    /// Writes the answers whose turn has come.
+    /// Writes the answers that are next in order.
     fn write_answers(&mut self) -> Result<(), ConnectionEnd> {
         while let Some(answer) = self
             .pending
@@ -272,7 +274,8 @@
     }
 
     fn encode(&mut self, pending: &PendingRequest, answer: &CallerAnswer) {
-        // A request that was already taken keeps the connection open for its answer.
+        // The connection stays open for the answers to requests that have already been received,
+        // even in part.
         let is_last = self.pending.is_empty() && !self.reader.is_within_request(&self.input);
         let closes = pending.connection == Connection::Close || answer.close && is_last;
         let mut head = Vec::with_capacity(256 + answer.fields.len());
@@ -309,14 +312,14 @@
         Ok(())
     }
 
-    /// Closes so that the peer can read the last answer: what it still sends is read, since
-    /// closing with unread bytes would reset the connection.
+    /// Closes the sending side and reads until the peer closes, so that the peer can read the last
+    /// answer: closing a connection with unread bytes would reset it.
     async fn linger(&mut self) {
         use tokio::io::AsyncWriteExt;
         if self.stream.shutdown().await.is_err() {
             return;
         }
-        // A close of the peer that never comes, or that comes late, ends the connection all the same.
+        // After the timeout the connection is closed even if the peer has not closed it.
         let _ = tokio::time::timeout(LINGER_TIMEOUT, self.read_to_end()).await;
     }
 
--- a/crates/rillgap-sidecar/src/caller/mod.rs
+++ b/crates/rillgap-sidecar/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of callers and of the back end's own calls.
+//! Accepts connections of callers, and of the back end for calls of its own.
 
 mod connection;
 mod reader;
@@ -12,7 +12,7 @@
 use crate::hub::Hub;
 use connection::CallerConnection;
 
-/// Most connections at a time; further ones are closed at once.
+/// Maximum number of open connections; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 3_000;
 
 /// Accepts connections until the process ends.
--- a/crates/rillgap-sidecar/src/caller/reader.rs
+++ b/crates/rillgap-sidecar/src/caller/reader.rs
@@ -14,7 +14,7 @@
 
 use crate::dialect::{Dialect, HeaderNames};
 
-/// A request that has arrived whole.
+/// A request that has arrived completely.
 #[derive(Debug)]
 pub(super) struct ReadRequest {
     pub request: CallerRequest,
@@ -22,20 +22,20 @@
     pub is_head: bool,
 }
 
-/// What the bytes so far amount to.
+/// Result of reading the bytes received so far.
 #[derive(Debug)]
 pub(super) enum Progress {
-    /// A request has arrived whole.
+    /// A request has arrived completely.
     Request(Box<ReadRequest>),
     /// More bytes are needed.
     Partial,
     /// More bytes are needed, and the sender waits for `100 Continue`.
     SendContinue,
-    /// The bytes are refused.
+    /// The bytes are refused with this code.
     Refused(ResultCode),
 }
 
-/// A request of which only the head has arrived.
+/// A request whose head has arrived, but not its whole body.
 #[derive(Debug)]
 struct PartialRequest {
     head: RequestHead,
@@ -53,7 +53,7 @@
 }
 
 impl RequestReader {
-    /// Returns whether a request has begun to arrive.
+    /// Returns whether part of a request has arrived.
     pub fn is_within_request(&self, input: &BytesMut) -> bool {
         self.partial.is_some() || !input.is_empty()
     }
@@ -63,8 +63,8 @@
         self.partial.is_some()
     }
 
-    /// Takes the next request out of `input`. Credentials are left out of what is passed on if the node
-    /// withholds them.
+    /// Reads the next request from `input`. Fields that hold credentials are not passed on if
+    /// `withholds_credentials`.
     pub fn read(
         &mut self,
         input: &mut BytesMut,
@@ -172,8 +172,8 @@
     }))
 }
 
-/// Returns what a request shows of its caller, with one more field that holds a credential. Two of them
-/// leave open which one counts, so neither does.
+/// Returns the credential of a request after a further credential field was read. With two fields
+/// it is undefined which one counts, so they are treated as malformed.
 fn read_credential(before: Credential, value: &[u8], dialect: &dyn Dialect) -> Credential {
     match (before, dialect.key(value)) {
         (Credential::Absent, Some(key)) => Credential::Key(KeyDigest::of(key)),
@@ -181,7 +181,7 @@
     }
 }
 
-/// Returns whether only nodes and back ends may set a field; a caller's is dropped.
+/// Returns whether only nodes and back ends may set a field; it is dropped from callers' requests.
 fn is_reserved_field(name: &str, names: &HeaderNames) -> bool {
     [
         names.caller_service,
--- a/crates/rillgap-sidecar/src/control.rs
+++ b/crates/rillgap-sidecar/src/control.rs
@@ -1,4 +1,4 @@
-//! Small HTTP services: readiness, heartbeats of the back end, metrics.
+//! Serves readiness, the heartbeats of the back end and the metrics over HTTP.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -16,13 +16,13 @@
 use crate::dialect::{ControlCall, ControlError};
 use crate::hub::Hub;
 
-/// Longest body of a call.
+/// Maximum length of a call's body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Content type of the metrics.
+/// Content type of the metrics answer.
 const OPEN_METRICS_CONTENT_TYPE: &str =
     "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Content type of the answer on readiness.
+/// Content type of the readiness answer.
 const JSON_CONTENT_TYPE: &str = "application/json";
 
 /// What a listener serves.
@@ -87,8 +87,8 @@
     })
 }
 
-/// Counts a malformed call, and logs the first, second, fourth, eighth and so on: another writer may go on for
-/// ever.
+/// Counts a malformed call, and logs it if the count is a power of two: a faulty client may send
+/// malformed calls without end.
 fn record_malformed_call(hub: &Hub, path: &str, error: &ControlError) {
     let calls = &hub.metrics().refused_control_calls;
     let count = calls.inc() + 1;
@@ -124,8 +124,9 @@
     }
 }
 
-/// Answers whether new callers are welcome, and tells the configuration in force with its age: the store may have come
-/// back from a copy that holds an older one.
+/// Returns the readiness answer. The status says whether the node accepts new callers. The body
+/// gives version and age of the configuration in force, since the store may have been restored from
+/// a backup that holds an older one.
 fn readiness(hub: &Hub) -> Response<Full<Bytes>> {
     let now = hub.now();
     let body = hub.with_node(|node| {
--- a/crates/rillgap-sidecar/src/daemon.rs
+++ b/crates/rillgap-sidecar/src/daemon.rs
@@ -21,22 +21,22 @@
 use crate::store::Store;
 use crate::{caller, link};
 
-/// Time for what was answered and logged last to leave the process; more than the pause of the
-/// log's writer.
+/// Delay of the exit, in which the last answers and log lines are written; longer than the interval
+/// at which the log is written.
 const EXIT_DELAY: Duration = Duration::from_millis(150);
 
-/// Why the daemon ended other than by a planned stop.
+/// Error that ends the daemon.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// The settings are refused.
+    /// The settings file cannot be read or is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// An address cannot be bound.
     #[error("cannot listen on {address}: {cause}")]
     Bind {
-        /// Address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// Cause.
+        /// Error of the operating system.
         cause: io::Error,
     },
     /// The operating system refused a thread, a runtime or a signal handler.
@@ -55,15 +55,15 @@
     }
 }
 
-/// A platform's part of a node.
+/// Implementations that a platform provides for a node.
 pub struct Platform {
-    /// How the platform speaks.
+    /// Names and formats that the platform uses over HTTP.
     pub dialect: Rc<dyn Dialect>,
-    /// The store.
+    /// Client of the platform's store.
     pub store: Rc<dyn Store>,
 }
 
-/// Runs a node until it is asked to stop and nothing is in flight any more.
+/// Runs a node until a signal stops it and no request is in flight any more.
 ///
 /// # Errors
 ///
@@ -78,7 +78,8 @@
         .enable_all()
         .build()?;
     let tasks = LocalSet::new();
-    // A task of its own, so that it is polled for signals and not at every turn of the others.
+    // The supervisor has a task of its own, so that it is polled only when it is woken and not
+    // whenever another task is.
     let supervisor = tasks.spawn_local(supervise(path.to_owned(), settings, platform));
     tasks
         .block_on(&runtime, supervisor)
@@ -152,7 +153,8 @@
         .map_err(|cause| DaemonError::Bind { address, cause })
 }
 
-/// Reads the settings again; what cannot change while the node runs is said, and kept.
+/// Reads the settings again and logs whether they have changed; changes take effect at the next
+/// start.
 fn reload(path: &Path, current: SidecarSettings) -> SidecarSettings {
     match SidecarSettings::load(path) {
         Ok(settings) if settings == current => {
@@ -164,7 +166,8 @@
             settings
         }
         Err(error) => {
-            log::error!(code = error.code().number(); "settings: {error}; the old ones stay");
+            log::error!(code = error.code().number();
+                "settings: {error}; the previous settings stay in force");
             current
         }
     }
--- a/crates/rillgap-sidecar/src/dialect.rs
+++ b/crates/rillgap-sidecar/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What a platform calls the things that a node says and hears over HTTP.
+//! Names and formats that a platform uses for HTTP messages to and from a node.
 
 use rillgap_forward::event::Heartbeat;
 use rillgap_forward::incarnation::Incarnation;
@@ -6,36 +6,36 @@
 /// Names of header fields.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Caller's identifier of a request; back ends give it back.
+    /// Identifier that the caller gives a request; back ends repeat it in the answer.
     pub request_id: &'static str,
-    /// Milliseconds for which the sender waits.
+    /// Time for which the sender waits for the answer, in milliseconds.
     pub deadline_millis: &'static str,
-    /// Mark of a genuine answer of a back end.
+    /// Marks a genuine answer of a back end.
     pub signature: &'static str,
     /// Incarnation of the back end that is to run the request.
     pub expected_instance: &'static str,
-    /// Mark of an answer to a request that was not run.
+    /// Marks an answer to a request that was not run.
     pub not_executed: &'static str,
-    /// Service beside whose back end the request began.
+    /// Service of the entry node, which received the request from the caller.
     pub caller_service: &'static str,
     /// Incarnation of the back end that answers.
     pub instance: &'static str,
-    /// What a caller shows to be known by; never passed on where tenants are configured.
+    /// Credential of the caller; never passed on if tenants are configured.
     pub credential: &'static str,
-    /// Tenant that a request belongs to, as the back end is told.
+    /// Tenant of the request; set by nodes for the back end.
     pub tenant: &'static str,
 }
 
 /// A call of the platform or of the back end to the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlCall {
-    /// Are new callers welcome?
+    /// Asks whether the node accepts new callers.
     Readiness,
     /// A heartbeat of a back end.
     Heartbeat(Heartbeat),
-    /// A back end leaves.
+    /// Announces that a back end leaves service.
     Leave {
-        /// Incarnation; without its start if the call does not tell it.
+        /// Incarnation of the back end; without its start time if the call does not contain it.
         incarnation: Incarnation,
     },
 }
@@ -43,7 +43,7 @@
 /// Why a call to the node is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ControlError {
-    /// No such call.
+    /// The node has no such call.
     #[error("no such call")]
     UnknownCall,
     /// The body is malformed.
@@ -51,14 +51,14 @@
     Malformed(String),
 }
 
-/// How a platform speaks.
+/// Names and formats that a platform uses over HTTP.
 pub trait Dialect {
     /// Returns the names of header fields.
     fn headers(&self) -> &HeaderNames;
 
-    /// Returns the identifier of the request for which a back end made the one with this
-    /// identifier, if identifiers tell. It is a hint: the node believes it only if its back end
-    /// works on that request.
+    /// Returns the identifier of the parent of a call: the request on which a back end worked when
+    /// it made the call. `None` if `request_id` does not contain it. It is a hint, which the node
+    /// uses only if its back end is working on that request.
     fn parent_id<'a>(&self, request_id: &'a str) -> Option<&'a str>;
 
     /// Returns the key that the value of a credential field holds, if it has the expected form.
--- a/crates/rillgap-sidecar/src/hub.rs
+++ b/crates/rillgap-sidecar/src/hub.rs
@@ -1,7 +1,7 @@
-//! Joins the node's state machine with the tasks that do its I/O.
+//! Connects the node's state machine to the tasks that do its I/O.
 //!
-//! Tasks hand events to [`Hub::dispatch`], which runs the state machine and passes each action to
-//! the queue of the task that carries it out. Nothing here waits.
+//! Tasks pass events to [`Hub::dispatch`], which runs the state machine and passes each action to
+//! the queue of the task that executes it. Dispatching an event never waits.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -27,16 +27,16 @@
 use crate::metrics::Metrics;
 use crate::store::Store;
 
-/// An answer for a place on a connection.
+/// An answer and the index of its request on a pipelined connection.
 pub type PipelinedAnswer = (PipelineIndex, CallerAnswer);
 
-/// Joins the node's state machine with the tasks that do its I/O.
+/// Connects the node's state machine to the tasks that do its I/O.
 pub struct Hub {
     clock: SteadyClock,
     node: RefCell<Node>,
     events: RefCell<VecDeque<Event>>,
     is_running: Cell<bool>,
-    /// Memory for the actions of one step, kept between steps.
+    /// Buffer for the actions of one event, reused for the next event.
     spare_actions: Cell<Actions>,
     wake_at: Cell<Instant>,
     wake_changed: Notify,
@@ -46,7 +46,7 @@
     announcements: RefCell<BTreeMap<AnnouncementId, oneshot::Sender<bool>>>,
     callers: RefCell<BTreeMap<ConnectionId, UnboundedSender<PipelinedAnswer>>>,
     links: RefCell<BTreeMap<LinkId, UnboundedSender<LinkMessage>>>,
-    /// Working memory of the links' codec, which all links share: a node has many of them.
+    /// Codec of the links. All links share its buffers, because a node has many links.
     encoder: RefCell<FrameEncoder>,
     decoder: RefCell<FrameDecoder>,
     back_end: BackEndClient,
@@ -57,7 +57,7 @@
 }
 
 impl Hub {
-    /// Creates the hub of a fresh node.
+    /// Creates the hub of a new node.
     pub fn new(
         settings: ForwardSettings,
         dialect: Rc<dyn Dialect>,
@@ -91,17 +91,17 @@
         })
     }
 
-    /// Returns the time of the state machine.
+    /// Returns the current time of the state machine.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// Returns the runtime's time at which a timer is to be set for a time of the state machine.
+    /// Converts a time of the state machine to the runtime's time, for timers.
     pub fn deadline(&self, at: Instant) -> tokio::time::Instant {
         self.clock.deadline(at)
     }
 
-    /// Returns how the platform speaks.
+    /// Returns the names and formats that the platform uses over HTTP.
     pub fn dialect(&self) -> &Rc<dyn Dialect> {
         &self.dialect
     }
@@ -116,7 +116,7 @@
         &self.back_end
     }
 
-    /// Looks at the node.
+    /// Reads the state of the node.
     pub fn with_node<T>(&self, read: impl FnOnce(&Node) -> T) -> T {
         read(&self.node.borrow())
     }
@@ -129,7 +129,7 @@
         id
     }
 
-    /// Forgets a connection of a caller.
+    /// Removes a connection of a caller and reports its end to the node.
     pub fn remove_caller(self: &Rc<Self>, id: ConnectionId) {
         self.callers.borrow_mut().remove(&id);
         self.dispatch(Event::CallerDisconnected(id));
@@ -145,18 +145,18 @@
         self.node.borrow_mut().new_link()
     }
 
-    /// Registers the queue of a link.
+    /// Registers the queue of messages to send on a link.
     pub fn add_link(&self, link: LinkId, messages: UnboundedSender<LinkMessage>) {
         self.links.borrow_mut().insert(link, messages);
     }
 
-    /// Forgets a link.
+    /// Removes a link and reports its end to the node.
     pub fn remove_link(self: &Rc<Self>, link: LinkId) {
         self.links.borrow_mut().remove(&link);
         self.dispatch(Event::LinkClosed(link));
     }
 
-    /// Appends a message for a link as a frame.
+    /// Appends a message for a link to `out` as a frame, and counts it.
     pub(crate) fn encode_frame(
         &self,
         message: &LinkMessage,
@@ -169,7 +169,7 @@
         Ok(())
     }
 
-    /// Takes the next message of a link out of `input`.
+    /// Decodes the next message of a link from `input`; `None` if it has not arrived completely.
     pub(crate) fn decode_frame(
         &self,
         input: &mut BytesMut,
@@ -177,7 +177,8 @@
         self.decoder.borrow_mut().decode(input)
     }
 
-    /// Hands the node what the back end announces; the receiver gets whether it is acknowledged.
+    /// Passes an announcement of the back end to the node; the receiver gets `true` if it is
+    /// accepted.
     pub fn announce(
         self: &Rc<Self>,
         event: impl FnOnce(AnnouncementId) -> Event,
@@ -190,7 +191,8 @@
         receiver
     }
 
-    /// Hands an event to the node and carries out what follows.
+    /// Passes an event to the node and executes the resulting actions. Events that the actions
+    /// dispatch are queued and handled before it returns.
     pub fn dispatch(self: &Rc<Self>, event: Event) {
         self.events.borrow_mut().push_back(event);
         if self.is_running.replace(true) {
@@ -209,7 +211,7 @@
         self.update_wake();
     }
 
-    /// Wakes the node whenever it wants to be woken; never returns.
+    /// Dispatches [`Event::Wake`] whenever the node has set a time for it; never returns.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             let wake_at = self.deadline(self.wake_at.get());
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Waits until the node wants the process to end.
+    /// Waits for [`Action::Exit`].
     pub async fn exited(&self) {
         self.exit.notified().await;
     }
@@ -247,14 +249,14 @@
                 answer,
             } => {
                 if let Some(answers) = self.callers.borrow().get(&connection) {
-                    // The connection may just have ended; its caller is then gone as well.
+                    // Fails if the connection has just ended; the answer is not needed then.
                     let _ = answers.send((pipeline_index, answer));
                 }
             }
             Action::OpenLink { link, address } => link::open(self.clone(), link, address),
             Action::SendOnLink { link, message } => {
                 if let Some(messages) = self.links.borrow().get(&link) {
-                    // A link that has just ended reports that itself.
+                    // Fails if the link has just ended; its task reports that.
                     let _ = messages.send(message);
                 }
             }
@@ -268,7 +270,7 @@
                 is_accepted,
             } => {
                 if let Some(sender) = self.announcements.borrow_mut().remove(&announcement) {
-                    // Whoever has announced it may have gone.
+                    // Fails if the connection of the announcement has ended.
                     let _ = sender.send(is_accepted);
                 }
             }
@@ -293,7 +295,7 @@
 }
 
 impl Hub {
-    /// Brings the gauges up to date.
+    /// Updates the gauges from the state of the node.
     pub fn update_gauges(&self) {
         let node = self.node.borrow();
         let load = node.inbound().load();
--- a/crates/rillgap-sidecar/src/lib.rs
+++ b/crates/rillgap-sidecar/src/lib.rs
@@ -1,12 +1,12 @@
 //! Runs a forwarding node: listeners, links, the back end's connections, the store, logs and
 //! metrics.
 //!
-//! Decisions are made by [`rillgap_forward::node::Node`]; this crate feeds it events and carries
-//! out its actions. What a deployment's platform calls things comes in through [`dialect`] and
-//! [`store::Store`].
+//! Decisions are made by [`rillgap_forward::node::Node`]; this crate passes events to it and
+//! executes its actions. A platform implements [`dialect::Dialect`] and [`store::Store`].
 //!
-//! One thread does all duties: the deployments give a node a part of one core and charge
-//! wake-ups, so handing work between threads costs more than it saves (`docs/design/platform.md`).
+//! All tasks run on one thread, except for the writer of the log. Deployments give a node a
+//! fraction of one core and charge for wake-ups, so passing work between threads costs more than
+//! it saves (`docs/design/platform.md`).
 
 pub mod back_end;
 pub mod caller;
--- a/crates/rillgap-sidecar/src/link/codec.rs
+++ b/crates/rillgap-sidecar/src/link/codec.rs
@@ -1,8 +1,8 @@
 //! Frames on links: a big-endian length of four bytes, the kind of the message in one byte, then
 //! the message encoded by `bitcode`.
 //!
-//! The kind stands outside the encoding because the codec visits the fields of every variant of
-//! an enumeration, used or not.
+//! The kind is a byte of its own rather than an enum encoded by `bitcode`, because `bitcode` visits
+//! the fields of every variant of an enum, used or not.
 
 use std::sync::Arc;
 
@@ -17,11 +17,11 @@
 };
 use rillgap_forward::store_epoch::StoreEpoch;
 
-/// Longest frame in bytes, without its length.
+/// Maximum length of a frame in bytes, without the length field.
 const MAX_FRAME_BYTES: usize = 96 * 1024 * 1024;
 /// Length of the length field in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Length of a number in bytes.
+/// Length of an encoded number in bytes.
 const NUMBER_BYTES: usize = 8;
 
 const HELLO: u8 = 0;
@@ -45,7 +45,7 @@
 const STORE_CONTACT: u8 = 18;
 const NO_STORE_CONTACT: u8 = 19;
 
-/// Why bytes are not frames.
+/// Why a frame cannot be encoded or decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The frame is longer than the limit.
@@ -56,7 +56,7 @@
     Malformed,
 }
 
-/// Working memory of the codec, one for each kind of message.
+/// Buffers of the codec, one for each kind of message that `bitcode` encodes.
 #[derive(Default)]
 struct Buffers {
     hello: bitcode::Buffer,
@@ -69,7 +69,7 @@
     crash_evidence: bitcode::Buffer,
 }
 
-/// Encodes messages and reuses its working memory.
+/// Encodes messages; reuses its buffers.
 #[derive(Default)]
 pub struct FrameEncoder {
     buffers: Buffers,
@@ -162,14 +162,15 @@
     Ok(())
 }
 
-/// Decodes frames out of a stream of bytes.
+/// Decodes frames from a stream of bytes; reuses its buffers.
 #[derive(Default)]
 pub struct FrameDecoder {
     buffers: Buffers,
 }
 
 impl FrameDecoder {
-    /// Takes the next message out of `input`; `None` if it has not arrived whole.
+    /// Removes the next message from `input` and decodes it; `None` if it has not arrived
+    /// completely.
     ///
     /// # Errors
     ///
--- a/crates/rillgap-sidecar/src/link/mod.rs
+++ b/crates/rillgap-sidecar/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! Links between nodes: TCP connections that carry requests of both ends.
+//! Links between nodes: TCP connections on which both ends send requests.
 
 mod codec;
 
@@ -20,10 +20,10 @@
 use crate::hub::Hub;
 use crate::read::{read_some, release_if_empty};
 
-/// Longest time to open a link and to exchange introductions.
+/// Timeout for opening a connection, and then for the exchange of hello messages.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(900);
-/// Bytes that a peer may leave unread before its link is given up. A configuration, the longest
-/// message, has at most 1 MiB in the store.
+/// Maximum number of bytes that wait to be sent; beyond it the peer reads too slowly and the link
+/// is closed. A configuration, the longest message, has at most 1 MiB in the store.
 const MAX_UNSENT_BYTES: usize = 8 * 1024 * 1024;
 
 /// Why a link ended.
@@ -35,20 +35,20 @@
     Frame(#[from] FrameError),
     #[error("closed by the peer")]
     Closed,
-    #[error("no introduction")]
+    #[error("first message is not a hello")]
     NoHello,
-    #[error("the peer does not read")]
+    #[error("peer reads too slowly, too many bytes are unsent")]
     TooMuchUnsent,
 }
 
-/// Which end opened a link.
+/// Whether this node opened or accepted a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
     Opened,
     Accepted,
 }
 
-/// Opens a link; its events go to the hub.
+/// Opens a link; the hub dispatches its events.
 pub fn open(hub: Rc<Hub>, link: LinkId, address: SocketAddr) {
     tokio::task::spawn_local(async move {
         let connected = timeout(OPEN_TIMEOUT, TcpStream::connect(address)).await;
@@ -103,7 +103,8 @@
 
 impl LinkConnection {
     fn new(hub: Rc<Hub>, stream: TcpStream) -> Self {
-        // Without it small frames wait for acknowledgements; a link works without it, too.
+        // Without `TCP_NODELAY` small frames may wait for acknowledgements. The link also works
+        // without it, so an error is ignored.
         let _ = stream.set_nodelay(true);
         Self {
             hub,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Sends the node's introduction and returns the peer's.
+    /// Sends the node's hello message and returns the peer's.
     async fn exchange_hello(&mut self, hello: Hello) -> Result<Hello, LinkError> {
         let hello = LinkMessage::Hello(hello);
         self.hub.encode_frame(&hello, &mut self.output)?;
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Carries messages both ways until the link ends or its queue is closed.
+    /// Sends and receives messages until the link ends or its queue is closed.
     async fn carry_messages(
         &mut self,
         link: LinkId,
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Encodes a message and all others that wait.
+    /// Encodes a message and all others that are queued.
     fn encode_batch(
         &mut self,
         first: LinkMessage,
--- a/crates/rillgap-sidecar/src/logging/mod.rs
+++ b/crates/rillgap-sidecar/src/logging/mod.rs
@@ -1,4 +1,4 @@
-//! Structured logs on standard output: one JSON object a line.
+//! Structured logs on standard output: one JSON object per line.
 
 mod output;
 mod request_log;
--- a/crates/rillgap-sidecar/src/logging/output.rs
+++ b/crates/rillgap-sidecar/src/logging/output.rs
@@ -1,4 +1,5 @@
-//! Writes records as JSON lines through a bounded queue, so that nobody waits for the reader.
+//! Writes log records as JSON lines through a bounded queue, so that no task waits for the reader
+//! of standard output.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
@@ -11,14 +12,14 @@
 use prometheus_client::metrics::counter::Counter;
 use serde_json::{Map, Value as Json};
 
-/// Level of records that are written unless `RUST_LOG` says otherwise.
+/// Lowest level that is logged if `RUST_LOG` is not set.
 const DEFAULT_LEVEL: &str = "info";
-/// Lines that wait to be written.
+/// Capacity of the queue, in lines.
 const QUEUE_LINES: usize = 2_048;
-/// Pause between two writes, so that a burst of lines costs one.
+/// Pause after each write, so that a burst of lines is written at once.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Starts logging to standard output; lines that do not fit into the queue are counted.
+/// Starts logging to standard output. Lines that do not fit into the queue are dropped and counted.
 ///
 /// # Errors
 ///
@@ -36,7 +37,7 @@
     started.map_err(io::Error::other)
 }
 
-/// Takes lines without waiting.
+/// Queues lines without blocking; drops and counts them if the queue is full.
 struct LineQueue {
     sender: SyncSender<Vec<u8>>,
     dropped: Counter,
@@ -55,7 +56,8 @@
     }
 }
 
-/// Writes lines until the process ends. A reader that does not read holds up only this thread.
+/// Writes the queued lines until a write fails. A reader that does not read blocks only this
+/// thread.
 fn write_lines(receiver: &Receiver<Vec<u8>>) {
     while let Ok(mut batch) = receiver.recv() {
         while let Ok(line) = receiver.try_recv() {
@@ -89,10 +91,11 @@
     writeln!(formatter)
 }
 
-/// Returns the time of day in seconds since the Unix epoch: for people only, it may jump.
+/// Returns the wall-clock time in seconds since the Unix epoch. It may jump, and is for people
+/// only.
 #[expect(
     clippy::disallowed_methods,
-    reason = "a log line says when it was written; nothing is decided by it"
+    reason = "timestamp of a log line; no decision depends on it"
 )]
 fn wall_seconds() -> f64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/rillgap-sidecar/src/logging/request_log.rs
+++ b/crates/rillgap-sidecar/src/logging/request_log.rs
@@ -1,4 +1,4 @@
-//! Which records are written, and with which fields.
+//! Decides which log records are written, and writes them with their fields.
 
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
@@ -7,10 +7,11 @@
 
 use crate::settings::LogSection;
 
-/// Writes records, bounded in number.
+/// Writes log records, with a limit on those about requests.
 ///
-/// Successes are sampled by the request's identifier, so that the same requests are told by every
-/// node on their path. Everything else is written as long as the bound for a second allows.
+/// Successes are sampled by a hash of the request's identifier, so that every node on a request's
+/// path logs the same requests. Records about requests are omitted once the lines of the current
+/// second have reached the limit; all other records are written.
 #[derive(Debug)]
 pub struct RequestLog {
     settings: LogSection,
@@ -21,7 +22,7 @@
 }
 
 impl RequestLog {
-    /// Creates a log with these bounds.
+    /// Creates a log with this sampling rate and this limit.
     pub fn new(settings: LogSection) -> Self {
         Self {
             settings,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Writes a record unless a bound leaves it out.
+    /// Writes a record unless sampling or the limit omits it.
     pub fn write(&mut self, record: &LogRecord) {
         if self.is_sampled_out(record) || !self.is_within_limit(record) {
             return;
@@ -85,7 +86,7 @@
     }
 }
 
-/// Writes an age; -1 stands for none.
+/// Returns an age for a log field; -1 stands for none.
 fn age_or_minus_one(millis: Option<u64>) -> i64 {
     millis.map_or(-1, |millis| i64::try_from(millis).unwrap_or(i64::MAX))
 }
--- a/crates/rillgap-sidecar/src/metrics.rs
+++ b/crates/rillgap-sidecar/src/metrics.rs
@@ -13,14 +13,14 @@
 use rillgap_forward::log_record::LogRecord;
 use rillgap_forward::store_sync::StoreReply;
 
-/// Lower end of the latency buckets in seconds.
+/// Upper bound of the first latency bucket, in seconds.
 const FIRST_LATENCY_BUCKET: f64 = 0.001;
-/// Number of latency buckets, each twice as wide as the one before.
+/// Number of latency buckets; each bound is twice the one before.
 const LATENCY_BUCKETS: u16 = 14;
 
-/// Lower end of the buckets of the time that nodes add, in seconds.
+/// Upper bound of the first bucket of the forwarding latency, in seconds.
 const FIRST_FORWARDING_BUCKET: f64 = 0.000_25;
-/// Number of those buckets, each twice as wide as the one before.
+/// Number of buckets of the forwarding latency; each bound is twice the one before.
 const FORWARDING_BUCKETS: u16 = 12;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -50,9 +50,10 @@
     paid: &'static str,
 }
 
-/// Tenants that are counted by name; all others are counted together.
+/// Maximum number of tenants with a label of their own, which bounds the number of time series. All
+/// further tenants share one label.
 const MAX_TENANT_LABELS: usize = 200;
-/// Name under which the others are counted.
+/// Label that the further tenants share.
 const OTHER_TENANTS_LABEL: &str = "other";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -61,7 +62,7 @@
     outcome: &'static str,
 }
 
-/// Metrics of a sidecar node; clones share them.
+/// Metrics of a sidecar node; clones share their values.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Arc<Registry>,
@@ -81,13 +82,14 @@
     pub back_end_connections: Counter,
     /// Calls of the platform or of back ends that were refused because they are malformed.
     pub refused_control_calls: Counter,
-    /// Log lines that were left out.
+    /// Log lines that were dropped because the queue of the log was full.
     pub log_lines_dropped: Counter,
     /// Version of the configuration in force.
     pub configuration_version: Gauge<u64, AtomicU64>,
-    /// Epoch of the store, as far as the node has heard of it; 0 if the store tells none.
+    /// Highest epoch of the store that the node has received; 0 if the store has sent none.
     pub store_epoch: Gauge<u64, AtomicU64>,
-    /// Age of the proof that the configuration is the newest, in seconds; -1 without one.
+    /// Age of the proof that the configuration in force is the newest, in seconds; -1 without a
+    /// proof.
     pub proof_age: Gauge<f64, AtomicU64>,
     /// Requests that run at the back end.
     pub running: Gauge<u64, AtomicU64>,
@@ -95,11 +97,11 @@
     pub queued: Gauge<u64, AtomicU64>,
     /// Requests that may run at the back end at once.
     pub limit: Gauge<u64, AtomicU64>,
-    /// Contents of requests that are refused because back ends have ended under them.
+    /// Contents of requests that are quarantined, because back ends crashed while they ran them.
     pub quarantined: Gauge<u64, AtomicU64>,
     /// Peers with an open link.
     pub peers: Gauge<u64, AtomicU64>,
-    /// Whether new callers are welcome.
+    /// 1 if the node accepts new callers, otherwise 0.
     pub ready: Gauge<u64, AtomicU64>,
 }
 
@@ -146,7 +148,7 @@
         metrics
     }
 
-    /// Returns the metrics as text.
+    /// Encodes the metrics in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -154,7 +156,7 @@
         text
     }
 
-    /// Counts what a record for the log tells.
+    /// Updates the metrics from a log record.
     pub fn observe(&self, record: &LogRecord) {
         match record {
             LogRecord::Answered {
@@ -213,7 +215,8 @@
             .inc();
     }
 
-    /// Returns the name under which a tenant is counted; the number of names is bounded.
+    /// Returns the label of a tenant: its name, or the label that is shared once there are too
+    /// many.
     fn tenant_label(&self, tenant: &str) -> String {
         let mut names = self
             .tenant_names
@@ -268,12 +271,12 @@
         );
         registry.register(
             "back_end_failures",
-            "Requests that the inbound side did not get answered, by result code",
+            "Requests that the node of the back end could not get answered, by result code",
             self.failures.clone(),
         );
         registry.register(
             "moves",
-            "Requests sent to another node, by whether the retry budget paid",
+            "Requests sent to another node, by whether the retry was paid from the retry budget",
             self.retries.clone(),
         );
         registry.register(
@@ -293,12 +296,12 @@
         );
         registry.register(
             "store_epoch",
-            "Epoch of the store, which rises when it comes back from a copy; 0 if it tells none",
+            "Epoch of the store, which rises when it is restored from a backup; 0 if unknown",
             self.store_epoch.clone(),
         );
         registry.register(
             "unreadable_records",
-            "Entries of the store in place of nodes' records that are none",
+            "Entries of the store that should be records of nodes but cannot be read",
             self.unreadable_records.clone(),
         );
         registry.register(
@@ -308,7 +311,7 @@
         );
         registry.register_with_unit(
             "configuration_proof_age",
-            "Age of the proof that the configuration is the newest; -1 without one",
+            "Age of the proof that the configuration in force is the newest; -1 without a proof",
             Unit::Seconds,
             self.proof_age.clone(),
         );
@@ -319,7 +322,7 @@
         );
         registry.register(
             "back_end_crashes",
-            "Unexpected ends of the back end while requests were under way",
+            "Crashes of the back end while requests were in flight",
             self.back_end_crashes.clone(),
         );
         registry.register(
@@ -329,7 +332,7 @@
         );
         registry.register(
             "log_lines_dropped",
-            "Log lines left out",
+            "Log lines dropped because the queue of the log was full",
             self.log_lines_dropped.clone(),
         );
         let gauges = [
@@ -355,11 +358,11 @@
             ),
             (
                 "quarantined",
-                "Contents of requests that are refused because back ends have ended under them",
+                "Contents of requests that are refused because back ends crashed while they ran them",
                 &self.quarantined,
             ),
             ("peers", "Peers with an open link", &self.peers),
-            ("ready", "1 if new callers are welcome", &self.ready),
+            ("ready", "1 if the node accepts new callers", &self.ready),
         ];
         for (name, help, gauge) in gauges {
             registry.register(name, help, gauge.clone());
--- a/crates/rillgap-sidecar/src/read.rs
+++ b/crates/rillgap-sidecar/src/read.rs
@@ -1,7 +1,7 @@
-//! Reads from sockets that hold memory only while bytes are there.
+//! Reads from sockets without keeping a buffer for connections that are idle.
 //!
-//! A node keeps many connections that are idle most of the time. A buffer set aside for each of them
-//! would make up most of the memory of the process.
+//! A node keeps many connections that are idle most of the time. A buffer for each of them would
+//! make up most of the memory of the process.
 
 use std::future::poll_fn;
 use std::io;
@@ -13,16 +13,16 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::net::tcp::ReadHalf;
 
-/// Most bytes that are read at a time.
+/// Maximum number of bytes of one read.
 const MAX_READ_BYTES: usize = 16 * 1024;
-/// Capacity that an empty buffer may keep, in bytes.
+/// Maximum capacity that an empty buffer keeps, in bytes.
 const MAX_EMPTY_CAPACITY: usize = 1024;
 
-/// Waits until something arrives on a socket and appends it to `input`; returns the number of bytes, 0
-/// at the end of the stream. Nothing is lost if the future is dropped before it is ready.
+/// Waits until bytes arrive on a socket and appends them to `input`; returns their number, 0 at the
+/// end of the stream. No bytes are lost if the future is dropped before it is ready.
 ///
-/// A read that does not fill its buffer has emptied the socket; the runtime remembers that, so no
-/// second system call is needed to learn it.
+/// A read that does not fill its buffer has emptied the socket. The runtime records that, so no
+/// second system call is needed to find it out.
 ///
 /// # Errors
 ///
@@ -38,7 +38,7 @@
     .await
 }
 
-/// Frees the memory of a buffer that is empty.
+/// Frees the memory of a buffer if it is empty and has more than `MAX_EMPTY_CAPACITY`.
 pub fn release_if_empty(buffer: &mut BytesMut) {
     if buffer.is_empty() && buffer.capacity() > MAX_EMPTY_CAPACITY {
         *buffer = BytesMut::new();
--- a/crates/rillgap-sidecar/src/settings.rs
+++ b/crates/rillgap-sidecar/src/settings.rs
@@ -15,29 +15,29 @@
     /// The file cannot be read.
     #[error("cannot read {path}: {cause}")]
     Unreadable {
-        /// File.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Cause.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// The file is not valid TOML of the known keys.
+    /// The file is not valid TOML, or has an unknown key or a value of the wrong type.
     #[error("{path}: {cause}")]
     Malformed {
-        /// File.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Cause.
+        /// Error of the TOML parser.
         cause: Box<toml::de::Error>,
     },
     /// A value is out of range.
     #[error("{path}: {key} = {value}: must be {expected}")]
     OutOfRange {
-        /// File.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Key.
+        /// Key with its section, such as `node.name`.
         key: &'static str,
         /// Value found.
         value: String,
-        /// What is allowed.
+        /// Allowed values, in words.
         expected: &'static str,
     },
 }
@@ -56,23 +56,23 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SidecarSettings {
-    /// The node.
+    /// Name and location of the node.
     pub node: NodeSection,
     /// Addresses to listen on.
     pub listen: ListenSection,
     /// The back end beside the node.
     pub back_end: BackEndSection,
-    /// The store.
+    /// Access to the store.
     pub store: StoreSection,
-    /// Bounds of the deployment.
+    /// Bounds that hold for the whole deployment.
     #[serde(default)]
     pub bounds: BoundsSection,
-    /// Logs.
+    /// Limits of the log.
     #[serde(default)]
     pub log: LogSection,
 }
 
-/// `[node]`.
+/// Section `[node]`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct NodeSection {
@@ -82,49 +82,49 @@
     pub zone: String,
     /// Region of the zone.
     pub region: String,
-    /// Whether the whole deployment starts for the first time, and all nodes at once.
+    /// Whether all nodes of the deployment are starting at once, for the first time.
     #[serde(default)]
     pub first_start: bool,
 }
 
-/// `[listen]`.
+/// Section `[listen]`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct ListenSection {
     /// HTTP for callers and for the back end's own calls.
     pub callers: SocketAddr,
-    /// Heartbeats of the back end.
+    /// HTTP for heartbeats of the back end.
     pub control: SocketAddr,
-    /// Readiness.
+    /// HTTP for readiness.
     pub readiness: SocketAddr,
     /// Links of other nodes.
     pub mesh: SocketAddr,
-    /// Address at which other nodes reach `mesh`; that address itself if left out.
+    /// Address at which other nodes reach `mesh`; the same as `mesh` if left out.
     pub mesh_advertised: Option<SocketAddr>,
-    /// Metrics; none if left out.
+    /// HTTP for metrics; not served if left out.
     pub metrics: Option<SocketAddr>,
 }
 
-/// `[back-end]`.
+/// Section `[back-end]`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct BackEndSection {
-    /// Service that it runs.
+    /// Service that the back end runs.
     pub service: String,
-    /// Address at which it takes requests.
+    /// Address at which the back end accepts requests.
     pub address: SocketAddr,
-    /// Seconds between two of its heartbeats.
+    /// Interval between two heartbeats of the back end, in seconds.
     #[serde(rename = "heartbeat-seconds")]
     pub heartbeat: Seconds,
 }
 
-/// `[store]`.
+/// Section `[store]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct StoreSection {
-    /// Address.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Writing calls a second that it takes from all nodes together.
+    /// Write calls per second that the store accepts from all nodes together.
     #[serde(default = "default_writes_per_second")]
     pub writes_per_second: f64,
 }
@@ -133,20 +133,20 @@
     400.0
 }
 
-/// `[bounds]`.
+/// Section `[bounds]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct BoundsSection {
-    /// Longest planned stop, in seconds.
+    /// Maximum duration of a planned stop, in seconds.
     pub grace_seconds: Seconds,
-    /// Repeated sends as a share of requests, summed over all nodes.
+    /// Maximum ratio of retries to requests, summed over all nodes.
     pub retry_ratio: f64,
-    /// Repeated sends on top of that.
+    /// Retries that are allowed in addition to `retry_ratio`.
     pub retry_slack: f64,
-    /// Window of the two, in seconds.
+    /// Time window to which `retry_ratio` and `retry_slack` apply, in seconds.
     pub retry_window_seconds: Seconds,
-    /// Seconds within which a key that was taken away must have stopped working, also at a node that is
-    /// cut off; not demanded if left out.
+    /// Maximum time until a revoked key stops working, in seconds, also at a node that is cut off;
+    /// no maximum if left out.
     pub revocation_seconds: Option<Seconds>,
 }
 
@@ -162,13 +162,13 @@
     }
 }
 
-/// `[log]`.
+/// Section `[log]`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct LogSection {
-    /// One of so many successful requests is logged; 0 logs none.
+    /// One of this many successful requests is logged; 0 logs none.
     pub success_sample: u32,
-    /// Most lines a second.
+    /// Lines per second beyond which records about requests are omitted.
     pub lines_per_second: u32,
 }
 
@@ -181,7 +181,7 @@
     }
 }
 
-/// A duration that is written as seconds with an optional fraction; kept in milliseconds.
+/// A duration, written as seconds with an optional fraction and stored in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "f64")]
 pub struct Seconds(u64);
--- a/crates/rillgap-sidecar/src/store.rs
+++ b/crates/rillgap-sidecar/src/store.rs
@@ -1,15 +1,15 @@
-//! The store, as a platform provides it.
+//! Interface of the store, which a platform implements.
 
 use std::future::Future;
 use std::pin::Pin;
 
 use rillgap_forward::store_sync::{StoreReply, StoreRequest};
 
-/// An answer that is under way.
+/// A reply of the store that has not arrived yet.
 pub type PendingReply = Pin<Box<dyn Future<Output = StoreReply>>>;
 
-/// The store, as a platform provides it.
+/// Client of the platform's store.
 pub trait Store {
-    /// Carries out one call; every failure is a [`StoreReply::Failed`].
+    /// Makes one call; every failure is returned as [`StoreReply::Failed`].
     fn call(&self, request: StoreRequest) -> PendingReply;
 }
