--- a/crates/rillgap-sidecar/src/back_end/mod.rs
+++ b/crates/rillgap-sidecar/src/back_end/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to the back end beside the node.
+//! Client of the node's back end: a pool of connections, and health probes.
 
 mod connection;
 mod probe;
@@ -17,19 +17,20 @@
 
 use crate::hub::Hub;
 
-/// A request for a connection, with the receiver that ends when nobody waits for it.
+/// A request to run on a connection; `cancelled` completes when the request is cancelled.
 pub(super) struct Job {
     pub exchange: Exchange,
     pub cancelled: oneshot::Receiver<()>,
 }
 
-/// Connections to the back end; the one used last is used first.
+/// Pool of connections to the back end; the most recently used idle connection is used first.
 pub struct BackEndClient {
     address: SocketAddr,
-    /// Incarnation that the idle connections lead to.
-    connected: RefCell<Option<Incarnation>>,
+    /// Incarnation of the back end to which the idle connections were opened; `None` before the
+    /// first request.
+    connected_incarnation: RefCell<Option<Incarnation>>,
     idle: RefCell<Vec<mpsc::UnboundedSender<Job>>>,
-    under_way: RefCell<BTreeMap<ExchangeId, oneshot::Sender<()>>>,
+    in_flight: RefCell<BTreeMap<ExchangeId, oneshot::Sender<()>>>,
 }
 
 impl BackEndClient {
@@ -37,17 +38,18 @@
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            connected: RefCell::default(),
+            connected_incarnation: RefCell::default(),
             idle: RefCell::default(),
-            under_way: RefCell::default(),
+            in_flight: RefCell::default(),
         }
     }
 
-    /// Hands a request to the back end; its end is an event.
+    /// Sends a request to the back end; [`Event::ExchangeEnded`] reports its end unless it is
+    /// cancelled.
     pub fn start(&self, hub: &Rc<Hub>, exchange: Exchange) {
-        self.forget_earlier_runs(&exchange.incarnation);
+        self.close_earlier_connections(&exchange.incarnation);
         let (cancel, cancelled) = oneshot::channel();
-        self.under_way.borrow_mut().insert(exchange.id, cancel);
+        self.in_flight.borrow_mut().insert(exchange.id, cancel);
         self.run(
             hub,
             Job {
@@ -57,25 +59,28 @@
         );
     }
 
-    /// Closes idle connections to an earlier run of the back end: they may have died silently with it.
-    fn forget_earlier_runs(&self, incarnation: &Incarnation) {
-        let before = self.connected.replace(Some(incarnation.clone()));
+    /// Closes idle connections to an earlier incarnation of the back end, which may have ended
+    /// without closing them.
+    fn close_earlier_connections(&self, incarnation: &Incarnation) {
+        let before = self
+            .connected_incarnation
+            .replace(Some(incarnation.clone()));
         if before.is_some_and(|before| before != *incarnation) {
             self.idle.borrow_mut().clear();
         }
     }
 
-    /// Closes the connection on which a request runs.
+    /// Cancels a request, which closes its connection.
     pub fn cancel(&self, exchange: ExchangeId) {
-        self.under_way.borrow_mut().remove(&exchange);
+        self.in_flight.borrow_mut().remove(&exchange);
     }
 
-    /// Asks the health endpoint; the answer is an event.
+    /// Probes the health endpoint; [`Event::ProbeEnded`] reports the result.
     pub fn probe(&self, hub: &Rc<Hub>, probe: ProbeId, path: String) {
         let hub = hub.clone();
         let address = self.address;
         tokio::task::spawn_local(async move {
-            let result = probe::ask(hub.dialect().headers(), address, &path).await;
+            let result = probe::send(hub.dialect().headers(), address, &path).await;
             hub.dispatch(Event::ProbeEnded { probe, result });
         });
     }
@@ -97,22 +102,22 @@
         self.idle.borrow_mut().pop()
     }
 
-    /// Takes back a connection whose request has ended.
-    fn offer(&self, connection: mpsc::UnboundedSender<Job>) {
+    /// Adds a connection whose request has ended to the idle connections.
+    fn add_idle(&self, connection: mpsc::UnboundedSender<Job>) {
         self.idle.borrow_mut().push(connection);
     }
 
-    /// Forgets connections that have closed.
-    fn forget_closed(&self) {
+    /// Removes closed connections from the idle connections.
+    fn remove_closed(&self) {
         self.idle
             .borrow_mut()
             .retain(|connection| !connection.is_closed());
     }
 
     /// Reports how a request ended, unless it was cancelled.
-    fn ended(&self, hub: &Rc<Hub>, exchange: ExchangeId, result: ExchangeResult) {
-        let was_awaited = self.under_way.borrow_mut().remove(&exchange).is_some();
-        if was_awaited {
+    fn report_end(&self, hub: &Rc<Hub>, exchange: ExchangeId, result: ExchangeResult) {
+        let is_in_flight = self.in_flight.borrow_mut().remove(&exchange).is_some();
+        if is_in_flight {
             hub.dispatch(Event::ExchangeEnded { exchange, result });
         }
     }
