--- /dev/null
+++ b/tests/soak/src/retries.rs
@@ -0,0 +1,63 @@
+//! Checks that the retries of all nodes together stay within the retry budget.
+
+use std::collections::BTreeMap;
+
+use crate::checker::Moment;
+use crate::deployment::{RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW};
+
+/// Times of requests for each service and of retries that reached it.
+#[derive(Debug, Default)]
+pub struct RetryHistory {
+    requests: BTreeMap<&'static str, Vec<Moment>>,
+    retries: BTreeMap<&'static str, Vec<Moment>>,
+}
+
+impl RetryHistory {
+    /// Records that a request for a service is sent.
+    pub fn on_request(&mut self, at: Moment, service: &'static str) {
+        self.requests.entry(service).or_default().push(at);
+    }
+
+    /// Records that a retry reached a back end of a service.
+    pub fn on_retry(&mut self, at: Moment, service: &'static str) {
+        self.retries.entry(service).or_default().push(at);
+    }
+
+    /// Returns for each service the first window with more retries than the budget allows.
+    pub fn violations(&self) -> Vec<(Moment, String)> {
+        let services = self.retries.iter();
+        services
+            .filter_map(|(service, retries)| self.violation_of(service, retries))
+            .collect()
+    }
+
+    fn violation_of(&self, service: &str, retries: &[Moment]) -> Option<(Moment, String)> {
+        let requests = self.requests.get(service).map_or(&[][..], Vec::as_slice);
+        for (index, end) in retries.iter().enumerate() {
+            let start = end.saturating_sub(RETRY_WINDOW);
+            let count = retries[..=index].iter().filter(|at| **at > start).count();
+            let requested = max_requests(requests, *end);
+            let bound = requested as f64 * RETRY_RATIO + RETRY_SLACK;
+            if count as f64 > bound {
+                let text = format!("BUDGET {service}: {count} retries, {requested} requests");
+                return Some((*end, text));
+            }
+        }
+        None
+    }
+}
+
+/// Returns the largest number of requests in three windows: the one that ends at `end`, and those
+/// that end half a window and a whole window earlier.
+fn max_requests(requests: &[Moment], end: Moment) -> usize {
+    let count = |end: Moment| {
+        let start = end.saturating_sub(RETRY_WINDOW);
+        let is_within = |at: &&Moment| **at >= start && **at <= end;
+        requests.iter().filter(is_within).count()
+    };
+    let earlier = [RETRY_WINDOW / 2, RETRY_WINDOW];
+    earlier
+        .iter()
+        .map(|offset| count(end.saturating_sub(*offset)))
+        .fold(count(end), usize::max)
+}
--- a/tests/soak/tests/proxy.rs
+++ b/tests/soak/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy does to connections what it is told.
+//! Tests the faults that the proxy injects into connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Far longer than anything takes that is to happen.
+/// Timeout for bytes that must arrive.
 const LONG: Duration = Duration::from_secs(20);
-/// Time in which something that is held would have arrived.
+/// Time within which bytes would arrive if they were not held.
 const SHORT: Duration = Duration::from_millis(100);
 
-/// Starts a server that sends back what it gets, and a proxy in front of it.
+/// Starts an echo server and a proxy in front of it.
 async fn echo(last: u8) -> Proxy {
     let server = SocketAddr::from(([127, 76, 1, last], 7_000));
     let listener = TcpListener::bind(server).await.expect("an address");
@@ -32,7 +32,7 @@
     Proxy::start(listen, server).await.expect("an address")
 }
 
-/// Sends a byte; returns whether it comes back within the time.
+/// Sends a byte; returns whether it is echoed within the given time.
 async fn comes_back(stream: &mut TcpStream, within: Duration) -> bool {
     let mut byte = [0];
     let sent = stream.write_all(b"x").await;
@@ -48,7 +48,7 @@
         .await
         .expect("a connection");
     expect_that!(comes_back(&mut stream, LONG).await, eq(true));
-    proxy.disturb(Disturbance::Delay(Duration::from_millis(30)));
+    proxy.set_disturbance(Disturbance::Delay(Duration::from_millis(30)));
     expect_that!(comes_back(&mut stream, LONG).await, eq(true));
 }
 
@@ -58,16 +58,16 @@
     for (last, held) in [
         (2, Disturbance::HoldRequests),
         (3, Disturbance::HoldAnswers),
-        (4, Disturbance::Silence),
+        (4, Disturbance::Blackhole),
     ] {
         let proxy = echo(last).await;
         let mut stream = TcpStream::connect(proxy.address())
             .await
             .expect("a connection");
         expect_that!(comes_back(&mut stream, LONG).await, eq(true));
-        proxy.disturb(held);
+        proxy.set_disturbance(held);
         expect_that!(comes_back(&mut stream, SHORT).await, eq(false));
-        proxy.disturb(Disturbance::None);
+        proxy.set_disturbance(Disturbance::None);
         let mut byte = [0];
         let late = timeout(LONG, stream.read_exact(&mut byte)).await;
         expect_that!(late.is_ok_and(|read| read.is_ok()), eq(true));
@@ -82,13 +82,13 @@
         .await
         .expect("a connection");
     expect_that!(comes_back(&mut stream, LONG).await, eq(true));
-    proxy.disturb(Disturbance::Reset);
+    proxy.set_disturbance(Disturbance::Reset);
     expect_that!(comes_back(&mut stream, LONG).await, eq(false));
     let mut next = TcpStream::connect(proxy.address())
         .await
         .expect("a connection");
     expect_that!(comes_back(&mut next, LONG).await, eq(false));
-    proxy.disturb(Disturbance::None);
+    proxy.set_disturbance(Disturbance::None);
     let mut again = TcpStream::connect(proxy.address())
         .await
         .expect("a connection");
