--- a/crates/rillgap-forward/tests/simulation/crashing.rs
+++ b/crates/rillgap-forward/tests/simulation/crashing_requests.rs
@@ -14,38 +14,38 @@
 
 use googletest::prelude::*;
 
-use crate::day::Planted;
-use crate::world::{Fault, Happening, World};
+use crate::scenario::InjectedBug;
+use crate::world::{Fault, World, WorldEvent};
 
 /// Days that are played.
-const DAYS: u64 = 30;
+const SEEDS: u64 = 30;
 /// When the request comes first, in milliseconds.
-const FIRST: u64 = 4_000;
+const FIRST_SENT_AT: u64 = 4_000;
 /// Times that a caller comes with a request, in all.
-const MOST_TRIES: u32 = 3;
+const MAX_CALLER_ATTEMPTS: u32 = 3;
 /// End of the callers, and of the day, in milliseconds.
-const END: (u64, u64) = (24_000, 26_000);
+const CALLERS_AND_SCENARIO_END: (u64, u64) = (24_000, 26_000);
 
 /// Returns when such a request comes first on the day of a seed.
-fn first_of(seed: u64) -> u64 {
-    FIRST + seed % 1_000 * 37
+fn first_sent_at(seed: u64) -> u64 {
+    FIRST_SENT_AT + seed % 1_000 * 37
 }
 
 /// Plays a day on which requests for these targets end each back end that runs them.
-fn play(seed: u64, targets: &[&'static str]) -> World {
-    let mut world = World::new(seed, Planted::Nothing, END.0);
-    world.let_callers_come_again(MOST_TRIES);
+fn run_scenario(seed: u64, targets: &[&'static str]) -> World {
+    let mut world = World::new(seed, InjectedBug::None, CALLERS_AND_SCENARIO_END.0);
+    world.set_max_caller_attempts(MAX_CALLER_ATTEMPTS);
     for (number, target) in targets.iter().enumerate() {
-        let first = first_of(seed) + number as u64 * 900;
-        world.at(first, Happening::CrashingRequest(target));
+        let first = first_sent_at(seed) + number as u64 * 900;
+        world.schedule(first, WorldEvent::CrashingRequest(target));
     }
-    world.run_until(END.1);
-    world.judge.check_crashing_requests();
+    world.run_until(CALLERS_AND_SCENARIO_END.1);
+    world.checker.check_crashing_requests();
     world
 }
 
 /// Targets that end back ends, of one day each: may be repeated, may run once only, two of one service.
-const SCENARIOS: [&[&str]; 3] = [
+const CRASHING_TARGETS: [&[&str]; 3] = [
     &["/deep/crash/a"],
     &["/once/crash/a"],
     &["/deep/crash/a", "/deep/crash/b"],
@@ -53,10 +53,14 @@
 
 #[gtest]
 fn request_that_crashes_back_ends_stops_reaching_them() {
-    for targets in SCENARIOS {
-        for seed in 0..DAYS {
-            let world = play(seed, targets);
-            expect_that!(world.judge.broken, is_empty(), "{targets:?}, seed {seed}");
+    for targets in CRASHING_TARGETS {
+        for seed in 0..SEEDS {
+            let world = run_scenario(seed, targets);
+            expect_that!(
+                world.checker.violations,
+                is_empty(),
+                "{targets:?}, seed {seed}"
+            );
         }
     }
 }
@@ -73,15 +77,15 @@
 }
 
 /// Target that ends back ends and that one caller asks for.
-const OF_ONE_CALLER: &str = "/deep/crash/one-caller";
+const SINGLE_CALLER_TARGET: &str = "/deep/crash/one-caller";
 /// Milliseconds after the first such request until all hosts lose power, and between two such losses.
-const POWER_LOST_AFTER: u64 = 7_000;
+const POWER_LOSS_INTERVAL: u64 = 7_000;
 /// End of the callers, and of the day, on days of disturbances, in milliseconds.
-const DISTURBED_END: (u64, u64) = (34_000, 36_000);
+const DISTURBED_CALLERS_AND_SCENARIO_END: (u64, u64) = (34_000, 36_000);
 /// Milliseconds for which they are without it.
-const POWER_LOST_FOR: u64 = 1_000;
+const POWER_LOSS_MILLIS: u64 = 1_000;
 
-fn disturb(world: &mut World, first: u64, disturbance: Disturbance) {
+fn schedule_disturbance(world: &mut World, first: u64, disturbance: Disturbance) {
     let mut faults: Vec<(usize, u64, u64, Fault, Fault)> = Vec::new();
     if let Disturbance::Single = disturbance {
         for _ in 0..4 {
@@ -91,25 +95,25 @@
             let (begin, end) = match world.draw(4) {
                 0 => (Fault::Kill(host), Fault::Start(host)),
                 1 => (Fault::PowerOff(host), Fault::Start(host)),
-                2 => (Fault::Cut(host, true), Fault::Cut(host, false)),
-                _ => (Fault::Freeze(host, to), Fault::Start(host)),
+                2 => (Fault::Partition(host, true), Fault::Partition(host, false)),
+                _ => (Fault::Pause(host, to), Fault::Start(host)),
             };
             faults.push((host, from, to, begin, end));
         }
     } else {
         for (host, time) in (0..9).flat_map(|host| (1..4).map(move |time| (host, time))) {
-            let from = first + time * POWER_LOST_AFTER;
-            let to = from + POWER_LOST_FOR;
+            let from = first + time * POWER_LOSS_INTERVAL;
+            let to = from + POWER_LOSS_MILLIS;
             faults.push((host, from, to, Fault::PowerOff(host), Fault::Start(host)));
             if matches!(disturbance, Disturbance::AllLosePowerAndStoreRefuses) && host % 3 == 0 {
-                world.at(to, Happening::Fault(Fault::StoreRefuses(host, true)));
+                world.schedule(to, WorldEvent::Fault(Fault::StoreRefuses(host, true)));
             }
         }
     }
     for (host, from, to, begin, end) in faults {
-        world.at(from, Happening::Fault(begin));
-        world.at(to, Happening::Fault(end));
-        world.judge.disturbed(host, from, to);
+        world.schedule(from, WorldEvent::Fault(begin));
+        world.schedule(to, WorldEvent::Fault(end));
+        world.checker.on_disturbance(host, from, to);
     }
 }
 
@@ -121,16 +125,20 @@
         Disturbance::AllLosePowerAndStoreRefuses,
     ];
     for disturbance in disturbances {
-        for seed in 0..DAYS {
-            let mut world = World::new(seed, Planted::Nothing, DISTURBED_END.0);
-            world.let_callers_come_again(MOST_TRIES);
-            let first = FIRST + seed * 37;
-            world.at(first, Happening::CrashingRequest(OF_ONE_CALLER));
-            disturb(&mut world, first, disturbance);
-            world.run_until(DISTURBED_END.1);
-            world.judge.check_crashing_requests();
+        for seed in 0..SEEDS {
+            let mut world = World::new(
+                seed,
+                InjectedBug::None,
+                DISTURBED_CALLERS_AND_SCENARIO_END.0,
+            );
+            world.set_max_caller_attempts(MAX_CALLER_ATTEMPTS);
+            let first = FIRST_SENT_AT + seed * 37;
+            world.schedule(first, WorldEvent::CrashingRequest(SINGLE_CALLER_TARGET));
+            schedule_disturbance(&mut world, first, disturbance);
+            world.run_until(DISTURBED_CALLERS_AND_SCENARIO_END.1);
+            world.checker.check_crashing_requests();
             expect_that!(
-                world.judge.broken,
+                world.checker.violations,
                 is_empty(),
                 "{disturbance:?}, seed {seed}"
             );
@@ -139,34 +147,38 @@
 }
 
 /// Milliseconds after the first such request for which the service to others is counted.
-const AFTERMATH: u64 = 8_000;
+const OBSERVATION_MILLIS: u64 = 8_000;
 
 /// Groups of days over which the service to others is counted: what one group comes to depends on its seeds.
-const GROUPS: u64 = 5;
+const SEED_GROUPS: u64 = 5;
 
 #[gtest]
-fn others_are_served_while_a_request_crashes_back_ends() {
+fn other_requests_are_served_while_a_request_crashes_back_ends() {
     // Nearly all chains lead to one service of three back ends. 0.61, 0.75 and 0.31 as measured.
     let floors = [0.55, 0.68, 0.25];
-    for (targets, floor) in SCENARIOS.iter().zip(floors) {
-        let (mut asked, mut served) = (0, 0);
-        for seed in (0..GROUPS).flat_map(|group| (0..DAYS).map(move |day| group * 1_000 + day)) {
-            let world = play(seed, targets);
-            let first = first_of(seed);
-            let counts = world
-                .judge
-                .count_others(&world.statuses, first, first + AFTERMATH);
-            asked += counts.0;
+    for (targets, floor) in CRASHING_TARGETS.iter().zip(floors) {
+        let (mut caller_requests, mut served) = (0, 0);
+        for seed in
+            (0..SEED_GROUPS).flat_map(|group| (0..SEEDS).map(move |day| group * 1_000 + day))
+        {
+            let world = run_scenario(seed, targets);
+            let first = first_sent_at(seed);
+            let counts = world.checker.count_other_requests(
+                &world.statuses,
+                first,
+                first + OBSERVATION_MILLIS,
+            );
+            caller_requests += counts.0;
             served += counts.1;
         }
-        let share = served as f64 / asked as f64;
+        let share = served as f64 / caller_requests as f64;
         expect_that!(share, gt(floor), "{targets:?}");
     }
 }
 
 /// Ways in which back ends end although no request is to blame.
 #[derive(Clone, Copy, Debug)]
-enum Unrelated {
+enum CrashPattern {
     /// Any one, every 300 ms.
     Wave,
     /// Those of one service one after the other, within the time of a few requests.
@@ -178,31 +190,32 @@
 }
 
 /// Schedules crashes that no request is to blame for.
-fn schedule(world: &mut World, kind: Unrelated) {
-    let crash = |world: &mut World, at, host| world.at(at, Happening::Fault(Fault::Crash(host)));
+fn schedule_unrelated_crashes(world: &mut World, kind: CrashPattern) {
+    let crash =
+        |world: &mut World, at, host| world.schedule(at, WorldEvent::Fault(Fault::Crash(host)));
     for round in 0..5 {
-        let begin = FIRST + round * 3_500 + world.draw(500);
+        let begin = FIRST_SENT_AT + round * 3_500 + world.draw(500);
         match kind {
-            Unrelated::Wave => {
+            CrashPattern::Wave => {
                 for step in 0..11 {
                     let host = world.draw(9) as usize;
                     crash(world, begin + step * 300, host);
                 }
             }
-            Unrelated::Rolling => {
+            CrashPattern::Rolling => {
                 for (step, host) in (0..3).map(|step| (step, 2 + step as usize * 3)) {
                     let pause = 10 + world.draw(60);
                     crash(world, begin + step * pause, host);
                 }
             }
-            Unrelated::Zone => {
+            CrashPattern::Zone => {
                 let zone = world.draw(3) as usize;
                 for host in zone * 3..zone * 3 + 3 {
-                    world.at(begin, Happening::Fault(Fault::PowerOff(host)));
-                    world.at(begin + 1_000, Happening::Fault(Fault::Start(host)));
+                    world.schedule(begin, WorldEvent::Fault(Fault::PowerOff(host)));
+                    world.schedule(begin + 1_000, WorldEvent::Fault(Fault::Start(host)));
                 }
             }
-            Unrelated::Flapping => {
+            CrashPattern::Flapping => {
                 crash(world, begin, 2);
                 crash(world, begin + 1_200, 5);
             }
@@ -211,28 +224,28 @@
 }
 
 /// Plays a day on which back ends end although no request is to blame.
-fn play_unrelated(kind: Unrelated, seed: u64) -> World {
-    let mut world = World::new(seed, Planted::Nothing, END.0);
+fn run_with_unrelated_crashes(kind: CrashPattern, seed: u64) -> World {
+    let mut world = World::new(seed, InjectedBug::None, CALLERS_AND_SCENARIO_END.0);
     // Callers that come at once and often meet several crashes with one request.
-    world.let_callers_come_again(6);
-    world.let_requests_be_alike(if seed.is_multiple_of(2) { 20 } else { 0 });
-    schedule(&mut world, kind);
-    world.run_until(END.1);
+    world.set_max_caller_attempts(6);
+    world.set_popular_percent(if seed.is_multiple_of(2) { 20 } else { 0 });
+    schedule_unrelated_crashes(&mut world, kind);
+    world.run_until(CALLERS_AND_SCENARIO_END.1);
     world
 }
 
 #[gtest]
-fn no_request_is_refused_where_back_ends_crash_without_one_to_blame() {
+fn unrelated_crashes_quarantine_no_request() {
     let kinds = [
-        Unrelated::Wave,
-        Unrelated::Rolling,
-        Unrelated::Zone,
-        Unrelated::Flapping,
+        CrashPattern::Wave,
+        CrashPattern::Rolling,
+        CrashPattern::Zone,
+        CrashPattern::Flapping,
     ];
     for kind in kinds {
-        for seed in 0..DAYS {
-            let world = play_unrelated(kind, seed);
-            expect_that!(world.held_back, eq(0), "{kind:?}, seed {seed}");
+        for seed in 0..SEEDS {
+            let world = run_with_unrelated_crashes(kind, seed);
+            expect_that!(world.quarantined_requests, eq(0), "{kind:?}, seed {seed}");
         }
     }
 }
@@ -240,16 +253,16 @@
 /// On these 2 of 1,200 days requests were refused that were under way at three crashes by chance, twice as the only suspect.
 /// On the first it was what a fifth of all callers asked for, and 1,110 of their requests were refused.
 #[gtest]
-fn request_that_met_three_crashes_by_chance_is_not_refused() {
-    for (kind, seed) in [(Unrelated::Rolling, 140), (Unrelated::Wave, 260)] {
-        let world = play_unrelated(kind, seed);
-        expect_that!(world.held_back, eq(0), "{kind:?}, seed {seed}");
+fn request_in_flight_at_three_unrelated_crashes_is_not_quarantined() {
+    for (kind, seed) in [(CrashPattern::Rolling, 140), (CrashPattern::Wave, 260)] {
+        let world = run_with_unrelated_crashes(kind, seed);
+        expect_that!(world.quarantined_requests, eq(0), "{kind:?}, seed {seed}");
     }
 }
 
 /// One request was refused on this day: it met three crashes before enough others were known to doubt that it is to blame.
 #[gtest]
-fn request_that_met_the_first_crashes_of_a_wave_by_chance_is_not_refused() {
-    let world = play_unrelated(Unrelated::Wave, 297);
-    expect_that!(world.held_back, eq(0));
+fn request_in_flight_at_the_first_crashes_of_a_wave_is_not_quarantined() {
+    let world = run_with_unrelated_crashes(CrashPattern::Wave, 297);
+    expect_that!(world.quarantined_requests, eq(0));
 }
--- a/crates/rillgap-forward/tests/simulation/main.rs
+++ b/crates/rillgap-forward/tests/simulation/main.rs
@@ -2,172 +2,172 @@
 //!
 //! Every day follows from its seed. A day that ever failed stays here as a case of its own.
 
-mod crashing;
-mod day;
-mod judge;
-mod returns;
+mod checker;
+mod crashing_requests;
+mod scenario;
 mod size;
-mod suspended;
+mod store_restore;
+mod suspension;
 mod world;
 
-use day::{Planted, play};
 use googletest::prelude::*;
-use world::{Fault, Happening, World};
+use scenario::{InjectedBug, run_scenario};
+use world::{Fault, World, WorldEvent};
 
 /// Days that every run of the tests plays.
-const DAYS: u64 = 150;
+const SEEDS: u64 = 150;
 
 /// Environment variable that names another number of days, for exploration by hand.
-const DAYS_VARIABLE: &str = "RILLGAP_SIMULATED_DAYS";
+const SEEDS_VARIABLE: &str = "RILLGAP_SIMULATED_DAYS";
 
 #[gtest]
-fn no_promise_is_broken_on_random_days() {
+fn random_scenarios_violate_no_guarantee() {
     let mut served = 0;
-    let mut asked = 0;
-    let days = std::env::var(DAYS_VARIABLE).ok();
-    let days = days.and_then(|text| text.parse().ok()).unwrap_or(DAYS);
-    for seed in 0..days {
-        let report = play(seed, Planted::Nothing);
-        expect_that!(report.broken, is_empty(), "seed {seed}");
+    let mut caller_requests = 0;
+    let seeds = std::env::var(SEEDS_VARIABLE).ok();
+    let seeds = seeds.and_then(|text| text.parse().ok()).unwrap_or(SEEDS);
+    for seed in 0..seeds {
+        let report = run_scenario(seed, InjectedBug::None);
+        expect_that!(report.violations, is_empty(), "seed {seed}");
         served += report.served;
-        asked += report.asked;
+        caller_requests += report.caller_requests;
     }
     // Days full of faults, but by far not all is lost.
-    expect_that!(served * 10, gt(asked * 6));
+    expect_that!(served * 10, gt(caller_requests * 6));
 }
 
 /// Milliseconds within which an accepted configuration must be in force everywhere.
-const APPLY_BOUND: u64 = 2_000;
+const MAX_APPLY_MILLIS: u64 = 2_000;
 
 #[gtest]
 fn few_nodes_watch_the_store_for_all() {
     for seed in 0..20 {
-        let mut world = World::new(seed, Planted::Nothing, 5_000);
+        let mut world = World::new(seed, InjectedBug::None, 5_000);
         world.run_until(5_000);
-        expect_that!(world.watching(), all!(ge(1), le(3)), "seed {seed}");
+        expect_that!(world.watcher_count(), all!(ge(1), le(3)), "seed {seed}");
     }
 }
 
 #[gtest]
 fn configuration_is_in_force_in_time_although_the_store_ignores_all_watchers() {
     for seed in 0..20 {
-        let mut world = World::new(seed, Planted::Nothing, 5_000);
+        let mut world = World::new(seed, InjectedBug::None, 5_000);
         let ignored_at = 5_000 + seed * 37;
         let changed_at = ignored_at + 10;
-        world.at(ignored_at, Happening::Fault(Fault::StoreIgnoresWatchers));
-        world.at(changed_at, Happening::Fault(Fault::Configure));
-        world.run_until(changed_at + APPLY_BOUND);
-        let (in_force, stored) = world.versions();
+        world.schedule(ignored_at, WorldEvent::Fault(Fault::StoreIgnoresWatchers));
+        world.schedule(changed_at, WorldEvent::Fault(Fault::Configure));
+        world.run_until(changed_at + MAX_APPLY_MILLIS);
+        let (in_force, stored) = world.configuration_versions();
         expect_that!(stored, gt(1));
         expect_that!(in_force, each(eq(&stored)), "seed {seed}");
     }
 }
 
 /// Time for which a node is out of touch while the configuration changes.
-const OUT_OF_TOUCH: u64 = 5_000;
+const DISCONNECTED_MILLIS: u64 = 5_000;
 /// Days on which a node is out of touch.
-const DAYS_OUT_OF_TOUCH: u64 = 45;
+const DISCONNECTED_SEEDS: u64 = 45;
 
 /// Plays a day on which one node is out of touch from a first to a second moment, as `schedule` says, while
 /// the configuration changes; expects the new version to be in force everywhere in time after that.
-fn expect_in_force_after(seed: u64, schedule: impl Fn(&mut World, usize, u64, u64)) {
-    let mut world = World::new(seed, Planted::Nothing, 12_000);
+fn expect_in_force_after_outage(seed: u64, schedule: impl Fn(&mut World, usize, u64, u64)) {
+    let mut world = World::new(seed, InjectedBug::None, 12_000);
     let host = seed as usize % world.size();
     let from = 4_000 + seed * 37;
-    let until = from + OUT_OF_TOUCH;
+    let until = from + DISCONNECTED_MILLIS;
     schedule(&mut world, host, from, until);
-    world.at(from + 1_300, Happening::Fault(Fault::Configure));
-    world.run_until(until + APPLY_BOUND);
-    let (in_force, stored) = world.versions();
+    world.schedule(from + 1_300, WorldEvent::Fault(Fault::Configure));
+    world.run_until(until + MAX_APPLY_MILLIS);
+    let (in_force, stored) = world.configuration_versions();
     expect_that!(stored, gt(1));
     expect_that!(in_force, each(eq(&stored)), "seed {seed}");
 }
 
-fn stand_still(world: &mut World, host: usize, from: u64, until: u64) {
-    world.at(from, Happening::Fault(Fault::Freeze(host, until)));
+fn schedule_process_pause(world: &mut World, host: usize, from: u64, until: u64) {
+    world.schedule(from, WorldEvent::Fault(Fault::Pause(host, until)));
 }
 
 #[gtest]
-fn configuration_is_in_force_in_time_at_a_node_that_stood_still() {
-    for seed in 0..DAYS_OUT_OF_TOUCH {
-        expect_in_force_after(seed, stand_still);
+fn configuration_is_in_force_in_time_after_a_process_pause() {
+    for seed in 0..DISCONNECTED_SEEDS {
+        expect_in_force_after_outage(seed, schedule_process_pause);
     }
 }
 
 #[gtest]
-fn configuration_is_in_force_in_time_at_a_node_that_stood_still_and_that_the_store_refuses() {
-    for seed in 0..DAYS_OUT_OF_TOUCH {
-        expect_in_force_after(seed, |world, host, from, until| {
-            stand_still(world, host, from, until);
-            world.at(from, Happening::Fault(Fault::StoreRefuses(host, true)));
+fn configuration_is_in_force_in_time_after_a_process_pause_while_the_store_refuses_the_node() {
+    for seed in 0..DISCONNECTED_SEEDS {
+        expect_in_force_after_outage(seed, |world, host, from, until| {
+            schedule_process_pause(world, host, from, until);
+            world.schedule(from, WorldEvent::Fault(Fault::StoreRefuses(host, true)));
         });
     }
 }
 
 #[gtest]
-fn configuration_is_in_force_in_time_at_a_node_that_was_cut_off() {
-    for seed in 0..DAYS_OUT_OF_TOUCH {
-        expect_in_force_after(seed, |world, host, from, until| {
-            world.at(from, Happening::Fault(Fault::Cut(host, true)));
-            world.at(until, Happening::Fault(Fault::Cut(host, false)));
+fn configuration_is_in_force_in_time_after_a_partition() {
+    for seed in 0..DISCONNECTED_SEEDS {
+        expect_in_force_after_outage(seed, |world, host, from, until| {
+            world.schedule(from, WorldEvent::Fault(Fault::Partition(host, true)));
+            world.schedule(until, WorldEvent::Fault(Fault::Partition(host, false)));
         });
     }
 }
 
 #[gtest]
-fn same_seed_gives_the_same_day() {
+fn same_seed_gives_the_same_report() {
     for seed in [3, 77] {
-        let first = play(seed, Planted::Nothing);
-        let second = play(seed, Planted::Nothing);
+        let first = run_scenario(seed, InjectedBug::None);
+        let second = run_scenario(seed, InjectedBug::None);
         expect_that!(first, eq(&second));
     }
 }
 
 /// Returns what is broken on the first days, with a fault planted into the world.
-fn broken_with(planted: Planted) -> Vec<String> {
-    (0..DAYS)
-        .flat_map(|seed| play(seed, planted).broken)
+fn violations_with(injected_bug: InjectedBug) -> Vec<String> {
+    (0..SEEDS)
+        .flat_map(|seed| run_scenario(seed, injected_bug).violations)
         .collect()
 }
 
 #[gtest]
-fn judge_catches_a_request_that_is_run_twice() {
-    let broken = broken_with(Planted::RunTwice);
-    expect_that!(broken, contains(starts_with("TWICE")));
+fn checker_detects_a_request_that_is_executed_twice() {
+    let violations = violations_with(InjectedBug::FalseNotSent);
+    expect_that!(violations, contains(starts_with("TWICE")));
 }
 
 #[gtest]
-fn judge_catches_a_false_word_that_something_did_not_run() {
-    let broken = broken_with(Planted::FalseNotExecuted);
-    expect_that!(broken, contains(starts_with("REFUSED")));
+fn checker_detects_a_false_not_run_response() {
+    let violations = violations_with(InjectedBug::FalseNotExecuted);
+    expect_that!(violations, contains(starts_with("REFUSED")));
 }
 
 #[gtest]
-fn judge_catches_answers_that_are_swapped() {
-    let broken = broken_with(Planted::SwappedAnswer);
-    expect_that!(broken, contains(starts_with("MIXED")));
+fn checker_detects_swapped_answers() {
+    let violations = violations_with(InjectedBug::SwappedAnswer);
+    expect_that!(violations, contains(starts_with("MIXED")));
 }
 
 #[gtest]
-fn judge_catches_requests_that_reach_a_drained_back_end() {
-    let broken = broken_with(Planted::ForgottenDraining);
-    expect_that!(broken, contains(starts_with("DRAIN")));
+fn checker_detects_requests_at_a_drained_back_end() {
+    let violations = violations_with(InjectedBug::LostDrainAnnouncement);
+    expect_that!(violations, contains(starts_with("DRAIN")));
 }
 
 #[gtest]
-fn judge_catches_a_key_that_works_long_after_it_was_taken_away() {
-    let broken = broken_with(Planted::StaleConfiguration);
-    expect_that!(broken, contains(starts_with("REVOKED")));
+fn checker_detects_a_key_accepted_after_its_revocation() {
+    let violations = violations_with(InjectedBug::StaleConfiguration);
+    expect_that!(violations, contains(starts_with("REVOKED")));
 }
 
 #[gtest]
-fn judge_catches_a_tenant_beyond_its_limit() {
-    let broken = broken_with(Planted::ManyTokens);
-    expect_that!(broken, contains(starts_with("LIMIT")));
+fn checker_detects_a_tenant_above_its_limit() {
+    let violations = violations_with(InjectedBug::ExcessTokens);
+    expect_that!(violations, contains(starts_with("LIMIT")));
 }
 
 #[gtest]
-fn judge_catches_an_older_configuration() {
-    let broken = broken_with(Planted::StaleConfiguration);
-    expect_that!(broken, contains(starts_with("CONFIG")));
+fn checker_detects_an_outdated_configuration() {
+    let violations = violations_with(InjectedBug::StaleConfiguration);
+    expect_that!(violations, contains(starts_with("CONFIG")));
 }
--- a/crates/rillgap-forward/tests/simulation/day.rs
+++ b/crates/rillgap-forward/tests/simulation/scenario.rs
@@ -1,78 +1,78 @@
 //! One random day.
 
-use crate::world::{Fault, Happening, RETRY_BOUND, World};
+use crate::world::{Fault, RETRY_BOUND, World, WorldEvent};
 
 /// When faults begin, at the earliest and at the latest.
-const FAULTS: (u64, u64) = (3_000, 9_000);
+const FAULT_BEGIN_RANGE: (u64, u64) = (3_000, 9_000);
 /// When the last fault is over.
-const CALM: u64 = 12_000;
+const LAST_FAULT_END: u64 = 12_000;
 /// From when to when what is sent must mostly be served again.
-const RECOVERED: (u64, u64) = (16_000, 18_000);
+const RECOVERY_WINDOW: (u64, u64) = (16_000, 18_000);
 /// End of the callers, and of the day.
-const END: (u64, u64) = (18_000, 20_000);
+const CALLERS_AND_SCENARIO_END: (u64, u64) = (18_000, 20_000);
 
 /// A fault of the world itself, to show that the judge catches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedBug {
     /// None.
-    Nothing,
+    None,
     /// A request that ran is reported as never sent.
-    RunTwice,
+    FalseNotSent,
     /// A back end says that it did not run what it ran.
     FalseNotExecuted,
     /// A back end's answer holds another request's body.
     SwappedAnswer,
     /// Draining is acknowledged and the node is not told.
-    ForgottenDraining,
+    LostDrainAnnouncement,
     /// The store shows its first configuration for ever.
     StaleConfiguration,
     /// The steady clock of a host stands still while its machine is suspended.
-    StandingClock,
+    ClockStopsInSuspension,
     /// Nodes that own buckets give three times the tokens.
-    ManyTokens,
+    ExcessTokens,
 }
 
 /// What a day came to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     /// Promises that were broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Requests of callers.
-    pub asked: u64,
+    pub caller_requests: u64,
     /// Those that were answered with success.
     pub served: u64,
 }
 
 /// Plays the day of a seed.
-pub fn play(seed: u64, planted: Planted) -> Report {
-    let mut world = World::new(seed, planted, END.0);
+pub fn run_scenario(seed: u64, injected_bug: InjectedBug) -> Report {
+    let mut world = World::new(seed, injected_bug, CALLERS_AND_SCENARIO_END.0);
     let faults = 3 + world.draw(5);
     for _ in 0..faults {
-        let begin = FAULTS.0 + world.draw(FAULTS.1 - FAULTS.0);
-        draw_fault(&mut world, begin);
+        let begin = FAULT_BEGIN_RANGE.0 + world.draw(FAULT_BEGIN_RANGE.1 - FAULT_BEGIN_RANGE.0);
+        schedule_random_fault(&mut world, begin);
     }
-    world.run_until(END.1);
-    world.judge_configurations();
+    world.run_until(CALLERS_AND_SCENARIO_END.1);
+    world.check_configurations();
     let slack = f64::from(RETRY_BOUND.slack);
-    world.judge.check_budget(RETRY_BOUND.ratio, slack);
-    world.judge.check_limit();
+    world.checker.check_budget(RETRY_BOUND.ratio, slack);
+    world.checker.check_limit();
     let statuses = std::mem::take(&mut world.statuses);
     world
-        .judge
-        .check_recovery(&statuses, RECOVERED.0, RECOVERED.1);
+        .checker
+        .check_recovery(&statuses, RECOVERY_WINDOW.0, RECOVERY_WINDOW.1);
     Report {
-        broken: world.judge.broken,
-        asked: world.judge.asked,
-        served: world.judge.served,
+        violations: world.checker.violations,
+        caller_requests: world.checker.caller_requests,
+        served: world.checker.served,
     }
 }
 
 /// Schedules one fault, with its end.
-fn draw_fault(world: &mut World, begin: u64) {
+fn schedule_random_fault(world: &mut World, begin: u64) {
     let size = world.size() as u64;
     let host = world.draw(size) as usize;
-    let end = (begin + 500 + world.draw(3_500)).min(CALM);
-    let mut at = |time, fault| world.at(time, Happening::Fault(fault));
+    let end = (begin + 500 + world.draw(3_500)).min(LAST_FAULT_END);
+    let mut at = |time, fault| world.schedule(time, WorldEvent::Fault(fault));
     match begin % 16 {
         0 => {
             at(begin, Fault::Kill(host));
@@ -88,22 +88,22 @@
                 at(begin + 1_000, Fault::Start(host));
             }
         }
-        3 => at(begin, Fault::Freeze(host, end)),
+        3 => at(begin, Fault::Pause(host, end)),
         4 => {
-            at(begin, Fault::Cut(host, true));
-            at(end, Fault::Cut(host, false));
+            at(begin, Fault::Partition(host, true));
+            at(end, Fault::Partition(host, false));
         }
         5 => {
             at(begin, Fault::StoreDown(true));
             at(end, Fault::StoreDown(false));
         }
         6 => {
-            at(begin, Fault::StoreLossy(true));
-            at(end, Fault::StoreLossy(false));
+            at(begin, Fault::StoreLosesAnswers(true));
+            at(end, Fault::StoreLosesAnswers(false));
         }
         7 => {
             at(begin, Fault::Configure);
-            at(begin + 50, Fault::Compact);
+            at(begin + 50, Fault::StoreCompacts);
             at(begin + 60, Fault::Configure);
         }
         8 => at(begin, Fault::Crash(host)),
--- a/crates/rillgap-forward/tests/simulation/size.rs
+++ b/crates/rillgap-forward/tests/simulation/size.rs
@@ -2,24 +2,24 @@
 
 use googletest::prelude::*;
 
-use crate::day::Planted;
-use crate::world::{Fault, Happening, World};
+use crate::scenario::InjectedBug;
+use crate::world::{Fault, World, WorldEvent};
 
 /// Back ends of each of three services.
 const SIZES: [usize; 3] = [4, 40, 160];
 /// Time by which a deployment has started, in milliseconds.
-const STARTED: u64 = 8_000;
+const STARTED_MILLIS: u64 = 8_000;
 /// Nodes that watch the store at most while nothing fails, whatever their number.
-const MOST_WATCHERS: usize = 3;
+const MAX_WATCHERS: usize = 3;
 /// Calls at the full price that a start may make: 2,200 in a day of a fleet of 985 nodes, its watches among them.
-const MOST_CALLS_A_NODE: f64 = 2.2;
+const MAX_CALLS_PER_NODE: f64 = 2.2;
 /// Milliseconds within which a configuration must be in force everywhere.
-const APPLY_BOUND: u64 = 2_000;
+const MAX_APPLY_MILLIS: u64 = 2_000;
 
 /// Starts a deployment without callers.
 fn started(per_service: usize) -> World {
-    let mut world = World::of_size(1, Planted::Nothing, 0, per_service);
-    world.run_until(STARTED);
+    let mut world = World::of_size(1, InjectedBug::None, 0, per_service);
+    world.run_until(STARTED_MILLIS);
     world
 }
 
@@ -32,16 +32,16 @@
 }
 
 #[gtest]
-fn number_of_watchers_does_not_depend_on_the_size_and_nobody_changes() {
+fn number_of_watchers_does_not_depend_on_the_size_and_watchers_do_not_change() {
     for per_service in SIZES {
         let mut world = started(per_service);
         let before = world.watch_changes;
         for second in 1..=6 {
-            world.run_until(STARTED + second * 1_000);
-            let watchers = world.watching();
+            world.run_until(STARTED_MILLIS + second * 1_000);
+            let watchers = world.watcher_count();
             expect_that!(
                 watchers,
-                all!(ge(1), le(MOST_WATCHERS)),
+                all!(ge(1), le(MAX_WATCHERS)),
                 "{} nodes",
                 world.size()
             );
@@ -51,15 +51,15 @@
 }
 
 #[gtest]
-fn start_makes_one_write_a_node_and_few_reads() {
+fn start_makes_one_write_per_node_and_few_reads() {
     for per_service in SIZES {
         let world = started(per_service);
         let nodes = world.size() as u64;
         let writes = world.store_calls.get("register").copied();
         expect_that!(writes, some(eq(nodes)), "{nodes} nodes");
         // A handful of watchers make a call a second, whatever the number of nodes.
-        let watches = MOST_WATCHERS as u64 * STARTED / 1_000;
-        let most = (nodes as f64 * MOST_CALLS_A_NODE) as u64 + watches;
+        let watches = MAX_WATCHERS as u64 * STARTED_MILLIS / 1_000;
+        let most = (nodes as f64 * MAX_CALLS_PER_NODE) as u64 + watches;
         expect_that!(full_price_calls(&world), le(most), "{nodes} nodes");
     }
 }
@@ -69,32 +69,35 @@
     for per_service in SIZES {
         let mut world = started(per_service);
         for host in world.watching_hosts() {
-            world.at(STARTED, Happening::Fault(Fault::PowerOff(host)));
+            world.schedule(STARTED_MILLIS, WorldEvent::Fault(Fault::PowerOff(host)));
         }
-        let changed_at = STARTED + 300;
-        world.at(changed_at, Happening::Fault(Fault::Configure));
-        world.run_until(changed_at + APPLY_BOUND);
-        let (in_force, stored) = world.versions();
+        let changed_at = STARTED_MILLIS + 300;
+        world.schedule(changed_at, WorldEvent::Fault(Fault::Configure));
+        world.run_until(changed_at + MAX_APPLY_MILLIS);
+        let (in_force, stored) = world.configuration_versions();
         expect_that!(in_force, each(eq(&stored)), "{} nodes", world.size());
     }
 }
 
 #[gtest]
-fn half_of_the_nodes_come_back_at_once_within_the_rates_of_the_store() {
+fn simultaneous_restart_of_half_of_the_nodes_stays_within_the_rates_of_the_store() {
     for per_service in SIZES {
         let mut world = started(per_service);
         let before = full_price_calls(&world);
         let hosts = 0..world.size();
         for host in hosts.step_by(2) {
-            world.at(STARTED, Happening::Fault(Fault::PowerOff(host)));
-            world.at(STARTED + 1_000, Happening::Fault(Fault::Start(host)));
+            world.schedule(STARTED_MILLIS, WorldEvent::Fault(Fault::PowerOff(host)));
+            world.schedule(
+                STARTED_MILLIS + 1_000,
+                WorldEvent::Fault(Fault::Start(host)),
+            );
         }
-        world.run_until(STARTED + 1_000 + APPLY_BOUND);
-        let (in_force, stored) = world.versions();
+        world.run_until(STARTED_MILLIS + 1_000 + MAX_APPLY_MILLIS);
+        let (in_force, stored) = world.configuration_versions();
         expect_that!(in_force, each(eq(&stored)), "{} nodes", world.size());
         let calls = full_price_calls(&world) - before;
         // Sixteen may take over at first, and twice as many each second.
-        let most = world.size() as f64 * MOST_CALLS_A_NODE / 2.0 + 64.0;
+        let most = world.size() as f64 * MAX_CALLS_PER_NODE / 2.0 + 64.0;
         expect_that!(calls as f64, le(most), "{} nodes", world.size());
     }
 }
--- a/crates/rillgap-forward/tests/simulation/world/back_ends.rs
+++ b/crates/rillgap-forward/tests/simulation/world/back_ends.rs
@@ -5,21 +5,21 @@
 use rillgap_forward::id::{AnnouncementId, ProbeId};
 use rillgap_forward::message::ForwardedAnswer;
 
-use crate::day::Planted;
+use crate::scenario::InjectedBug;
 
 use super::*;
 
 /// Milliseconds after which a back end that has crashed starts again.
-const CRASHED_FOR: u64 = 3_000;
+const CRASH_RESTART_MILLIS: u64 = 3_000;
 
 fn last_part(target: &str) -> &str {
     target.rsplit('/').next().unwrap_or_default()
 }
 
 impl World {
-    pub(super) fn start_exchange(&mut self, host: usize, run: u32, exchange: &Exchange) {
-        let key = WorkKey {
-            run,
+    pub(super) fn start_exchange(&mut self, host: usize, incarnation: u32, exchange: &Exchange) {
+        let key = ExecutionKey {
+            incarnation,
             exchange: exchange.id,
         };
         let back_end = &self.hosts[host].back_end;
@@ -36,66 +36,77 @@
         }
         let request = &exchange.request;
         let id = request.request_id.clone();
-        if back_end.works.len() >= SLOTS as usize {
-            self.judge.broken.push(format!(
+        if back_end.executions.len() >= SLOTS as usize {
+            self.checker.violations.push(format!(
                 "SLOTS {id} is one too many at {}",
                 back_end.instance
             ));
         }
         let instance = back_end.instance.clone();
         let label = instance.to_string();
-        self.judge.ran(self.now, &id, &label, service(host));
-        let work = Work {
+        self.checker
+            .on_execution_started(self.now, &id, &label, service(host));
+        let execution = Execution {
             id,
             instance,
             calls: request.target.contains("calls") && service(host) != "deep",
             crashes: request.target.contains("crash"),
             item: last_part(&request.target).to_owned(),
         };
-        let millis = (5 + self.draw(25)) * self.hosts[host].back_end.slowness;
-        self.hosts[host].back_end.works.insert(key.clone(), work);
-        self.at(self.now + millis, Happening::Worked(host, key));
+        let millis = (5 + self.draw(25)) * self.hosts[host].back_end.slowdown;
+        self.hosts[host]
+            .back_end
+            .executions
+            .insert(key.clone(), execution);
+        self.schedule(self.now + millis, WorldEvent::WorkDone(host, key));
     }
 
     /// Goes on with a request: the first time with its call, if it makes one.
-    pub(super) fn worked(&mut self, host: usize, key: &WorkKey) {
+    pub(super) fn on_work_done(&mut self, host: usize, key: &ExecutionKey) {
         let instance = self.hosts[host].back_end.instance.clone();
-        let Some(work) = self.hosts[host].back_end.works.get_mut(key) else {
+        let Some(execution) = self.hosts[host].back_end.executions.get_mut(key) else {
             return;
         };
-        if work.instance != instance {
+        if execution.instance != instance {
             return;
         }
-        if work.crashes {
-            let id = work.id.clone();
-            self.judge.crashed(self.now, &id);
+        if execution.crashes {
+            let id = execution.id.clone();
+            self.checker.on_crash(self.now, &id);
             self.crash_back_end(host);
-            self.at(self.now + CRASHED_FOR, Happening::BackEndStarts(host));
+            self.schedule(
+                self.now + CRASH_RESTART_MILLIS,
+                WorldEvent::BackEndStarts(host),
+            );
             return;
         }
-        if !std::mem::take(&mut work.calls) {
+        if !std::mem::take(&mut execution.calls) {
             let fails = self.draw(100) < self.hosts[host].back_end.fail_percent;
-            self.finish_work(host, key, if fails { 500 } else { 200 });
+            self.finish_execution(host, key, if fails { 500 } else { 200 });
             return;
         }
-        let id = format!("{}.1", work.id);
+        let id = format!("{}.1", execution.id);
         let next = next_service(service(host));
-        let target = format!("/{next}/calls/{}", work.item);
-        let connection = self.request(host, &id, &target, true, true);
+        let target = format!("/{next}/calls/{}", execution.item);
+        let connection = self.send_request(host, &id, &target, true, true);
         self.hosts[host].calls.insert(connection, key.clone());
     }
 
-    pub(super) fn finish_work(&mut self, host: usize, key: &WorkKey, status: u16) {
-        let lost = self.draw(100) < self.hosts[host].back_end.lose_percent;
-        let swapped = self.planted == Planted::SwappedAnswer && self.draw(50) == 0;
-        let lies = self.draw(20) == 0;
-        let Some(work) = self.hosts[host].back_end.works.remove(key) else {
+    pub(super) fn finish_execution(&mut self, host: usize, key: &ExecutionKey, status: u16) {
+        let lost = self.draw(100) < self.hosts[host].back_end.lost_answer_percent;
+        let swapped = self.injected_bug == InjectedBug::SwappedAnswer && self.draw(50) == 0;
+        let reports_falsely = self.draw(20) == 0;
+        let Some(execution) = self.hosts[host].back_end.executions.remove(key) else {
             return;
         };
-        let body = if swapped { "another" } else { work.id.as_str() };
-        let result = match self.planted {
-            Planted::RunTwice if lies => ExchangeResult::NotSent,
-            Planted::FalseNotExecuted if lies => ExchangeResult::NotExecuted,
+        let body = if swapped {
+            "another"
+        } else {
+            execution.id.as_str()
+        };
+        let result = match self.injected_bug {
+            InjectedBug::FalseNotSent if reports_falsely => ExchangeResult::NotSent,
+            InjectedBug::FalseNotExecuted if reports_falsely => ExchangeResult::NotExecuted,
             _ if lost => ExchangeResult::Lost,
             _ => ExchangeResult::Answered(ForwardedAnswer {
                 status,
@@ -109,7 +120,7 @@
     pub(super) fn end_exchange(
         &mut self,
         host: usize,
-        key: &WorkKey,
+        key: &ExecutionKey,
         result: ExchangeResult,
         delay: u64,
     ) {
@@ -117,10 +128,13 @@
             exchange: key.exchange,
             result,
         };
-        self.at(self.now + delay, Happening::Node(host, key.run, event));
+        self.schedule(
+            self.now + delay,
+            WorldEvent::Node(host, key.incarnation, event),
+        );
     }
 
-    pub(super) fn probe(&mut self, host: usize, run: u32, probe: ProbeId) {
+    pub(super) fn probe(&mut self, host: usize, incarnation: u32, probe: ProbeId) {
         let back_end = &self.hosts[host].back_end;
         let (result, delay) = if !back_end.is_alive {
             (ProbeResult::Refused, 2)
@@ -131,15 +145,15 @@
             (ProbeResult::Healthy { instance }, 2)
         };
         let event = Event::ProbeEnded { probe, result };
-        self.at(self.now + delay, Happening::Node(host, run, event));
+        self.schedule(self.now + delay, WorldEvent::Node(host, incarnation, event));
     }
 
     pub(super) fn start_back_end(&mut self, host: usize) {
-        let keeps_identifier = self.keeps_identifiers;
-        let started_at_millis = keeps_identifier.then_some(self.now);
+        let reuses_identifier = self.reuses_identifiers;
+        let started_at_millis = reuses_identifier.then_some(self.now);
         let back_end = &mut self.hosts[host].back_end;
-        back_end.runs += 1;
-        let generation = back_end.runs / if keeps_identifier { 2 } else { 1 };
+        back_end.start_count += 1;
+        let generation = back_end.start_count / if reuses_identifier { 2 } else { 1 };
         back_end.instance = Incarnation {
             id: format!("i-{host}-{generation}"),
             started_at_millis,
@@ -148,9 +162,9 @@
         back_end.is_draining = false;
         back_end.is_acknowledged = false;
         back_end.sequence = 0;
-        back_end.works.clear();
+        back_end.executions.clear();
         let instance = back_end.instance.clone();
-        self.at(self.now, Happening::Heartbeat(host, instance));
+        self.schedule(self.now, WorldEvent::Heartbeat(host, instance));
     }
 
     pub(super) fn send_heartbeat(&mut self, host: usize, instance: &Incarnation) {
@@ -181,25 +195,26 @@
         let wait = if back_end.is_draining && !back_end.is_acknowledged {
             300
         } else {
-            HEARTBEAT
+            HEARTBEAT_MILLIS
         };
-        self.at(
+        self.schedule(
             self.now + delay,
-            Happening::HeartbeatArrives(host, heartbeat),
+            WorldEvent::HeartbeatArrives(host, heartbeat),
         );
         let instance = instance.clone();
-        self.at(self.now + wait, Happening::Heartbeat(host, instance));
+        self.schedule(self.now + wait, WorldEvent::Heartbeat(host, instance));
     }
 
-    pub(super) fn heartbeat(&mut self, host: usize, heartbeat: &Heartbeat) {
+    pub(super) fn on_heartbeat(&mut self, host: usize, heartbeat: &Heartbeat) {
         let is_draining = heartbeat.state == AnnouncedState::Draining;
         let now = self.clock(host);
         let Some(node) = &mut self.hosts[host].node else {
             return;
         };
         let mut actions = Vec::new();
-        let forgets = is_draining && self.planted == Planted::ForgottenDraining;
-        if !forgets {
+        let drops_announcement =
+            is_draining && self.injected_bug == InjectedBug::LostDrainAnnouncement;
+        if !drops_announcement {
             let event = Event::Heartbeat {
                 announcement: AnnouncementId(heartbeat.sequence),
                 heartbeat: heartbeat.clone(),
@@ -207,16 +222,16 @@
             node.handle(now, event, &mut actions);
         }
         let is_accepted = |action: &Action| matches!(action, Action::Acknowledge { is_accepted, .. } if *is_accepted);
-        let acknowledged = forgets || actions.iter().any(is_accepted);
+        let acknowledged = drops_announcement || actions.iter().any(is_accepted);
         if acknowledged && is_draining {
             let label = heartbeat.incarnation.to_string();
-            self.judge.drained(self.now, &label);
+            self.checker.on_drain_acknowledged(self.now, &label);
             let back_end = &mut self.hosts[host].back_end;
             let is_current = back_end.instance == heartbeat.incarnation;
             if is_current && !std::mem::replace(&mut back_end.is_acknowledged, true) {
                 let instance = heartbeat.incarnation.clone();
-                let end = self.now + DRAIN_SERVES;
-                self.at(end, Happening::BackEndEnds(host, instance));
+                let end = self.now + DRAINED_SERVING_MILLIS;
+                self.schedule(end, WorldEvent::BackEndEnds(host, instance));
             }
         }
         self.after_step(host, actions);
@@ -227,15 +242,15 @@
             return;
         }
         self.crash_back_end(host);
-        self.at(self.now + 500, Happening::BackEndStarts(host));
+        self.schedule(self.now + 500, WorldEvent::BackEndStarts(host));
     }
 
     pub(super) fn crash_back_end(&mut self, host: usize) {
         let back_end = &mut self.hosts[host].back_end;
         back_end.is_alive = false;
-        let works: Vec<WorkKey> = back_end.works.keys().cloned().collect();
-        back_end.works.clear();
-        for key in works {
+        let executions: Vec<ExecutionKey> = back_end.executions.keys().cloned().collect();
+        back_end.executions.clear();
+        for key in executions {
             self.end_exchange(host, &key, ExchangeResult::Lost, 1);
         }
     }
--- a/crates/rillgap-forward/tests/simulation/world/callers.rs
+++ b/crates/rillgap-forward/tests/simulation/world/callers.rs
@@ -10,15 +10,15 @@
 use super::*;
 
 /// End of targets that only one caller asks for.
-const ONE_CALLER: &str = "/one-caller";
+const SINGLE_CALLER_SUFFIX: &str = "/one-caller";
 
 impl World {
-    pub(super) fn caller(&mut self, host: usize) {
+    pub(super) fn on_caller_turn(&mut self, host: usize) {
         if self.now >= self.callers_until {
             return;
         }
         let pause = 20 + self.draw(80);
-        self.at(self.now + pause, Happening::Caller(host));
+        self.schedule(self.now + pause, WorldEvent::CallerSends(host));
         if self.hosts[host].node.is_none() {
             return;
         }
@@ -30,21 +30,28 @@
         let is_popular = self.popular_percent > 0 && self.draw(100) < self.popular_percent;
         let item = if is_popular { 0 } else { self.next_request };
         let target = format!("{kind}/{item}");
-        let connection = self.ask(host, target, 1);
+        let connection = self.send_caller_request(host, target, 1);
         if self.draw(20) == 0 {
-            let run = self.hosts[host].run;
+            let incarnation = self.hosts[host].incarnation;
             let leave = self.now + self.draw(100);
-            self.at(leave, Happening::Leave(host, run, connection));
+            self.schedule(
+                leave,
+                WorldEvent::CallerDisconnects(host, incarnation, connection),
+            );
         }
     }
 
     /// Sends a request of a caller.
-    fn ask(&mut self, host: usize, target: String, tries: u32) -> ConnectionId {
+    fn send_caller_request(&mut self, host: usize, target: String, attempts: u32) -> ConnectionId {
         self.next_request += 1;
         let id = format!("r{}", self.next_request);
         let is_idempotent = !target.starts_with("/once/");
-        let connection = self.request(host, &id, &target, is_idempotent, false);
-        let request = CallerTry { id, target, tries };
+        let connection = self.send_request(host, &id, &target, is_idempotent, false);
+        let request = CallerAttempt {
+            id,
+            target,
+            attempts,
+        };
         self.hosts[host].callers.insert(connection, request);
         connection
     }
@@ -54,34 +61,34 @@
             return;
         }
         let pause = 200 + self.draw(600);
-        self.at(self.now + pause, Happening::CrashingRequest(target));
-        self.come_again(target.to_owned(), 1);
+        self.schedule(self.now + pause, WorldEvent::CrashingRequest(target));
+        self.resend_at_random_host(target.to_owned(), 1);
     }
 
-    pub(super) fn come_again(&mut self, target: String, tries: u32) {
+    pub(super) fn resend_at_random_host(&mut self, target: String, attempts: u32) {
         let size = self.size() as u64;
         let host = self.draw(size) as usize;
         if self.hosts[host].node.is_some() {
-            self.ask(host, target, tries);
+            self.send_caller_request(host, target, attempts);
         }
     }
 
     /// Lets the caller of a request that has failed come again, as callers do of what may be repeated or
     /// surely did not run.
-    fn decide_to_come_again(&mut self, request: &CallerTry, status: u16) {
+    fn schedule_caller_retry(&mut self, request: &CallerAttempt, status: u16) {
         let may_repeat = !request.target.starts_with("/once/") || status == 503;
-        let is_wanted = status >= 500 && request.tries < self.most_tries;
+        let is_wanted = status >= 500 && request.attempts < self.max_caller_attempts;
         if is_wanted && may_repeat {
-            let again = Happening::Again {
+            let again = WorldEvent::CallerRetry {
                 target: request.target.clone(),
-                tries: request.tries + 1,
+                attempts: request.attempts + 1,
             };
             let pause = 50 + self.draw(250);
-            self.at(self.now + pause, again);
+            self.schedule(self.now + pause, again);
         }
     }
 
-    pub(super) fn request(
+    pub(super) fn send_request(
         &mut self,
         host: usize,
         id: &str,
@@ -89,16 +96,16 @@
         is_idempotent: bool,
         is_call: bool,
     ) -> ConnectionId {
-        self.judge
-            .sent(self.now, host, id, target, is_idempotent, is_call);
-        let is_of_one_caller = target.ends_with(ONE_CALLER);
+        self.checker
+            .on_sent(self.now, host, id, target, is_idempotent, is_call);
+        let is_of_one_caller = target.ends_with(SINGLE_CALLER_SUFFIX);
         let key = match is_call {
             true => None,
             false if is_of_one_caller => Some(Key::Kept),
             false => Some(self.draw_key()),
         };
         if let Some(key) = key {
-            self.judge.keyed(id, key);
+            self.checker.on_key(id, key);
         }
         let credential = key.map_or(Credential::Absent, |key| Credential::Key(key.digest()));
         self.next_connection += 1;
@@ -119,8 +126,8 @@
             pipeline_index: PipelineIndex(0),
             request,
         };
-        let run = self.hosts[host].run;
-        self.at(self.now + 1, Happening::Node(host, run, event));
+        let incarnation = self.hosts[host].incarnation;
+        self.schedule(self.now + 1, WorldEvent::Node(host, incarnation, event));
         connection
     }
 
@@ -133,11 +140,16 @@
         }
     }
 
-    pub(super) fn answer(&mut self, host: usize, connection: ConnectionId, answer: &CallerAnswer) {
+    pub(super) fn on_answer(
+        &mut self,
+        host: usize,
+        connection: ConnectionId,
+        answer: &CallerAnswer,
+    ) {
         let entry = &mut self.hosts[host];
         if let Some(key) = entry.calls.remove(&connection) {
             let status = if answer.status == 200 { 200 } else { 500 };
-            self.finish_work(host, &key, status);
+            self.finish_execution(host, &key, status);
             return;
         }
         let Some(request) = entry.callers.remove(&connection) else {
@@ -145,7 +157,7 @@
         };
         let body = String::from_utf8_lossy(&answer.body).into_owned();
         self.statuses.insert(request.id.clone(), answer.status);
-        self.judge.answered(&request.id, answer.status, &body);
-        self.decide_to_come_again(&request, answer.status);
+        self.checker.on_answer(&request.id, answer.status, &body);
+        self.schedule_caller_retry(&request, answer.status);
     }
 }
--- a/crates/rillgap-forward/tests/simulation/world/faults.rs
+++ b/crates/rillgap-forward/tests/simulation/world/faults.rs
@@ -4,33 +4,33 @@
 use rillgap_forward::node::Node;
 use rillgap_forward::store_sync::StoreReply;
 
-use crate::day::Planted;
+use crate::scenario::InjectedBug;
 
 use super::*;
 
 impl World {
-    pub(super) fn fault(&mut self, fault: Fault) {
+    pub(super) fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(host) => self.stop_process(host, true),
             Fault::PowerOff(host) => {
                 self.stop_process(host, false);
                 self.crash_back_end(host);
-                self.at(self.now + 1_000, Happening::BackEndStarts(host));
+                self.schedule(self.now + 1_000, WorldEvent::BackEndStarts(host));
             }
             Fault::Start(host) => self.start_process(host),
-            Fault::Freeze(host, until) => self.hosts[host].frozen_until = until,
+            Fault::Pause(host, until) => self.hosts[host].paused_until = until,
             Fault::Suspend(host, until) => {
                 let entry = &mut self.hosts[host];
-                let suspended_from = self.now.max(entry.frozen_until);
-                if self.planted == Planted::StandingClock {
+                let suspended_from = self.now.max(entry.paused_until);
+                if self.injected_bug == InjectedBug::ClockStopsInSuspension {
                     entry.clock_lag += until.saturating_sub(suspended_from);
                 }
-                entry.frozen_until = entry.frozen_until.max(until);
+                entry.paused_until = entry.paused_until.max(until);
             }
-            Fault::Cut(host, true) => {
-                self.cut.insert(host);
+            Fault::Partition(host, true) => {
+                self.partitioned.insert(host);
             }
-            Fault::Cut(host, false) => self.heal(host),
+            Fault::Partition(host, false) => self.end_partition(host),
             Fault::StoreDown(down) => {
                 self.store_down = down;
                 if down {
@@ -38,71 +38,72 @@
                 }
             }
             Fault::StoreRefuses(host, true) => {
-                self.refused.insert(host);
+                self.refused_by_store.insert(host);
             }
             Fault::StoreRefuses(host, false) => {
-                self.refused.remove(&host);
+                self.refused_by_store.remove(&host);
             }
-            Fault::StoreLossy(lossy) => self.store_lossy = lossy,
-            Fault::Compact => {
-                for (_, (host, run, id, _)) in std::mem::take(&mut self.watches) {
+            Fault::StoreLosesAnswers(loses_answers) => self.store_loses_answers = loses_answers,
+            Fault::StoreCompacts => {
+                for (_, (host, incarnation, id, _)) in std::mem::take(&mut self.watches) {
                     let gone = StoreReply::PositionExpired(self.object_store.epoch());
-                    self.reply(host, run, id, gone, 4);
+                    self.reply(host, incarnation, id, gone, 4);
                 }
             }
-            Fault::StoreReturns(copy_age) => self.return_from_copy(copy_age),
-            Fault::WriteAgain => {
+            Fault::StoreRestored(backup_age) => self.restore_from_backup(backup_age),
+            Fault::RewriteConfiguration => {
                 self.object_store.configure(self.now, self.stored_version);
                 self.answer_all_watches();
             }
             Fault::Crash(host) => {
                 self.crash_back_end(host);
-                self.at(self.now + 2_000, Happening::BackEndStarts(host));
+                self.schedule(self.now + 2_000, WorldEvent::BackEndStarts(host));
             }
             Fault::Drain(host) => {
                 let back_end = &mut self.hosts[host].back_end;
                 back_end.is_draining |= back_end.is_alive;
             }
             Fault::Stop(host) => {
-                let run = self.hosts[host].run;
-                self.node_event(host, run, Event::Stop);
+                let incarnation = self.hosts[host].incarnation;
+                self.node_event(host, incarnation, Event::Stop);
             }
             Fault::Configure => {
                 if !self.store_down {
                     self.stored_version += 1;
                     self.stored_at = self.now;
                     self.object_store.configure(self.now, self.stored_version);
-                    self.judge.stored(self.now, self.stored_version);
-                    if self.planted != Planted::StaleConfiguration {
+                    self.checker
+                        .on_configuration_stored(self.now, self.stored_version);
+                    if self.injected_bug != InjectedBug::StaleConfiguration {
                         self.answer_all_watches();
                     }
                 }
             }
             Fault::StoreIgnoresWatchers => {
                 let watching = self.watches.values().map(|(host, ..)| *host);
-                self.ignored = watching.collect();
+                self.ignored_watchers = watching.collect();
             }
             Fault::LoseAnswers(host, percent) => {
-                self.hosts[host].back_end.lose_percent = percent;
+                self.hosts[host].back_end.lost_answer_percent = percent;
             }
             Fault::FailRequests(host, percent) => {
                 self.hosts[host].back_end.fail_percent = percent;
             }
-            Fault::Slow(host, times) => self.hosts[host].back_end.slowness = times,
+            Fault::Slow(host, times) => self.hosts[host].back_end.slowdown = times,
         }
     }
 
-    pub(super) fn stop_process(&mut self, host: usize, is_told: bool) {
+    pub(super) fn stop_process(&mut self, host: usize, notifies_peers: bool) {
         let entry = &mut self.hosts[host];
         if entry.node.take().is_none() {
             return;
         }
-        entry.run += 1;
+        entry.incarnation += 1;
         entry.calls.clear();
         entry.callers.clear();
         // Its connections to the back end are closed, and work on them is dropped.
-        entry.back_end.works.clear();
-        if is_told {
+        entry.back_end.executions.clear();
+        if notifies_peers {
             self.close_links_of(host);
         }
     }
@@ -129,29 +130,29 @@
         let seed = self.draw(u64::from(u32::MAX));
         let now = self.clock(host);
         let entry = &mut self.hosts[host];
-        entry.run += 1;
+        entry.incarnation += 1;
         entry.version = 0;
-        entry.waking_at = u64::MAX;
-        entry.node = Some(Node::new(now, settings(host, entry.run, seed)));
-        let run = entry.run;
-        self.node_event(host, run, Event::Wake);
+        entry.wakes_at = u64::MAX;
+        entry.node = Some(Node::new(now, settings(host, entry.incarnation, seed)));
+        let incarnation = entry.incarnation;
+        self.node_event(host, incarnation, Event::Wake);
     }
 
-    pub(super) fn heal(&mut self, host: usize) {
-        self.cut.remove(&host);
+    pub(super) fn end_partition(&mut self, host: usize) {
+        self.partitioned.remove(&host);
         let ids: Vec<u64> = self.connections.keys().copied().collect();
         for id in ids {
             let Some(connection) = self.connections.get_mut(&id) else {
                 continue;
             };
             let (opener, acceptor) = (connection.opener.0, connection.acceptor.0);
-            if !connection.is_open || connection.held.is_empty() {
+            if !connection.is_open || connection.delayed_messages.is_empty() {
                 continue;
             }
-            if self.cut.contains(&opener) || self.cut.contains(&acceptor) {
+            if self.partitioned.contains(&opener) || self.partitioned.contains(&acceptor) {
                 continue;
             }
-            for (to_opener, message) in std::mem::take(&mut connection.held) {
+            for (to_opener, message) in std::mem::take(&mut connection.delayed_messages) {
                 self.transmit(id, to_opener, message);
             }
         }
--- a/crates/rillgap-forward/tests/simulation/world/links.rs
+++ b/crates/rillgap-forward/tests/simulation/world/links.rs
@@ -4,38 +4,38 @@
 use rillgap_forward::id::LinkId;
 use rillgap_forward::message::{Hello, LinkMessage, TokenResult};
 
-use crate::day::Planted;
+use crate::scenario::InjectedBug;
 
 use super::*;
 
 /// Milliseconds after which an opener gives a connection up.
-const OPEN_TIMEOUT: u64 = 900;
+const OPEN_TIMEOUT_MILLIS: u64 = 900;
 
 impl World {
     pub(super) fn connect(
         &mut self,
         host: usize,
-        run: u32,
+        incarnation: u32,
         link: LinkId,
         address: std::net::SocketAddr,
     ) {
         let peer = usize::from(address.port()) - 7_000;
         let refused = self.hosts[peer].node.is_none();
-        let is_cut = self.is_cut(host, peer);
-        let thaw = self.hosts[peer].frozen_until;
-        let is_frozen = !refused && !is_cut && thaw > self.now;
-        if is_frozen && thaw < self.now + OPEN_TIMEOUT {
-            let connect = Happening::Connect(host, run, link, address);
-            self.at(thaw, connect);
+        let is_partitioned = self.is_partitioned(host, peer);
+        let resumes_at = self.hosts[peer].paused_until;
+        let is_paused = !refused && !is_partitioned && resumes_at > self.now;
+        if is_paused && resumes_at < self.now + OPEN_TIMEOUT_MILLIS {
+            let connect = WorldEvent::Connect(host, incarnation, link, address);
+            self.schedule(resumes_at, connect);
             return;
         }
-        if is_frozen {
-            self.leave_connection(host, peer);
+        if is_paused {
+            self.schedule_abandoned_link(host, peer);
         }
-        if refused || is_cut || is_frozen {
-            let delay = if refused { 1 } else { OPEN_TIMEOUT };
+        if refused || is_partitioned || is_paused {
+            let delay = if refused { 1 } else { OPEN_TIMEOUT_MILLIS };
             let event = Event::LinkClosed(link);
-            self.at(self.now + delay, Happening::Node(host, run, event));
+            self.schedule(self.now + delay, WorldEvent::Node(host, incarnation, event));
             return;
         }
         let Some(node) = &mut self.hosts[peer].node else {
@@ -43,7 +43,7 @@
         };
         let accepted = node.new_link();
         let greeting = node.hello();
-        let peer_run = self.hosts[peer].run;
+        let peer_run = self.hosts[peer].incarnation;
         let Some(opener) = self.hosts[host].node.as_ref() else {
             return;
         };
@@ -53,14 +53,14 @@
         self.connections.insert(
             id,
             Connection {
-                opener: (host, run, link),
+                opener: (host, incarnation, link),
                 acceptor: (peer, peer_run, accepted),
                 is_open: true,
-                held: Vec::new(),
+                delayed_messages: Vec::new(),
                 last_delivery: [self.now; 2],
             },
         );
-        self.by_link.insert((host, run, link), id);
+        self.by_link.insert((host, incarnation, link), id);
         self.by_link.insert((peer, peer_run, accepted), id);
         self.node_event(
             peer,
@@ -74,45 +74,54 @@
             link,
             hello: greeting,
         };
-        self.at(self.now + 1, Happening::Node(host, run, event));
+        self.schedule(self.now + 1, WorldEvent::Node(host, incarnation, event));
     }
 
     /// A host that stands still accepts a connection once it goes on; its opener has given it up by then.
-    fn leave_connection(&mut self, opener: usize, acceptor: usize) {
+    fn schedule_abandoned_link(&mut self, opener: usize, acceptor: usize) {
         let Some(node) = self.hosts[opener].node.as_ref() else {
             return;
         };
         let hello = Box::new(node.hello());
-        let run = self.hosts[acceptor].run;
-        self.at(self.now, Happening::Abandoned(acceptor, run, hello));
+        let incarnation = self.hosts[acceptor].incarnation;
+        self.schedule(
+            self.now,
+            WorldEvent::AbandonedLink(acceptor, incarnation, hello),
+        );
     }
 
     /// A host accepts a connection that its opener has given up.
-    pub(super) fn accept_abandoned(&mut self, host: usize, run: u32, hello: Hello) {
+    pub(super) fn accept_abandoned(&mut self, host: usize, incarnation: u32, hello: Hello) {
         let Some(node) = &mut self.hosts[host].node else {
             return;
         };
         let link = node.new_link();
-        self.node_event(host, run, Event::LinkAccepted { link, hello });
+        self.node_event(host, incarnation, Event::LinkAccepted { link, hello });
         let ended = Event::LinkClosed(link);
-        self.at(self.now, Happening::Node(host, run, ended));
+        self.schedule(self.now, WorldEvent::Node(host, incarnation, ended));
     }
 
-    pub(super) fn send(&mut self, host: usize, run: u32, link: LinkId, mut message: LinkMessage) {
-        if self.planted == Planted::ManyTokens {
+    pub(super) fn send(
+        &mut self,
+        host: usize,
+        incarnation: u32,
+        link: LinkId,
+        mut message: LinkMessage,
+    ) {
+        if self.injected_bug == InjectedBug::ExcessTokens {
             multiply_tokens(&mut message);
         }
-        let Some(id) = self.by_link.get(&(host, run, link)).copied() else {
+        let Some(id) = self.by_link.get(&(host, incarnation, link)).copied() else {
             return;
         };
         let Some(connection) = self.connections.get(&id).filter(|known| known.is_open) else {
             return;
         };
-        let to_opener = connection.acceptor == (host, run, link);
+        let to_opener = connection.acceptor == (host, incarnation, link);
         let (opener, acceptor) = (connection.opener.0, connection.acceptor.0);
-        if self.is_cut(opener, acceptor) {
+        if self.is_partitioned(opener, acceptor) {
             if let Some(connection) = self.connections.get_mut(&id) {
-                connection.held.push((to_opener, message));
+                connection.delayed_messages.push((to_opener, message));
             }
             return;
         }
@@ -127,24 +136,24 @@
         let last = &mut connection.last_delivery[usize::from(to_opener)];
         *last = (self.now + delay).max(*last);
         let time = *last;
-        self.at(time, Happening::Message(id, to_opener, message));
+        self.schedule(time, WorldEvent::Message(id, to_opener, message));
     }
 
     pub(super) fn deliver(&mut self, id: u64, to_opener: bool, message: LinkMessage) {
         let Some(connection) = self.connections.get(&id).filter(|known| known.is_open) else {
             return;
         };
-        let (host, run, link) = if to_opener {
+        let (host, incarnation, link) = if to_opener {
             connection.opener
         } else {
             connection.acceptor
         };
-        if self.hosts[host].frozen_until > self.now {
-            let thaw = self.hosts[host].frozen_until;
-            self.at(thaw, Happening::Message(id, to_opener, message));
+        if self.hosts[host].paused_until > self.now {
+            let resumes_at = self.hosts[host].paused_until;
+            self.schedule(resumes_at, WorldEvent::Message(id, to_opener, message));
             return;
         }
-        self.node_event(host, run, Event::Link { link, message });
+        self.node_event(host, incarnation, Event::Link { link, message });
     }
 
     /// Closes a connection; both ends are told.
@@ -156,15 +165,15 @@
             return;
         }
         let ends = [connection.opener, connection.acceptor];
-        for (host, run, link) in ends {
-            self.by_link.remove(&(host, run, link));
+        for (host, incarnation, link) in ends {
+            self.by_link.remove(&(host, incarnation, link));
             let event = Event::LinkClosed(link);
-            self.at(self.now + 1, Happening::Node(host, run, event));
+            self.schedule(self.now + 1, WorldEvent::Node(host, incarnation, event));
         }
     }
 
-    pub(super) fn is_cut(&self, one: usize, other: usize) -> bool {
-        self.cut.contains(&one) || self.cut.contains(&other)
+    pub(super) fn is_partitioned(&self, one: usize, other: usize) -> bool {
+        self.partitioned.contains(&one) || self.partitioned.contains(&other)
     }
 }
 
--- a/crates/rillgap-forward/tests/simulation/world/mod.rs
+++ b/crates/rillgap-forward/tests/simulation/world/mod.rs
@@ -27,8 +27,8 @@
 use rillgap_forward::store_epoch::StorePosition;
 use rillgap_forward::store_sync::{StoreRequest, StoreRequestId};
 
-use crate::day::Planted;
-use crate::judge::Judge;
+use crate::checker::Checker;
+use crate::scenario::InjectedBug;
 
 use object_store::ObjectStore;
 use setup::*;
@@ -36,7 +36,7 @@
 /// Services of the chain; each calls the next.
 pub const SERVICES: [&str; 3] = ["front", "middle", "deep"];
 /// Back ends of each service.
-const PER_SERVICE: usize = 3;
+const BACK_ENDS_PER_SERVICE: usize = 3;
 /// Requests that a back end works on at the same time.
 const SLOTS: u32 = 12;
 /// Retry bound of the deployment.
@@ -46,16 +46,16 @@
     window: Duration::from_secs(10),
 };
 /// Time within which a key that was taken away must have stopped working.
-pub const REVOCATION: Duration = Duration::from_secs(5);
+pub const MAX_REVOCATION_DELAY: Duration = Duration::from_secs(5);
 /// Limit of one of the two tenants, which asks for more.
-pub const LIMIT: RateLimit = RateLimit {
+pub const TENANT_LIMIT: RateLimit = RateLimit {
     per_second: 20.0,
     burst: 20.0,
 };
 /// Milliseconds between two heartbeats.
-const HEARTBEAT: u64 = 1_500;
+const HEARTBEAT_MILLIS: u64 = 1_500;
 /// Milliseconds for which a drained back end keeps serving.
-const DRAIN_SERVES: u64 = 3_500;
+const DRAINED_SERVING_MILLIS: u64 = 3_500;
 
 /// Key that a caller shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,7 +70,7 @@
 
 /// Something that happens at a time.
 #[derive(Debug)]
-pub enum Happening {
+pub enum WorldEvent {
     /// An event for the node of a host, unless it has been restarted.
     Node(usize, u32, Event),
     /// The node of a host may want to be woken.
@@ -80,9 +80,9 @@
     /// A connection is opened.
     Connect(usize, u32, LinkId, std::net::SocketAddr),
     /// A host accepts a connection whose opener has given it up.
-    Abandoned(usize, u32, Box<Hello>),
+    AbandonedLink(usize, u32, Box<Hello>),
     /// A back end has done its own work on a request.
-    Worked(usize, WorkKey),
+    WorkDone(usize, ExecutionKey),
     /// A back end sends a heartbeat.
     Heartbeat(usize, Incarnation),
     /// A heartbeat arrives.
@@ -92,22 +92,22 @@
     /// A back end starts.
     BackEndStarts(usize),
     /// A watch has waited long enough.
-    WatchOver(u64),
+    WatchTimeout(u64),
     /// A call reaches the store.
-    Store(usize, u32, StoreRequestId, StoreRequest),
+    StoreCall(usize, u32, StoreRequestId, StoreRequest),
     /// A caller sends a request.
-    Caller(usize),
+    CallerSends(usize),
     /// A request that ends each back end that runs it is sent, at any host and again and again.
     CrashingRequest(&'static str),
     /// A caller whose request has failed comes again, at any host.
-    Again {
+    CallerRetry {
         /// What it asks for.
         target: String,
         /// How often it has come.
-        tries: u32,
+        attempts: u32,
     },
     /// A caller leaves.
-    Leave(usize, u32, ConnectionId),
+    CallerDisconnects(usize, u32, ConnectionId),
     /// A fault begins or ends.
     Fault(Fault),
 }
@@ -122,11 +122,11 @@
     /// The process of a host starts.
     Start(usize),
     /// A host stands still until this time.
-    Freeze(usize, u64),
+    Pause(usize, u64),
     /// The machine of a host is suspended until this time.
     Suspend(usize, u64),
     /// A host is cut off from all others, or not any more.
-    Cut(usize, bool),
+    Partition(usize, bool),
     /// The store does not answer, or does again.
     StoreDown(bool),
     /// The store refuses a host and serves the others, or serves it again.
@@ -134,13 +134,13 @@
     /// The store says nothing any more to the hosts that watch it at this moment.
     StoreIgnoresWatchers,
     /// The answers of the store are lost, or not any more.
-    StoreLossy(bool),
+    StoreLosesAnswers(bool),
     /// The store forgets its history and cuts the watches.
-    Compact,
+    StoreCompacts,
     /// The store comes back from a copy that is so many milliseconds old.
-    StoreReturns(u64),
+    StoreRestored(u64),
     /// The operator writes the newest configuration again, which the store had lost.
-    WriteAgain,
+    RewriteConfiguration,
     /// A back end crashes.
     Crash(usize),
     /// A back end announces that it leaves; another takes its place.
@@ -159,13 +159,13 @@
 
 /// A request at a back end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WorkKey {
-    run: u32,
+pub struct ExecutionKey {
+    incarnation: u32,
     exchange: ExchangeId,
 }
 
 #[derive(Debug)]
-struct Work {
+struct Execution {
     id: String,
     instance: Incarnation,
     calls: bool,
@@ -177,134 +177,139 @@
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
-struct CallerTry {
+struct CallerAttempt {
     id: String,
     target: String,
-    tries: u32,
+    attempts: u32,
 }
 
 #[derive(Debug)]
 struct BackEnd {
     instance: Incarnation,
     /// Runs so far.
-    runs: u32,
+    start_count: u32,
     is_alive: bool,
     is_draining: bool,
     is_acknowledged: bool,
     sequence: u64,
-    works: BTreeMap<WorkKey, Work>,
-    lose_percent: u64,
+    executions: BTreeMap<ExecutionKey, Execution>,
+    lost_answer_percent: u64,
     fail_percent: u64,
-    slowness: u64,
+    slowdown: u64,
 }
 
 struct Host {
     name: String,
     node: Option<Node>,
-    run: u32,
+    incarnation: u32,
     /// Milliseconds by which the steady clock of the host is behind.
     clock_lag: u64,
-    frozen_until: u64,
+    paused_until: u64,
     version: u64,
     back_end: BackEnd,
     /// Calls of the back end under way: connection to the work that waits.
-    calls: BTreeMap<ConnectionId, WorkKey>,
+    calls: BTreeMap<ConnectionId, ExecutionKey>,
     /// Requests of callers under way.
-    callers: BTreeMap<ConnectionId, CallerTry>,
-    waking_at: u64,
+    callers: BTreeMap<ConnectionId, CallerAttempt>,
+    wakes_at: u64,
 }
 
 struct Connection {
     opener: (usize, u32, LinkId),
     acceptor: (usize, u32, LinkId),
     is_open: bool,
-    held: Vec<(bool, LinkMessage)>,
+    delayed_messages: Vec<(bool, LinkMessage)>,
     last_delivery: [u64; 2],
 }
 
 /// The whole deployment.
 pub struct World {
     pub now: u64,
-    order: u64,
-    queue: BTreeMap<(u64, u64), Happening>,
+    last_order: u64,
+    queue: BTreeMap<(u64, u64), WorldEvent>,
     hosts: Vec<Host>,
     connections: BTreeMap<u64, Connection>,
     by_link: BTreeMap<(usize, u32, LinkId), u64>,
     next_connection: u64,
     next_request: u64,
-    cut: BTreeSet<usize>,
+    partitioned: BTreeSet<usize>,
     random: ChaCha8Rng,
-    planted: Planted,
-    pub judge: Judge,
+    injected_bug: InjectedBug,
+    pub checker: Checker,
     pub statuses: BTreeMap<String, u16>,
     /// Newest configuration that the store has acknowledged.
     stored_version: u64,
     stored_at: u64,
     object_store: ObjectStore,
     store_down: bool,
-    refused: BTreeSet<usize>,
-    ignored: BTreeSet<usize>,
-    store_lossy: bool,
+    refused_by_store: BTreeSet<usize>,
+    ignored_watchers: BTreeSet<usize>,
+    store_loses_answers: bool,
     watches: BTreeMap<u64, (usize, u32, StoreRequestId, StorePosition)>,
     /// Calls that the store got, by name; lists that may be old are cheap and apart.
     pub store_calls: BTreeMap<&'static str, u64>,
     /// How often a node has begun or ceased to watch.
     pub watch_changes: u64,
     /// Whether each second run of a back end has the identifier of the one before.
-    keeps_identifiers: bool,
+    reuses_identifiers: bool,
     callers_until: u64,
     /// How often callers come with a request in all.
-    most_tries: u32,
+    max_caller_attempts: u32,
     /// Share of requests that ask for the same as others, in percent.
     popular_percent: u64,
     /// Requests that were refused because back ends have ended under requests like them.
-    pub held_back: u64,
+    pub quarantined_requests: u64,
 }
 
 impl World {
     /// Creates a deployment whose nodes start at once.
-    pub fn new(seed: u64, planted: Planted, callers_until: u64) -> Self {
-        Self::of_size(seed, planted, callers_until, PER_SERVICE)
+    pub fn new(seed: u64, injected_bug: InjectedBug, callers_until: u64) -> Self {
+        Self::of_size(seed, injected_bug, callers_until, BACK_ENDS_PER_SERVICE)
     }
 
     /// Creates a deployment with so many back ends of each service.
-    pub fn of_size(seed: u64, planted: Planted, callers_until: u64, per_service: usize) -> Self {
+    pub fn of_size(
+        seed: u64,
+        injected_bug: InjectedBug,
+        callers_until: u64,
+        per_service: usize,
+    ) -> Self {
         let hosts = (0..SERVICES.len() * per_service).map(new_host).collect();
         let mut world = Self {
             now: 0,
-            order: 0,
+            last_order: 0,
             queue: BTreeMap::new(),
             hosts,
             connections: BTreeMap::new(),
             by_link: BTreeMap::new(),
             next_connection: 0,
             next_request: 0,
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
-            planted,
-            judge: Judge::default(),
+            injected_bug,
+            checker: Checker::default(),
             statuses: BTreeMap::new(),
             stored_version: 1,
             stored_at: 0,
             object_store: ObjectStore::default(),
             store_down: false,
-            refused: BTreeSet::new(),
-            ignored: BTreeSet::new(),
-            store_lossy: false,
+            refused_by_store: BTreeSet::new(),
+            ignored_watchers: BTreeSet::new(),
+            store_loses_answers: false,
             watches: BTreeMap::new(),
-            keeps_identifiers: false,
+            reuses_identifiers: false,
             store_calls: BTreeMap::new(),
             watch_changes: 0,
             callers_until,
-            most_tries: 1,
+            max_caller_attempts: 1,
             popular_percent: 0,
-            held_back: 0,
+            quarantined_requests: 0,
         };
         for host in 0..world.hosts.len() {
             let start = world.draw(300);
-            world.at(start, Happening::Fault(Fault::Start(host)));
-            world.at(start + 200, Happening::BackEndStarts(host));
-            world.at(2_500 + start, Happening::Caller(host));
+            world.schedule(start, WorldEvent::Fault(Fault::Start(host)));
+            world.schedule(start + 200, WorldEvent::BackEndStarts(host));
+            world.schedule(2_500 + start, WorldEvent::CallerSends(host));
         }
         world
     }
@@ -315,18 +320,18 @@
     }
 
     /// Lets callers come again after a failure, this often in all.
-    pub fn let_callers_come_again(&mut self, most_tries: u32) {
-        self.most_tries = most_tries;
+    pub fn set_max_caller_attempts(&mut self, max_caller_attempts: u32) {
+        self.max_caller_attempts = max_caller_attempts;
     }
 
     /// Lets this share of requests ask for the same as others, in percent.
-    pub fn let_requests_be_alike(&mut self, percent: u64) {
+    pub fn set_popular_percent(&mut self, percent: u64) {
         self.popular_percent = percent;
     }
 
     /// Lets back ends start again under the identifier that they had, each second time.
-    pub fn let_back_ends_keep_identifiers(&mut self) {
-        self.keeps_identifiers = true;
+    pub fn reuse_back_end_identifiers(&mut self) {
+        self.reuses_identifiers = true;
     }
 
     /// Returns the running nodes whose record the store does not hold.
@@ -344,10 +349,10 @@
     }
 
     /// Schedules something.
-    pub fn at(&mut self, time: u64, happening: Happening) {
-        self.order += 1;
+    pub fn schedule(&mut self, time: u64, world_event: WorldEvent) {
+        self.last_order += 1;
         self.queue
-            .insert((time.max(self.now), self.order), happening);
+            .insert((time.max(self.now), self.last_order), world_event);
     }
 
     /// Runs until a time.
@@ -357,23 +362,23 @@
             if time > end {
                 break;
             }
-            let happening = entry.remove();
+            let world_event = entry.remove();
             self.now = time;
-            self.happen(happening);
+            self.handle(world_event);
         }
         self.now = end;
     }
 
     /// Judges whether every running node has the stored configuration.
     /// Returns the versions of the configuration in force, and that of the store.
-    pub fn versions(&self) -> (Vec<u64>, u64) {
+    pub fn configuration_versions(&self) -> (Vec<u64>, u64) {
         let nodes = self.hosts.iter().filter_map(|host| host.node.as_ref());
         let in_force = nodes.map(Node::configuration_version).collect();
         (in_force, self.stored_version)
     }
 
     /// Returns how many hosts wait for an answer of the store at this moment.
-    pub fn watching(&self) -> usize {
+    pub fn watcher_count(&self) -> usize {
         self.watching_hosts().len()
     }
 
@@ -382,56 +387,64 @@
         self.watches.values().map(|(host, ..)| *host).collect()
     }
 
-    pub fn judge_configurations(&mut self) {
+    pub fn check_configurations(&mut self) {
         let since = self.now - self.stored_at;
         for host in &self.hosts {
             if let Some(node) = &host.node {
                 let version = node.configuration_version();
-                self.judge
-                    .in_touch(&host.name, version, self.stored_version, since);
+                self.checker
+                    .check_configuration(&host.name, version, self.stored_version, since);
             }
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        if let Some(host) = host_of(&happening)
-            && self.hosts[host].frozen_until > self.now
+    fn handle(&mut self, world_event: WorldEvent) {
+        if let Some(host) = host_of(&world_event)
+            && self.hosts[host].paused_until > self.now
         {
-            let thaw = self.hosts[host].frozen_until;
-            self.at(thaw, happening);
+            let resumes_at = self.hosts[host].paused_until;
+            self.schedule(resumes_at, world_event);
             return;
         }
-        match happening {
-            Happening::Node(host, run, event) => self.node_event(host, run, event),
-            Happening::Wake(host, run) => {
-                self.hosts[host].waking_at = u64::MAX;
-                self.node_event(host, run, Event::Wake);
+        match world_event {
+            WorldEvent::Node(host, incarnation, event) => self.node_event(host, incarnation, event),
+            WorldEvent::Wake(host, incarnation) => {
+                self.hosts[host].wakes_at = u64::MAX;
+                self.node_event(host, incarnation, Event::Wake);
             }
-            Happening::Message(connection, to_opener, message) => {
+            WorldEvent::Message(connection, to_opener, message) => {
                 self.deliver(connection, to_opener, message);
             }
-            Happening::Connect(host, run, link, address) => self.connect(host, run, link, address),
-            Happening::Abandoned(host, run, hello) => self.accept_abandoned(host, run, *hello),
-            Happening::Worked(host, key) => self.worked(host, &key),
-            Happening::Heartbeat(host, instance) => self.send_heartbeat(host, &instance),
-            Happening::HeartbeatArrives(host, heartbeat) => self.heartbeat(host, &heartbeat),
-            Happening::BackEndEnds(host, instance) => self.end_back_end(host, &instance),
-            Happening::BackEndStarts(host) => self.start_back_end(host),
-            Happening::WatchOver(watch) => {
-                if let Some((host, run, id, after)) = self.watches.remove(&watch) {
-                    self.answer_watch(host, run, id, after);
+            WorldEvent::Connect(host, incarnation, link, address) => {
+                self.connect(host, incarnation, link, address)
+            }
+            WorldEvent::AbandonedLink(host, incarnation, hello) => {
+                self.accept_abandoned(host, incarnation, *hello)
+            }
+            WorldEvent::WorkDone(host, key) => self.on_work_done(host, &key),
+            WorldEvent::Heartbeat(host, instance) => self.send_heartbeat(host, &instance),
+            WorldEvent::HeartbeatArrives(host, heartbeat) => self.on_heartbeat(host, &heartbeat),
+            WorldEvent::BackEndEnds(host, instance) => self.end_back_end(host, &instance),
+            WorldEvent::BackEndStarts(host) => self.start_back_end(host),
+            WorldEvent::WatchTimeout(watch) => {
+                if let Some((host, incarnation, id, after)) = self.watches.remove(&watch) {
+                    self.answer_watch(host, incarnation, id, after);
                 }
             }
-            Happening::Store(host, run, id, request) => self.store(host, run, id, request),
-            Happening::Caller(host) => self.caller(host),
-            Happening::CrashingRequest(target) => self.send_crashing_request(target),
-            Happening::Again { target, tries } => self.come_again(target, tries),
-            Happening::Leave(host, run, connection) => {
+            WorldEvent::StoreCall(host, incarnation, id, request) => {
+                self.on_store_call(host, incarnation, id, request)
+            }
+            WorldEvent::CallerSends(host) => self.on_caller_turn(host),
+            WorldEvent::CrashingRequest(target) => self.send_crashing_request(target),
+            WorldEvent::CallerRetry { target, attempts } => {
+                self.resend_at_random_host(target, attempts)
+            }
+            WorldEvent::CallerDisconnects(host, incarnation, connection) => {
                 if self.hosts[host].callers.remove(&connection).is_some() {
-                    self.node_event(host, run, Event::CallerDisconnected(connection));
+                    self.node_event(host, incarnation, Event::CallerDisconnected(connection));
                 }
             }
-            Happening::Fault(fault) => self.fault(fault),
+            WorldEvent::Fault(fault) => self.apply_fault(fault),
         }
     }
 
@@ -441,15 +454,15 @@
         let entry = &self.hosts[host];
         let now = match entry.clock_lag {
             0 => self.now,
-            lag => self.now.max(entry.frozen_until) - lag,
+            lag => self.now.max(entry.paused_until) - lag,
         };
         Instant::from_micros(now * 1_000)
     }
 
-    fn node_event(&mut self, host: usize, run: u32, event: Event) {
+    fn node_event(&mut self, host: usize, incarnation: u32, event: Event) {
         let now = self.clock(host);
         let entry = &mut self.hosts[host];
-        if entry.run != run {
+        if entry.incarnation != incarnation {
             return;
         }
         let Some(node) = &mut entry.node else {
@@ -470,55 +483,65 @@
         };
         let version = node.configuration_version();
         let before = std::mem::replace(&mut entry.version, version);
-        self.judge.configured(&entry.name, before, version);
+        self.checker
+            .on_configuration_in_force(&entry.name, before, version);
         let wake = node.next_wake().as_micros().div_ceil(1_000) + entry.clock_lag;
         let wake = wake.max(self.now + 1);
-        if wake < entry.waking_at {
-            entry.waking_at = wake;
-            let run = entry.run;
-            self.at(wake, Happening::Wake(host, run));
+        if wake < entry.wakes_at {
+            entry.wakes_at = wake;
+            let incarnation = entry.incarnation;
+            self.schedule(wake, WorldEvent::Wake(host, incarnation));
         }
     }
 
     fn carry_out(&mut self, host: usize, action: Action) {
-        let run = self.hosts[host].run;
+        let incarnation = self.hosts[host].incarnation;
         match action {
             Action::Answer {
                 connection, answer, ..
-            } => self.answer(host, connection, &answer),
+            } => self.on_answer(host, connection, &answer),
             Action::OpenLink { link, address } => {
-                self.at(self.now + 1, Happening::Connect(host, run, link, address));
+                self.schedule(
+                    self.now + 1,
+                    WorldEvent::Connect(host, incarnation, link, address),
+                );
             }
-            Action::SendOnLink { link, message } => self.send(host, run, link, message),
+            Action::SendOnLink { link, message } => self.send(host, incarnation, link, message),
             Action::CloseLink(link) => {
-                if let Some(connection) = self.by_link.get(&(host, run, link)).copied() {
+                if let Some(connection) = self.by_link.get(&(host, incarnation, link)).copied() {
                     self.close(connection);
                 }
             }
-            Action::StartExchange(exchange) => self.start_exchange(host, run, &exchange),
+            Action::StartExchange(exchange) => self.start_exchange(host, incarnation, &exchange),
             Action::CancelExchange(exchange) => {
-                let key = WorkKey { run, exchange };
-                self.hosts[host].back_end.works.remove(&key);
+                let key = ExecutionKey {
+                    incarnation,
+                    exchange,
+                };
+                self.hosts[host].back_end.executions.remove(&key);
             }
-            Action::Probe { probe, .. } => self.probe(host, run, probe),
+            Action::Probe { probe, .. } => self.probe(host, incarnation, probe),
             Action::CallStore { id, request } => {
-                self.at(self.now + 4, Happening::Store(host, run, id, request));
+                self.schedule(
+                    self.now + 4,
+                    WorldEvent::StoreCall(host, incarnation, id, request),
+                );
             }
             Action::Log(note) => {
-                self.held_back += u64::from(is_held_back(&note));
+                self.quarantined_requests += u64::from(is_quarantine(&note));
                 self.watch_changes += u64::from(matches!(note, LogRecord::Watch { .. }));
             }
             Action::Acknowledge { .. } => {}
             Action::Exit => {
                 self.stop_process(host, true);
-                self.at(self.now + 600, Happening::Fault(Fault::Start(host)));
+                self.schedule(self.now + 600, WorldEvent::Fault(Fault::Start(host)));
             }
         }
     }
 }
 
 /// Returns whether a record tells that a request was refused because back ends have ended under requests like it.
-fn is_held_back(note: &LogRecord) -> bool {
+fn is_quarantine(note: &LogRecord) -> bool {
     match note {
         LogRecord::RequestQuarantined { .. } => true,
         LogRecord::NotAnswered { code, .. } => *code == ResultCode::Quarantined,
@@ -527,13 +550,13 @@
 }
 
 /// Returns the host that must be awake for something to happen.
-fn host_of(happening: &Happening) -> Option<usize> {
-    match happening {
-        Happening::Node(host, ..)
-        | Happening::Wake(host, _)
-        | Happening::Connect(host, ..)
-        | Happening::Abandoned(host, ..)
-        | Happening::HeartbeatArrives(host, _) => Some(*host),
+fn host_of(world_event: &WorldEvent) -> Option<usize> {
+    match world_event {
+        WorldEvent::Node(host, ..)
+        | WorldEvent::Wake(host, _)
+        | WorldEvent::Connect(host, ..)
+        | WorldEvent::AbandonedLink(host, ..)
+        | WorldEvent::HeartbeatArrives(host, _) => Some(*host),
         _ => None,
     }
 }
--- a/crates/rillgap-forward/tests/simulation/world/object_store.rs
+++ b/crates/rillgap-forward/tests/simulation/world/object_store.rs
@@ -8,7 +8,7 @@
 use rillgap_forward::watcher_election::name_hash;
 
 /// Records that one answer holds.
-const PAGE: usize = 100;
+const PAGE_RECORDS: usize = 100;
 /// Version of the configuration at the start.
 const FIRST_VERSION: u64 = 1;
 
@@ -27,7 +27,7 @@
     epoch: u64,
     state: State,
     /// Earlier states, with the time at which each was written.
-    states: Vec<(u64, State)>,
+    history: Vec<(u64, State)>,
 }
 
 impl Default for ObjectStore {
@@ -39,7 +39,7 @@
         };
         Self {
             epoch: 1,
-            states: vec![(0, state.clone())],
+            history: vec![(0, state.clone())],
             state,
         }
     }
@@ -65,7 +65,7 @@
     }
 
     /// Returns whether it has given out a revision in this epoch, or in the copy that it came from.
-    pub fn knows(&self, revision: u64) -> bool {
+    pub fn has_issued(&self, revision: u64) -> bool {
         revision <= self.state.revision
     }
 
@@ -73,7 +73,7 @@
     pub fn list(&self, from: u64, extent: ListExtent) -> NodeList {
         let mut records: Vec<NodeRecord> = self.state.records.values().cloned().collect();
         records.sort_by_key(|record| name_hash(&record.name));
-        if extent == ListExtent::Whole || records.len() <= PAGE {
+        if extent == ListExtent::Whole || records.len() <= PAGE_RECORDS {
             return NodeList {
                 lowest: records,
                 ..NodeList::default()
@@ -82,8 +82,8 @@
         let first = records.partition_point(|record| name_hash(&record.name) < from);
         let following = records[first..].iter().chain(&records[..first]);
         NodeList {
-            successors: Some(following.take(PAGE).cloned().collect()),
-            lowest: records[..PAGE].to_vec(),
+            successors: Some(following.take(PAGE_RECORDS).cloned().collect()),
+            lowest: records[..PAGE_RECORDS].to_vec(),
             unreadable: 0,
         }
     }
@@ -95,33 +95,33 @@
     pub fn configure(&mut self, now: u64, version: u64) {
         self.state.revision += 1;
         self.state.configuration = (version, self.state.revision);
-        self.keep(now);
+        self.record_state(now);
     }
 
     /// Stores a record; returns whether there was none.
     pub fn register(&mut self, now: u64, record: NodeRecord) -> bool {
         self.state.revision += 1;
         let before = self.state.records.insert(record.name.clone(), record);
-        self.keep(now);
+        self.record_state(now);
         before.is_none()
     }
 
     pub fn unregister(&mut self, now: u64, name: &str) {
         self.state.revision += 1;
         self.state.records.remove(name);
-        self.keep(now);
+        self.record_state(now);
     }
 
     /// Goes back to its state of an earlier time.
-    pub fn return_to(&mut self, time: u64) {
+    pub fn restore_to(&mut self, time: u64) {
         self.epoch += 1;
-        self.states.retain(|(at, _)| *at <= time);
-        if let Some((_, state)) = self.states.last() {
+        self.history.retain(|(at, _)| *at <= time);
+        if let Some((_, state)) = self.history.last() {
             self.state = state.clone();
         }
     }
 
-    fn keep(&mut self, now: u64) {
-        self.states.push((now, self.state.clone()));
+    fn record_state(&mut self, now: u64) {
+        self.history.push((now, self.state.clone()));
     }
 }
--- a/crates/rillgap-forward/tests/simulation/world/setup.rs
+++ b/crates/rillgap-forward/tests/simulation/world/setup.rs
@@ -35,29 +35,29 @@
     Host {
         name: format!("n{host}"),
         node: None,
-        run: 0,
+        incarnation: 0,
         clock_lag: 0,
-        frozen_until: 0,
+        paused_until: 0,
         version: 0,
         back_end: BackEnd {
             instance: Incarnation::without_start(""),
-            runs: 0,
+            start_count: 0,
             is_alive: false,
             is_draining: false,
             is_acknowledged: false,
             sequence: 0,
-            works: BTreeMap::new(),
-            lose_percent: 0,
+            executions: BTreeMap::new(),
+            lost_answer_percent: 0,
             fail_percent: 0,
-            slowness: 1,
+            slowdown: 1,
         },
         calls: BTreeMap::new(),
         callers: BTreeMap::new(),
-        waking_at: u64::MAX,
+        wakes_at: u64::MAX,
     }
 }
 
-pub(super) fn settings(host: usize, run: u32, random_seed: u64) -> ForwardSettings {
+pub(super) fn settings(host: usize, incarnation: u32, random_seed: u64) -> ForwardSettings {
     let port = 7_000 + u16::try_from(host).unwrap_or(0);
     ForwardSettings {
         record: NodeRecord {
@@ -66,15 +66,15 @@
             zone: format!("z{}", host / SERVICES.len() % ZONES),
             service: service(host).to_owned(),
         },
-        is_first_start: run == 1,
+        is_first_start: incarnation == 1,
         store_writes_per_second: 400.0,
-        incarnation: u64::from(run),
+        incarnation: u64::from(incarnation),
         random_seed,
         back_end_address: back_end_address(host),
-        heartbeat_interval: Duration::from_millis(HEARTBEAT),
+        heartbeat_interval: Duration::from_millis(HEARTBEAT_MILLIS),
         grace: Duration::from_secs(6),
         retry_bound: RETRY_BOUND,
-        revocation: Some(REVOCATION),
+        revocation: Some(MAX_REVOCATION_DELAY),
     }
 }
 
@@ -126,7 +126,7 @@
         services: services.to_vec(),
         tenants: vec![
             tenant("steady", &[Key::Kept, Key::OfVersion(version)], None),
-            tenant("limited", &[Key::Limited], Some(LIMIT)),
+            tenant("limited", &[Key::Limited], Some(TENANT_LIMIT)),
         ],
         limits: CallerLimits::default(),
     }
--- a/crates/rillgap-forward/tests/simulation/world/store.rs
+++ b/crates/rillgap-forward/tests/simulation/world/store.rs
@@ -6,18 +6,18 @@
     CALL_TIMEOUT, StoreFailure, StoreReply, StoreRequest, StoreRequestId,
 };
 
-use crate::day::Planted;
+use crate::scenario::InjectedBug;
 
 use super::*;
 
 /// Milliseconds after which a call that the store ignores is given up.
-const UNANSWERED: u64 = CALL_TIMEOUT.as_millis() as u64;
+const CALL_TIMEOUT_MILLIS: u64 = CALL_TIMEOUT.as_millis() as u64;
 
 impl World {
-    pub(super) fn store(
+    pub(super) fn on_store_call(
         &mut self,
         host: usize,
-        run: u32,
+        incarnation: u32,
         id: StoreRequestId,
         request: StoreRequest,
     ) {
@@ -29,23 +29,23 @@
         };
         *self.store_calls.entry(name).or_default() += 1;
         if let Some((reply, delay)) = self.store_failure(host) {
-            self.reply(host, run, id, reply, delay);
+            self.reply(host, incarnation, id, reply, delay);
             return;
         }
         let reply = match request {
             StoreRequest::ReadConfiguration => self.configuration_reply(0),
             StoreRequest::WatchConfiguration { after, wait } => {
-                if !self.object_store.knows(after.revision()) {
+                if !self.object_store.has_issued(after.revision()) {
                     StoreReply::PositionExpired(self.object_store.epoch())
-                } else if self.has_news_after(after.revision()) {
+                } else if self.has_visible_change_after(after.revision()) {
                     self.configuration_reply(after.revision())
                 } else {
                     self.next_connection += 1;
                     let watch = self.next_connection;
-                    self.watches.insert(watch, (host, run, id, after));
-                    self.at(
+                    self.watches.insert(watch, (host, incarnation, id, after));
+                    self.schedule(
                         self.now + wait.as_millis() as u64,
-                        Happening::WatchOver(watch),
+                        WorldEvent::WatchTimeout(watch),
                     );
                     return;
                 }
@@ -64,52 +64,52 @@
                 StoreReply::Unregistered(self.object_store.epoch())
             }
         };
-        if self.store_lossy && self.draw(2) == 0 {
+        if self.store_loses_answers && self.draw(2) == 0 {
             let reply = failed("answer lost");
-            self.reply(host, run, id, reply, UNANSWERED);
+            self.reply(host, incarnation, id, reply, CALL_TIMEOUT_MILLIS);
             return;
         }
-        self.reply(host, run, id, reply, 4);
+        self.reply(host, incarnation, id, reply, 4);
     }
 
     pub(super) fn reply(
         &mut self,
         host: usize,
-        run: u32,
+        incarnation: u32,
         id: StoreRequestId,
         reply: StoreReply,
         delay: u64,
     ) {
         let event = Event::Store { request: id, reply };
-        self.at(self.now + delay, Happening::Node(host, run, event));
+        self.schedule(self.now + delay, WorldEvent::Node(host, incarnation, event));
     }
 
     fn visible_version(&self) -> u64 {
-        match self.planted {
-            Planted::StaleConfiguration => 1,
+        match self.injected_bug {
+            InjectedBug::StaleConfiguration => 1,
             _ => self.object_store.version(),
         }
     }
 
-    fn has_news_after(&self, revision: u64) -> bool {
-        let is_stale = self.planted == Planted::StaleConfiguration;
+    fn has_visible_change_after(&self, revision: u64) -> bool {
+        let is_stale = self.injected_bug == InjectedBug::StaleConfiguration;
         !is_stale && self.object_store.has_changed_after(revision)
     }
 
     /// Returns how a call of a host to the store fails, and after how many milliseconds.
     fn store_failure(&self, host: usize) -> Option<(StoreReply, u64)> {
-        if self.store_down || self.cut.contains(&host) {
-            return Some((failed("no answer"), UNANSWERED));
+        if self.store_down || self.partitioned.contains(&host) {
+            return Some((failed("no answer"), CALL_TIMEOUT_MILLIS));
         }
-        if self.ignored.contains(&host) {
-            return Some((failed("no answer"), UNANSWERED));
+        if self.ignored_watchers.contains(&host) {
+            return Some((failed("no answer"), CALL_TIMEOUT_MILLIS));
         }
-        let is_refused = self.refused.contains(&host);
+        let is_refused = self.refused_by_store.contains(&host);
         is_refused.then(|| (failed("busy"), 4))
     }
 
     pub(super) fn configuration_reply(&self, after: u64) -> StoreReply {
-        let is_new = after == 0 || self.has_news_after(after);
+        let is_new = after == 0 || self.has_visible_change_after(after);
         StoreReply::Configuration {
             position: self.object_store.position(),
             configuration: is_new.then(|| configuration(self.visible_version())),
@@ -118,51 +118,51 @@
 
     /// Lets the store come back from a copy. Some watches get no answer, others a late one of the store that was
     /// lost; what the operator has written is written again a moment later.
-    pub(super) fn return_from_copy(&mut self, copy_age: u64) {
+    pub(super) fn restore_from_backup(&mut self, backup_age: u64) {
         let before = self.object_store.position();
         self.object_store
-            .return_to(self.now.saturating_sub(copy_age));
-        for (number, (host, run, id, _)) in std::mem::take(&mut self.watches) {
+            .restore_to(self.now.saturating_sub(backup_age));
+        for (number, (host, incarnation, id, _)) in std::mem::take(&mut self.watches) {
             let late = StoreReply::Configuration {
                 position: before,
                 configuration: None,
             };
             let (reply, delay) = match number % 2 {
-                0 => (failed("no answer"), UNANSWERED),
+                0 => (failed("no answer"), CALL_TIMEOUT_MILLIS),
                 _ => (late, 4),
             };
-            self.reply(host, run, id, reply, delay);
+            self.reply(host, incarnation, id, reply, delay);
         }
         let again = self.now + 200 + self.draw(1_000);
-        self.at(again, Happening::Fault(Fault::WriteAgain));
+        self.schedule(again, WorldEvent::Fault(Fault::RewriteConfiguration));
     }
 
     pub(super) fn answer_watch(
         &mut self,
         host: usize,
-        run: u32,
+        incarnation: u32,
         id: StoreRequestId,
         after: StorePosition,
     ) {
         if let Some((reply, delay)) = self.store_failure(host) {
-            self.reply(host, run, id, reply, delay);
+            self.reply(host, incarnation, id, reply, delay);
             return;
         }
         let reply = self.configuration_reply(after.revision());
-        self.reply(host, run, id, reply, 4);
+        self.reply(host, incarnation, id, reply, 4);
     }
 
     /// Answers the watches; those of hosts that the store ignores wait on.
     pub(super) fn answer_all_watches(&mut self) {
-        let ignored = self.ignored.clone();
+        let ignored_watchers = self.ignored_watchers.clone();
         let watches = std::mem::take(&mut self.watches);
-        let (unheard, heard) = watches
+        let (pending, to_answer) = watches
             .into_iter()
-            .partition(|(_, (host, ..))| ignored.contains(host));
-        self.watches = unheard;
-        let heard: BTreeMap<u64, (usize, u32, StoreRequestId, StorePosition)> = heard;
-        for (host, run, id, after) in heard.into_values() {
-            self.answer_watch(host, run, id, after);
+            .partition(|(_, (host, ..))| ignored_watchers.contains(host));
+        self.watches = pending;
+        let to_answer: BTreeMap<u64, (usize, u32, StoreRequestId, StorePosition)> = to_answer;
+        for (host, incarnation, id, after) in to_answer.into_values() {
+            self.answer_watch(host, incarnation, id, after);
         }
     }
 }
--- a/crates/rillgap-forward/tests/support/mod.rs
+++ b/crates/rillgap-forward/tests/support/mod.rs
@@ -37,7 +37,7 @@
 pub const WRITES: f64 = 400.0;
 
 /// Longest time after which a node without a configuration reads it, in milliseconds.
-const LONGEST_READ_MILLIS: u64 = 4_000;
+const MAX_READ_DELAY_MILLIS: u64 = 4_000;
 
 pub const HOST: &str = "fares.example";
 
@@ -331,7 +331,7 @@
                 StoreRequest::ReadConfiguration | StoreRequest::WatchConfiguration { .. }
             )
         };
-        for _ in 0..LONGEST_READ_MILLIS {
+        for _ in 0..MAX_READ_DELAY_MILLIS {
             if let Some(request) = self.store_call(is_read) {
                 return request;
             }
