--- a/crates/rillgap-forward/tests/simulation/checker.rs
+++ b/crates/rillgap-forward/tests/simulation/checker.rs
@@ -1,29 +1,31 @@
-//! Judges a day by what callers and back ends saw.
+//! Checks the guarantees of a deployment against what callers and back ends observed.
 
 use std::collections::BTreeMap;
 
 use crate::world::{Key, MAX_REVOCATION_DELAY, TENANT_LIMIT};
 
-/// Milliseconds after the acknowledgement of draining in which requests may still arrive.
+/// Milliseconds after the acknowledgement of draining within which requests may still arrive.
 const DRAIN_GRACE_MILLIS: u64 = 2_000;
-/// Milliseconds after a stored configuration by which every node in touch uses it.
+/// Milliseconds within which every connected node must apply a stored configuration.
 const MAX_APPLY_MILLIS: u64 = 2_000;
-/// Milliseconds of a day after which the share served again is judged.
+/// Length of the sliding window over which the retry budget is checked, in milliseconds.
 const RETRY_WINDOW_MILLIS: u64 = 10_000;
 
-/// Milliseconds over which a tenant's requests are summed.
+/// Length of the sliding window over which a tenant's requests are counted, in milliseconds.
 const LIMIT_WINDOW_MILLIS: u64 = 5_000;
-/// Milliseconds after which nodes that are not disturbed know what others knew.
+/// Milliseconds within which crash evidence must have reached every undisturbed node.
 const PROPAGATION_MILLIS: u64 = 3_000;
-/// Runs that a request may have after it has crashed three back ends and all nodes could know.
+/// Executions that a content may have after it has crashed three back ends and
+/// [`PROPAGATION_MILLIS`] have passed.
 const MAX_EXECUTIONS_AFTER_THIRD_CRASH: usize = 3;
 
-/// What a tenant may have beyond its limit, as a share and on top of that.
+/// Tolerance above the limit of a tenant: a fraction of it, and requests on top of that.
 const LIMIT_TOLERANCE: (f64, f64) = (0.1, 20.0);
 
-/// One request, as its caller and the back ends saw it.
+/// A request, as its caller and the back ends observed it.
 #[derive(Clone, Debug, Default)]
 struct RequestRecord {
+    /// Host of the entry node.
     host: usize,
     target: String,
     is_idempotent: bool,
@@ -31,11 +33,13 @@
     sent_at: u64,
     key: Option<Key>,
     executions: u32,
+    /// An answer to the caller has guaranteed that the request was not executed.
     was_reported_not_run: bool,
 }
 
 impl RequestRecord {
-    /// Returns what the request asks for and of which tenant: the same again is the same work.
+    /// Returns the content of the request: its target and its tenant, by which retries of a caller
+    /// are counted together.
     fn content(&self) -> String {
         let tenant = match self.key {
             None => "nobody",
@@ -46,7 +50,7 @@
     }
 }
 
-/// A run of a request, with the host at which it began.
+/// An execution of a request, with the host of its entry node.
 #[derive(Clone, Copy, Debug)]
 struct Execution {
     started_at: u64,
@@ -54,32 +58,34 @@
     host: usize,
 }
 
-/// Judges a day.
+/// Records what happens in a scenario and collects violated guarantees.
 #[derive(Debug, Default)]
 pub struct Checker {
     requests: BTreeMap<String, RequestRecord>,
+    /// Time at which the draining of each incarnation of a back end was acknowledged.
     drain_acknowledged_at: BTreeMap<String, u64>,
+    /// Time and service of each execution, and whether it repeats one of the same request.
     arrivals: Vec<(u64, String, bool)>,
-    /// When each version of the configuration was stored.
+    /// Time at which each version of the configuration was stored.
     stored_at: BTreeMap<u64, u64>,
-    /// When each request of the tenant with a limit that ran was sent, and when it ran.
+    /// Times at which each executed request of the limited tenant was sent and first executed.
     limited_executions: Vec<(u64, u64)>,
-    /// When back ends began to work on each target, by caller.
+    /// Executions by content.
     executions_by_content: BTreeMap<String, Vec<Execution>>,
-    /// Hosts that were disturbed, from when to when.
+    /// Hosts that were disturbed, with begin and end.
     disturbances: Vec<(usize, u64, u64)>,
-    /// When back ends have ended under each target, by caller.
+    /// Times at which back ends crashed because of a request, by its content.
     crashes: BTreeMap<String, Vec<u64>>,
-    /// What was broken.
+    /// Violated guarantees; each text begins with the name of the check.
     pub violations: Vec<String>,
-    /// Requests of callers.
+    /// Requests that callers sent, without calls of back ends.
     pub caller_requests: u64,
-    /// Those that were answered with success.
+    /// Requests of callers that were answered with status 200.
     pub served: u64,
 }
 
 impl Checker {
-    /// A caller sends a request.
+    /// Records a request or call that is sent to the node of `host`.
     pub fn on_sent(
         &mut self,
         now: u64,
@@ -101,22 +107,23 @@
         self.caller_requests += u64::from(!is_call);
     }
 
-    /// The caller of a request shows a key.
+    /// Records the key with which a request was sent.
     pub fn on_key(&mut self, id: &str, key: Key) {
         if let Some(record) = self.requests.get_mut(id) {
             record.key = Some(key);
         }
     }
 
-    /// The operator's configuration is accepted.
+    /// Records the time at which the store accepted a version of the configuration.
     pub fn on_configuration_stored(&mut self, now: u64, version: u64) {
         self.stored_at.insert(version, now);
     }
 
-    /// A back end begins to work on a request.
+    /// Records that a back end begins to execute a request, and checks that it may.
     pub fn on_execution_started(&mut self, now: u64, id: &str, instance: &str, service: &str) {
         let Some(record) = self.requests.get_mut(id) else {
-            self.violations.push(format!("UNASKED {id}"));
+            self.violations
+                .push(format!("UNASKED {id} was executed and never sent"));
             return;
         };
         record.executions += 1;
@@ -146,7 +153,7 @@
         }
         if record.was_reported_not_run && !record.is_idempotent {
             self.violations
-                .push(format!("REFUSED {id} ran after the promise"));
+                .push(format!("REFUSED {id} ran after it was reported as not run"));
         }
         let drain_acknowledged_at = self.drain_acknowledged_at.get(instance).copied();
         if drain_acknowledged_at.is_some_and(|at| now > at + DRAIN_GRACE_MILLIS) {
@@ -155,7 +162,7 @@
         }
     }
 
-    /// A back end ends while it works on a request, and because of it.
+    /// Records that a request has crashed the back end that executed it.
     pub fn on_crash(&mut self, now: u64, id: &str) {
         if let Some(record) = self.requests.get(id) {
             let crashes = self.crashes.entry(record.content());
@@ -163,22 +170,25 @@
         }
     }
 
-    /// A host is disturbed from a moment to another: what it cannot know meanwhile is not held against it.
+    /// Records the begin and end of a disturbance of a host.
+    ///
+    /// Requests that the host receives during the disturbance, or within [`PROPAGATION_MILLIS`]
+    /// after it, are not checked: crash evidence may not have reached its node.
     pub fn on_disturbance(&mut self, host: usize, from: u64, to: u64) {
         self.disturbances.push((host, from, to));
     }
 
     fn was_undisturbed(&self, execution: &Execution) -> bool {
-        let touches = |(host, from, to): &(usize, u64, u64)| {
+        let overlaps = |(host, from, to): &(usize, u64, u64)| {
             *host == execution.host
                 && *from <= execution.sent_at
                 && execution.sent_at < to + PROPAGATION_MILLIS
         };
-        !self.disturbances.iter().any(touches)
+        !self.disturbances.iter().any(overlaps)
     }
 
-    /// Judges how often requests that crash back ends were run once three had ended and all nodes could
-    /// know.
+    /// Checks that a content is hardly executed any more once it has crashed three back ends and
+    /// this evidence has reached the nodes.
     pub fn check_crashing_requests(&mut self) {
         for (content, crashes) in &self.crashes {
             let Some(third) = crashes.get(2) else {
@@ -199,14 +209,15 @@
         }
     }
 
-    /// A node acknowledges that a back end drains.
+    /// Records the first acknowledgement that a back end drains.
     pub fn on_drain_acknowledged(&mut self, now: u64, instance: &str) {
         self.drain_acknowledged_at
             .entry(instance.to_owned())
             .or_insert(now);
     }
 
-    /// A caller gets an answer, of the run of `body` if it is a success.
+    /// Checks the answer to a request; the body of a successful one is the identifier of the
+    /// request that was executed.
     pub fn on_answer(&mut self, id: &str, status: u16, body: &str) {
         let Some(record) = self.requests.get_mut(id) else {
             self.violations
@@ -215,7 +226,8 @@
         };
         let is_not_run = matches!(status, 408 | 421 | 429 | 503);
         if is_not_run && !record.is_idempotent && record.executions > 0 {
-            self.violations.push(format!("REFUSED {id} had run"));
+            self.violations
+                .push(format!("REFUSED {id} was reported as not run and had run"));
         }
         record.was_reported_not_run |= is_not_run;
         if status == 200 && body != id {
@@ -229,24 +241,26 @@
         self.served += u64::from(status == 200 && !record.is_call);
     }
 
-    /// A node puts a configuration in force.
+    /// Checks that the version of the configuration in force at a node does not decrease.
     pub fn on_configuration_in_force(&mut self, node: &str, before: u64, version: u64) {
         if version < before {
             self.violations.push(format!(
-                "CONFIG {node} went from {before} back to {version}"
+                "CONFIG {node} went from version {before} back to {version}"
             ));
         }
     }
 
-    /// A node in touch still uses `version` at the end of `since` milliseconds with `stored`.
+    /// Checks that a node with `version` in force has applied version `stored`, which the store has
+    /// held for `since` milliseconds.
     pub fn check_configuration(&mut self, node: &str, version: u64, stored: u64, since: u64) {
         if version < stored && since > MAX_APPLY_MILLIS {
-            self.violations
-                .push(format!("CONFIG {node} has {version}, {stored} is stored"));
+            self.violations.push(format!(
+                "CONFIG {node} has version {version} in force, {stored} is stored"
+            ));
         }
     }
 
-    /// Judges the budget of repeats: arrivals past the first within any window.
+    /// Checks the retry budget of each service: repeated executions within any window.
     pub fn check_budget(&mut self, ratio: f64, slack: f64) {
         let mut by_service: BTreeMap<String, Vec<(u64, bool)>> = BTreeMap::new();
         for (at, service, is_retry) in &self.arrivals {
@@ -260,22 +274,25 @@
                     first += 1;
                 }
                 let window = &arrivals[first..=last];
-                let again = window.iter().filter(|(_, is_retry)| *is_retry).count();
-                let requests = window.len() - again;
-                if again as f64 > ratio * requests as f64 + slack {
-                    self.violations
-                        .push(format!("BUDGET {service}: {again} of {requests}"));
+                let retries = window.iter().filter(|(_, is_retry)| *is_retry).count();
+                let requests = window.len() - retries;
+                if retries as f64 > ratio * requests as f64 + slack {
+                    self.violations.push(format!(
+                        "BUDGET {service}: {retries} retries for {requests} requests"
+                    ));
                     return;
                 }
             }
         }
     }
 
-    /// Judges the limit of the tenant that has one: requests that are sent and run within any window.
+    /// Checks the limit of the limited tenant: requests that are both sent and executed within any
+    /// window.
     pub fn check_limit(&mut self) {
-        let (share, more) = LIMIT_TOLERANCE;
+        let (fraction, extra) = LIMIT_TOLERANCE;
         let seconds = LIMIT_WINDOW_MILLIS as f64 / 1_000.0;
-        let bound = (TENANT_LIMIT.per_second * seconds + TENANT_LIMIT.burst) * (1.0 + share) + more;
+        let bound =
+            (TENANT_LIMIT.per_second * seconds + TENANT_LIMIT.burst) * (1.0 + fraction) + extra;
         for (from, _) in &self.limited_executions {
             let to = from + LIMIT_WINDOW_MILLIS;
             let within = self
@@ -284,33 +301,38 @@
                 .filter(|(sent, ran)| sent >= from && *ran < to);
             let count = within.count();
             if count as f64 > bound {
-                self.violations
-                    .push(format!("LIMIT {count} from {from} on"));
+                self.violations.push(format!(
+                    "LIMIT {count} requests within the window that begins at {from} ms"
+                ));
                 return;
             }
         }
     }
 
-    /// Returns how much callers whose key is always good have asked for from a moment on, and how much of it was
-    /// served at any try, without what crashes back ends.
+    /// Returns the number of targets that callers with a permanent key requested in a time range,
+    /// and how many of them were served by any attempt. Targets that crash back ends are left out.
     pub fn count_other_requests(
         &self,
         answered: &BTreeMap<String, u16>,
         from: u64,
         to: u64,
     ) -> (usize, usize) {
-        let mut works: BTreeMap<&str, bool> = BTreeMap::new();
+        let mut served_by_target: BTreeMap<&str, bool> = BTreeMap::new();
         for (id, record) in &self.requests {
             let is_other = record.key == Some(Key::Kept) && !record.target.contains("crash");
             if is_other && (from..to).contains(&record.sent_at) {
-                *works.entry(&record.target).or_default() |= answered.get(id) == Some(&200);
+                *served_by_target.entry(&record.target).or_default() |=
+                    answered.get(id) == Some(&200);
             }
         }
-        let served = works.values().filter(|is_served| **is_served).count();
-        (works.len(), served)
+        let served = served_by_target
+            .values()
+            .filter(|is_served| **is_served)
+            .count();
+        (served_by_target.len(), served)
     }
 
-    /// Judges the recovery: the share served of what was sent from a moment on.
+    /// Checks the recovery: a quarter of the requests sent in a time range must have succeeded.
     pub fn check_recovery(&mut self, answered: &BTreeMap<String, u16>, from: u64, to: u64) {
         let late = self
             .requests
@@ -322,8 +344,10 @@
             .filter(|status| **status == Some(200))
             .count();
         if served * 4 < statuses.len() {
-            self.violations
-                .push(format!("RECOVER {served} of {} served", statuses.len()));
+            self.violations.push(format!(
+                "RECOVER {served} of {} requests served",
+                statuses.len()
+            ));
         }
     }
 }
--- a/crates/rillgap-forward/tests/simulation/crashing_requests.rs
+++ b/crates/rillgap-forward/tests/simulation/crashing_requests.rs
@@ -1,10 +1,12 @@
-//! Requests that end each back end that runs them.
+//! Requests that crash each back end that executes them.
 //!
-//! A request whose content ends the process that works on it comes again and again, with a new identifier
-//! and at any node. Nodes repeated it like any request whose answer was lost, and remembered nothing of it
-//! beyond one try: three back ends of a service ended within 0.11 s, started again 3.4 s later and ended again, as
-//! long as the request came, and the service had next to no success in most of these seconds. What settled it were the losses beside
-//! the three back ends, all requests under way within 2 ms and with 8 of 134 slots in use:
+//! A request whose content crashes the process that executes it is sent again and again, with a new
+//! identifier and to any node. Nodes that retry it like any request whose answer was lost, and keep
+//! nothing about it beyond one attempt, spread the crashes: three back ends of a service crashed
+//! within 0.11 s, restarted 3.4 s later and crashed again for as long as the request was sent. In
+//! most of these seconds the service answered next to no request successfully. The losses at the
+//! nodes of the three back ends showed the cause: all requests in flight were lost within 2 ms,
+//! with 8 of 134 slots in use:
 //!
 //! ```text
 //!  9.8562 a-1 "inbound: no answer" code=71 running=7 queued=0 limit=134
@@ -17,21 +19,21 @@
 use crate::scenario::InjectedBug;
 use crate::world::{Fault, World, WorldEvent};
 
-/// Days that are played.
+/// Number of seeds that are simulated for each case.
 const SEEDS: u64 = 30;
-/// When the request comes first, in milliseconds.
+/// Time at which the crashing request is first sent, in milliseconds; seeds add to it.
 const FIRST_SENT_AT: u64 = 4_000;
-/// Times that a caller comes with a request, in all.
+/// Maximum number of attempts that a caller makes with a request.
 const MAX_CALLER_ATTEMPTS: u32 = 3;
-/// End of the callers, and of the day, in milliseconds.
+/// Times at which callers stop and at which the scenario ends, in milliseconds.
 const CALLERS_AND_SCENARIO_END: (u64, u64) = (24_000, 26_000);
 
-/// Returns when such a request comes first on the day of a seed.
+/// Returns the time at which the crashing request of a seed is first sent, in milliseconds.
 fn first_sent_at(seed: u64) -> u64 {
     FIRST_SENT_AT + seed % 1_000 * 37
 }
 
-/// Plays a day on which requests for these targets end each back end that runs them.
+/// Runs a scenario in which requests for these targets crash each back end that executes them.
 fn run_scenario(seed: u64, targets: &[&'static str]) -> World {
     let mut world = World::new(seed, InjectedBug::None, CALLERS_AND_SCENARIO_END.0);
     world.set_max_caller_attempts(MAX_CALLER_ATTEMPTS);
@@ -44,7 +46,8 @@
     world
 }
 
-/// Targets that end back ends, of one day each: may be repeated, may run once only, two of one service.
+/// Targets that crash back ends, for one scenario each: an idempotent one, one that may be executed
+/// at most once, and two of one service.
 const CRASHING_TARGETS: [&[&str]; 3] = [
     &["/deep/crash/a"],
     &["/once/crash/a"],
@@ -65,24 +68,25 @@
     }
 }
 
-/// Disturbances of nodes while such a request goes on coming.
+/// Disturbances of nodes while a crashing request is sent again and again.
 #[derive(Clone, Copy, Debug)]
 enum Disturbance {
-    /// Processes of single nodes are killed, hosts lose power, are cut off or stand still.
+    /// Processes of single nodes are killed or paused; single hosts lose power or are partitioned.
     Single,
     /// All hosts lose power at once, three times.
     AllLosePower,
-    /// The same, and the store refuses a third of them when they are back.
+    /// All hosts lose power at once, three times, and the store refuses a third of them afterwards.
     AllLosePowerAndStoreRefuses,
 }
 
-/// Target that ends back ends and that one caller asks for.
+/// Target that crashes back ends and that a single caller requests.
 const SINGLE_CALLER_TARGET: &str = "/deep/crash/one-caller";
-/// Milliseconds after the first such request until all hosts lose power, and between two such losses.
+/// Milliseconds from the first crashing request to the first power loss of all hosts, and between
+/// two power losses.
 const POWER_LOSS_INTERVAL: u64 = 7_000;
-/// End of the callers, and of the day, on days of disturbances, in milliseconds.
+/// [`CALLERS_AND_SCENARIO_END`] of scenarios with disturbances.
 const DISTURBED_CALLERS_AND_SCENARIO_END: (u64, u64) = (34_000, 36_000);
-/// Milliseconds for which they are without it.
+/// Duration of a power loss, in milliseconds.
 const POWER_LOSS_MILLIS: u64 = 1_000;
 
 fn schedule_disturbance(world: &mut World, first: u64, disturbance: Disturbance) {
@@ -146,20 +150,21 @@
     }
 }
 
-/// Milliseconds after the first such request for which the service to others is counted.
+/// Milliseconds after the first crashing request for which requests of other callers are counted.
 const OBSERVATION_MILLIS: u64 = 8_000;
 
-/// Groups of days over which the service to others is counted: what one group comes to depends on its seeds.
+/// Groups of [`SEEDS`] seeds over which requests of other callers are counted; the result of a
+/// single group depends too much on its seeds.
 const SEED_GROUPS: u64 = 5;
 
 #[gtest]
 fn other_requests_are_served_while_a_request_crashes_back_ends() {
-    // Nearly all chains lead to one service of three back ends. 0.61, 0.75 and 0.31 as measured.
+    // Nearly all chains lead to one service with three back ends. Measured: 0.61, 0.75 and 0.31.
     let floors = [0.55, 0.68, 0.25];
     for (targets, floor) in CRASHING_TARGETS.iter().zip(floors) {
-        let (mut caller_requests, mut served) = (0, 0);
+        let (mut requested, mut served) = (0, 0);
         for seed in
-            (0..SEED_GROUPS).flat_map(|group| (0..SEEDS).map(move |day| group * 1_000 + day))
+            (0..SEED_GROUPS).flat_map(|group| (0..SEEDS).map(move |index| group * 1_000 + index))
         {
             let world = run_scenario(seed, targets);
             let first = first_sent_at(seed);
@@ -168,28 +173,29 @@
                 first,
                 first + OBSERVATION_MILLIS,
             );
-            caller_requests += counts.0;
+            requested += counts.0;
             served += counts.1;
         }
-        let share = served as f64 / caller_requests as f64;
-        expect_that!(share, gt(floor), "{targets:?}");
+        let served_fraction = served as f64 / requested as f64;
+        expect_that!(served_fraction, gt(floor), "{targets:?}");
     }
 }
 
-/// Ways in which back ends end although no request is to blame.
+/// Patterns of crashes that no request causes.
 #[derive(Clone, Copy, Debug)]
 enum CrashPattern {
-    /// Any one, every 300 ms.
+    /// A random back end crashes every 300 ms.
     Wave,
-    /// Those of one service one after the other, within the time of a few requests.
+    /// The back ends of one service crash one after the other, within the duration of a
+    /// few requests.
     Rolling,
-    /// Those of one zone at once, with their nodes.
+    /// The back ends of one zone crash at once, with their nodes.
     Zone,
-    /// Two of one service down and up by turns.
+    /// Two back ends of one service crash by turns and restart.
     Flapping,
 }
 
-/// Schedules crashes that no request is to blame for.
+/// Schedules five rounds of crashes that no request causes.
 fn schedule_unrelated_crashes(world: &mut World, kind: CrashPattern) {
     let crash =
         |world: &mut World, at, host| world.schedule(at, WorldEvent::Fault(Fault::Crash(host)));
@@ -223,10 +229,10 @@
     }
 }
 
-/// Plays a day on which back ends end although no request is to blame.
+/// Runs a scenario with crashes that no request causes.
 fn run_with_unrelated_crashes(kind: CrashPattern, seed: u64) -> World {
     let mut world = World::new(seed, InjectedBug::None, CALLERS_AND_SCENARIO_END.0);
-    // Callers that come at once and often meet several crashes with one request.
+    // With up to six attempts, a request of a caller is often in flight at several crashes.
     world.set_max_caller_attempts(6);
     world.set_popular_percent(if seed.is_multiple_of(2) { 20 } else { 0 });
     schedule_unrelated_crashes(&mut world, kind);
@@ -250,8 +256,9 @@
     }
 }
 
-/// On these 2 of 1,200 days requests were refused that were under way at three crashes by chance, twice as the only suspect.
-/// On the first it was what a fifth of all callers asked for, and 1,110 of their requests were refused.
+/// Guards against quarantining a request that was in flight at three crashes by chance, at two of
+/// them as the only suspect. 2 of 1,200 scenarios failed this way. In the first one a fifth of all
+/// callers requested the same content, and 1,110 of their requests were refused.
 #[gtest]
 fn request_in_flight_at_three_unrelated_crashes_is_not_quarantined() {
     for (kind, seed) in [(CrashPattern::Rolling, 140), (CrashPattern::Wave, 260)] {
@@ -260,7 +267,8 @@
     }
 }
 
-/// One request was refused on this day: it met three crashes before enough others were known to doubt that it is to blame.
+/// Guards against quarantining a request that was in flight at three crashes before enough other
+/// crashes were known to tell that it did not cause them. One request was refused this way.
 #[gtest]
 fn request_in_flight_at_the_first_crashes_of_a_wave_is_not_quarantined() {
     let world = run_with_unrelated_crashes(CrashPattern::Wave, 297);
--- a/crates/rillgap-forward/tests/simulation/main.rs
+++ b/crates/rillgap-forward/tests/simulation/main.rs
@@ -1,6 +1,8 @@
-//! Random days of a whole deployment on a virtual clock, judged by what truly ran.
+//! Simulates a whole deployment on a virtual clock with random faults, and checks its guarantees
+//! against what the back ends executed.
 //!
-//! Every day follows from its seed. A day that ever failed stays here as a case of its own.
+//! A seed determines the whole scenario. Scenarios that failed once are kept as test cases of their
+//! own.
 
 mod checker;
 mod crashing_requests;
@@ -14,10 +16,10 @@
 use scenario::{InjectedBug, run_scenario};
 use world::{Fault, World, WorldEvent};
 
-/// Days that every run of the tests plays.
+/// Number of seeds that a test run simulates by default.
 const SEEDS: u64 = 150;
 
-/// Environment variable that names another number of days, for exploration by hand.
+/// Environment variable that overrides [`SEEDS`] for manual exploration.
 const SEEDS_VARIABLE: &str = "RILLGAP_SIMULATED_DAYS";
 
 #[gtest]
@@ -32,11 +34,11 @@
         served += report.served;
         caller_requests += report.caller_requests;
     }
-    // Days full of faults, but by far not all is lost.
+    // Despite the faults, more than 60 % of the requests must succeed.
     expect_that!(served * 10, gt(caller_requests * 6));
 }
 
-/// Milliseconds within which an accepted configuration must be in force everywhere.
+/// Milliseconds within which a stored configuration must be in force at every node.
 const MAX_APPLY_MILLIS: u64 = 2_000;
 
 #[gtest]
@@ -63,19 +65,21 @@
     }
 }
 
-/// Time for which a node is out of touch while the configuration changes.
+/// Milliseconds for which a node is paused or partitioned while the configuration changes.
 const DISCONNECTED_MILLIS: u64 = 5_000;
-/// Days on which a node is out of touch.
+/// Number of seeds that are simulated for each kind of outage.
 const DISCONNECTED_SEEDS: u64 = 45;
 
-/// Plays a day on which one node is out of touch from a first to a second moment, as `schedule` says, while
-/// the configuration changes; expects the new version to be in force everywhere in time after that.
-fn expect_in_force_after_outage(seed: u64, schedule: impl Fn(&mut World, usize, u64, u64)) {
+/// Changes the configuration during an outage of one node, and expects the new version to be in
+/// force at every node within [`MAX_APPLY_MILLIS`] after the outage.
+///
+/// `schedule_outage` schedules the outage of a host from a begin to an end.
+fn expect_in_force_after_outage(seed: u64, schedule_outage: impl Fn(&mut World, usize, u64, u64)) {
     let mut world = World::new(seed, InjectedBug::None, 12_000);
     let host = seed as usize % world.size();
     let from = 4_000 + seed * 37;
     let until = from + DISCONNECTED_MILLIS;
-    schedule(&mut world, host, from, until);
+    schedule_outage(&mut world, host, from, until);
     world.schedule(from + 1_300, WorldEvent::Fault(Fault::Configure));
     world.run_until(until + MAX_APPLY_MILLIS);
     let (in_force, stored) = world.configuration_versions();
@@ -123,7 +127,7 @@
     }
 }
 
-/// Returns what is broken on the first days, with a fault planted into the world.
+/// Returns the violations of all seeds of a simulation with an injected bug.
 fn violations_with(injected_bug: InjectedBug) -> Vec<String> {
     (0..SEEDS)
         .flat_map(|seed| run_scenario(seed, injected_bug).violations)
--- a/crates/rillgap-forward/tests/simulation/scenario.rs
+++ b/crates/rillgap-forward/tests/simulation/scenario.rs
@@ -1,49 +1,50 @@
-//! One random day.
+//! Runs one scenario with random faults and reports violated guarantees.
 
 use crate::world::{Fault, RETRY_BOUND, World, WorldEvent};
 
-/// When faults begin, at the earliest and at the latest.
+/// Range of the times at which faults begin, in milliseconds.
 const FAULT_BEGIN_RANGE: (u64, u64) = (3_000, 9_000);
-/// When the last fault is over.
+/// Time by which all faults have ended, in milliseconds.
 const LAST_FAULT_END: u64 = 12_000;
-/// From when to when what is sent must mostly be served again.
+/// Begin and end of the time after the faults in which requests must succeed again, in
+/// milliseconds.
 const RECOVERY_WINDOW: (u64, u64) = (16_000, 18_000);
-/// End of the callers, and of the day.
+/// Times at which callers stop and at which the scenario ends, in milliseconds.
 const CALLERS_AND_SCENARIO_END: (u64, u64) = (18_000, 20_000);
 
-/// A fault of the world itself, to show that the judge catches it.
+/// A bug in the simulated environment, which the checker must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// None.
+    /// No bug.
     None,
-    /// A request that ran is reported as never sent.
+    /// Some executed requests are reported as never sent to the back end.
     FalseNotSent,
-    /// A back end says that it did not run what it ran.
+    /// Back ends report some executed requests as not executed.
     FalseNotExecuted,
-    /// A back end's answer holds another request's body.
+    /// Some answers have the body of another request.
     SwappedAnswer,
-    /// Draining is acknowledged and the node is not told.
+    /// The draining of a back end is acknowledged but never reaches its node.
     LostDrainAnnouncement,
-    /// The store shows its first configuration for ever.
+    /// The store always returns its first configuration.
     StaleConfiguration,
-    /// The steady clock of a host stands still while its machine is suspended.
+    /// The monotonic clock of a host stops while its machine is suspended.
     ClockStopsInSuspension,
-    /// Nodes that own buckets give three times the tokens.
+    /// The owners of tenants' buckets grant three times the tokens.
     ExcessTokens,
 }
 
-/// What a day came to.
+/// Result of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Promises that were broken.
+    /// Violated guarantees; each text begins with the name of the check.
     pub violations: Vec<String>,
-    /// Requests of callers.
+    /// Requests that callers sent, without calls of back ends.
     pub caller_requests: u64,
-    /// Those that were answered with success.
+    /// Requests of callers that were answered with status 200.
     pub served: u64,
 }
 
-/// Plays the day of a seed.
+/// Runs the scenario of a seed.
 pub fn run_scenario(seed: u64, injected_bug: InjectedBug) -> Report {
     let mut world = World::new(seed, injected_bug, CALLERS_AND_SCENARIO_END.0);
     let faults = 3 + world.draw(5);
@@ -67,7 +68,7 @@
     }
 }
 
-/// Schedules one fault, with its end.
+/// Schedules a random fault and its end.
 fn schedule_random_fault(world: &mut World, begin: u64) {
     let size = world.size() as u64;
     let host = world.draw(size) as usize;
@@ -110,7 +111,8 @@
         9 => at(begin, Fault::Drain(host)),
         10 => {
             at(begin, Fault::Drain(host));
-            // A node that does not remember meets late heartbeats of the one that leaves.
+            // The restarted node has lost its state and receives late heartbeats of the draining
+            // back end.
             at(begin + 700, Fault::Kill(host));
             at(begin + 1_200, Fault::Start(host));
         }
@@ -124,7 +126,7 @@
             at(end, Fault::LoseAnswers(host, 0));
         }
         13 => {
-            // The store turns some hosts away while it serves the others and the operator.
+            // The store refuses some hosts while it serves the others and the operator.
             for host in (0..size as usize).filter(|host| host % 3 != 0) {
                 at(begin, Fault::StoreRefuses(host, true));
                 at(end, Fault::StoreRefuses(host, false));
--- a/crates/rillgap-forward/tests/simulation/size.rs
+++ b/crates/rillgap-forward/tests/simulation/size.rs
@@ -1,28 +1,31 @@
-//! What grows with the number of nodes, and what must not: calls to the store, and who watches it.
+//! Checks how the number of store calls and of watchers depends on the number of nodes.
 
 use googletest::prelude::*;
 
 use crate::scenario::InjectedBug;
 use crate::world::{Fault, World, WorldEvent};
 
-/// Back ends of each of three services.
+/// Numbers of back ends of each of the three services.
 const SIZES: [usize; 3] = [4, 40, 160];
-/// Time by which a deployment has started, in milliseconds.
+/// Time by which all nodes of a deployment have started, in milliseconds.
 const STARTED_MILLIS: u64 = 8_000;
-/// Nodes that watch the store at most while nothing fails, whatever their number.
+/// Maximum number of nodes that watch the store while nothing fails, for any size of the
+/// deployment.
 const MAX_WATCHERS: usize = 3;
-/// Calls at the full price that a start may make: 2,200 in a day of a fleet of 985 nodes, its watches among them.
+/// Maximum number of full-price store calls per starting node. A fleet of 985 nodes made 2,200
+/// in one run, its watches included.
 const MAX_CALLS_PER_NODE: f64 = 2.2;
-/// Milliseconds within which a configuration must be in force everywhere.
+/// Milliseconds within which a stored configuration must be in force at every node.
 const MAX_APPLY_MILLIS: u64 = 2_000;
 
-/// Starts a deployment without callers.
+/// Starts a deployment without callers and runs it until [`STARTED_MILLIS`].
 fn started(per_service: usize) -> World {
     let mut world = World::of_size(1, InjectedBug::None, 0, per_service);
     world.run_until(STARTED_MILLIS);
     world
 }
 
+/// Returns the number of store calls without lists that may be stale, which are cheap.
 fn full_price_calls(world: &World) -> u64 {
     let calls = world.store_calls.iter();
     calls
@@ -57,10 +60,10 @@
         let nodes = world.size() as u64;
         let writes = world.store_calls.get("register").copied();
         expect_that!(writes, some(eq(nodes)), "{nodes} nodes");
-        // A handful of watchers make a call a second, whatever the number of nodes.
+        // Each watcher makes one call a second, and their number does not depend on the size.
         let watches = MAX_WATCHERS as u64 * STARTED_MILLIS / 1_000;
-        let most = (nodes as f64 * MAX_CALLS_PER_NODE) as u64 + watches;
-        expect_that!(full_price_calls(&world), le(most), "{nodes} nodes");
+        let max_calls = (nodes as f64 * MAX_CALLS_PER_NODE) as u64 + watches;
+        expect_that!(full_price_calls(&world), le(max_calls), "{nodes} nodes");
     }
 }
 
@@ -96,8 +99,8 @@
         let (in_force, stored) = world.configuration_versions();
         expect_that!(in_force, each(eq(&stored)), "{} nodes", world.size());
         let calls = full_price_calls(&world) - before;
-        // Sixteen may take over at first, and twice as many each second.
-        let most = world.size() as f64 * MAX_CALLS_PER_NODE / 2.0 + 64.0;
-        expect_that!(calls as f64, le(most), "{} nodes", world.size());
+        // Up to 16 nodes may take over as watchers at first, and twice as many each second.
+        let max_calls = world.size() as f64 * MAX_CALLS_PER_NODE / 2.0 + 64.0;
+        expect_that!(calls as f64, le(max_calls), "{} nodes", world.size());
     }
 }
--- a/crates/rillgap-forward/tests/simulation/store_restore.rs
+++ b/crates/rillgap-forward/tests/simulation/store_restore.rs
@@ -1,31 +1,34 @@
-//! Days on which the store comes back from a copy, and back ends start again under the identifier that they had.
+//! Restores the store from a backup while back ends restart under their previous identifiers.
 
 use googletest::prelude::*;
 
 use crate::scenario::InjectedBug;
 use crate::world::{Fault, RETRY_BOUND, World, WorldEvent};
 
-/// Days that every run of the tests plays.
+/// Number of seeds that a test run simulates by default.
 const SEEDS: u64 = 60;
-/// Environment variable that names another number of days, for exploration by hand.
+/// Environment variable that overrides [`SEEDS`] for manual exploration.
 const SEEDS_VARIABLE: &str = "RILLGAP_RETURN_DAYS";
-/// Days on which a node that had just started was missing: its registration was under way when the store fell silent, and
-/// was given up only after the store was back.
+/// Seeds with which the record of a node that had just started was missing from the restored store:
+/// its registration was in flight when the store became unreachable, and timed out only after the
+/// store was reachable again.
 const REGRESSION_SEEDS: [u64; 6] = [108, 125, 197, 278, 519, 995];
-/// Time at which the store is back, at the earliest and at the latest, in milliseconds.
+/// Range of the time at which the restored store is reachable, in milliseconds.
 const RESTORED_RANGE: (u64, u64) = (4_000, 10_000);
-/// Age of the copy, at least and at most, in milliseconds.
+/// Range of the age of the backup, in milliseconds.
 const BACKUP_AGE_RANGE: (u64, u64) = (1_000, 8_000);
-/// Time within which all records are there again, in milliseconds.
+/// Milliseconds after the restore within which the store must hold the records of all running
+/// nodes.
 const MAX_REGISTRATION_MILLIS: u64 = 2_000;
-/// End of the callers, and of the day, in milliseconds.
+/// Times at which callers stop and at which the scenario ends, in milliseconds.
 const CALLERS_AND_SCENARIO_END: (u64, u64) = (16_000, 18_000);
 
-fn draw_between(world: &mut World, (least, most): (u64, u64)) -> u64 {
-    least + world.draw(most - least)
+fn draw_between(world: &mut World, (min, max): (u64, u64)) -> u64 {
+    min + world.draw(max - min)
 }
 
-/// Schedules changes, restarts and crashes around the return, and the return itself; returns its time.
+/// Schedules the restore, with configuration changes, process restarts and crashes around it;
+/// returns its time.
 fn schedule_faults(world: &mut World) -> u64 {
     let restored_at = draw_between(world, RESTORED_RANGE);
     let backup_age = draw_between(world, BACKUP_AGE_RANGE);
@@ -53,7 +56,7 @@
     restored_at
 }
 
-/// Plays a day; returns what was broken.
+/// Runs a scenario and returns the violated guarantees.
 fn run_scenario(seed: u64) -> Vec<String> {
     let mut world = World::new(seed, InjectedBug::None, CALLERS_AND_SCENARIO_END.0);
     world.reuse_back_end_identifiers();
--- a/crates/rillgap-forward/tests/simulation/suspension.rs
+++ b/crates/rillgap-forward/tests/simulation/suspension.rs
@@ -1,7 +1,8 @@
 //! Machines that are suspended for seconds while the rest of the deployment goes on.
 //!
-//! A clock that stands still meanwhile makes every age too young. With such a clock, nodes that come back let keys through
-//! that were taken away longer ago than they may work: the proof that no newer configuration exists seems fresh.
+//! A clock that stops during the suspension makes every measured age too small. Nodes with this
+//! clock accept keys after a resume that were revoked longer ago than the revocation bound, because
+//! the proof that no newer configuration exists still seems recent.
 
 use std::collections::BTreeSet;
 
@@ -10,18 +11,18 @@
 use crate::scenario::InjectedBug;
 use crate::world::{Fault, World, WorldEvent};
 
-/// Days that are played.
+/// Number of seeds that are simulated.
 const SEEDS: u64 = 60;
-/// When machines are suspended, at the earliest and at the latest, in milliseconds.
+/// Range of the times at which machines are suspended, in milliseconds.
 const SUSPENSION_BEGIN_RANGE: (u64, u64) = (3_500, 6_000);
-/// End of the callers, and of the day, in milliseconds.
+/// Times at which callers stop and at which the scenario ends, in milliseconds.
 const CALLERS_AND_SCENARIO_END: (u64, u64) = (22_000, 24_000);
 
-/// Milliseconds for which a machine that wakes reaches neither peers nor store.
+/// Milliseconds for which a resumed machine reaches neither peers nor the store.
 const PARTITION_MILLIS: u64 = 3_000;
 
-/// Plays a day on which three machines are suspended for 5 to 9 s while a key is taken away, and wake cut off from all
-/// others; returns which promises were broken.
+/// Runs a scenario in which three machines are suspended for 5 to 9 s while a key is revoked, and
+/// resume partitioned from all others; returns the names of the checks that failed.
 fn run_scenario(seed: u64, injected_bug: InjectedBug) -> BTreeSet<String> {
     let mut world = World::new(seed, injected_bug, CALLERS_AND_SCENARIO_END.0);
     for _ in 0..3 {
@@ -42,7 +43,7 @@
     world.checker.check_limit();
     let names = world.checker.violations.iter();
     names
-        .filter_map(|violations| violations.split(' ').next())
+        .filter_map(|violation| violation.split(' ').next())
         .map(str::to_owned)
         .collect()
 }
--- a/crates/rillgap-forward/tests/simulation/world/back_ends.rs
+++ b/crates/rillgap-forward/tests/simulation/world/back_ends.rs
@@ -1,4 +1,4 @@
-//! Back ends: work, their own calls, heartbeats, draining, crashes.
+//! Simulates back ends: executions, calls to other services, heartbeats, draining and crashes.
 
 use rillgap_forward::action::{Action, Exchange};
 use rillgap_forward::event::{AnnouncedState, Event, ExchangeResult, Heartbeat, ProbeResult};
@@ -9,7 +9,7 @@
 
 use super::*;
 
-/// Milliseconds after which a back end that has crashed starts again.
+/// Milliseconds after which a back end that a request has crashed restarts.
 const CRASH_RESTART_MILLIS: u64 = 3_000;
 
 fn last_part(target: &str) -> &str {
@@ -38,7 +38,7 @@
         let id = request.request_id.clone();
         if back_end.executions.len() >= SLOTS as usize {
             self.checker.violations.push(format!(
-                "SLOTS {id} is one too many at {}",
+                "SLOTS {id} exceeds the slots of {}",
                 back_end.instance
             ));
         }
@@ -61,7 +61,8 @@
         self.schedule(self.now + millis, WorldEvent::WorkDone(host, key));
     }
 
-    /// Goes on with a request: the first time with its call, if it makes one.
+    /// Continues an execution: crashes the back end, sends the call of the request if it is still
+    /// to be made, or answers.
     pub(super) fn on_work_done(&mut self, host: usize, key: &ExecutionKey) {
         let instance = self.hosts[host].back_end.instance.clone();
         let Some(execution) = self.hosts[host].back_end.executions.get_mut(key) else {
@@ -168,7 +169,7 @@
     }
 
     pub(super) fn send_heartbeat(&mut self, host: usize, instance: &Incarnation) {
-        // Some arrive seconds late.
+        // One in ten heartbeats arrives up to 4 s late.
         let delay = if self.draw(10) == 0 {
             self.draw(4_000)
         } else {
--- a/crates/rillgap-forward/tests/simulation/world/callers.rs
+++ b/crates/rillgap-forward/tests/simulation/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers and their requests.
+//! Simulates callers: their requests, keys, disconnects and retries.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use super::*;
 
-/// End of targets that only one caller asks for.
+/// Suffix of targets that a single caller requests, always with the same key.
 const SINGLE_CALLER_SUFFIX: &str = "/one-caller";
 
 impl World {
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Sends a request of a caller.
+    /// Sends a request of a caller to the node of `host`, as the attempt with the number
+    /// `attempts`.
     fn send_caller_request(&mut self, host: usize, target: String, attempts: u32) -> ConnectionId {
         self.next_request += 1;
         let id = format!("r{}", self.next_request);
@@ -73,18 +74,18 @@
         }
     }
 
-    /// Lets the caller of a request that has failed come again, as callers do of what may be repeated or
-    /// surely did not run.
+    /// Schedules a retry by the caller of a failed request that is idempotent or was reported as
+    /// not run.
     fn schedule_caller_retry(&mut self, request: &CallerAttempt, status: u16) {
         let may_repeat = !request.target.starts_with("/once/") || status == 503;
         let is_wanted = status >= 500 && request.attempts < self.max_caller_attempts;
         if is_wanted && may_repeat {
-            let again = WorldEvent::CallerRetry {
+            let retry = WorldEvent::CallerRetry {
                 target: request.target.clone(),
                 attempts: request.attempts + 1,
             };
             let pause = 50 + self.draw(250);
-            self.schedule(self.now + pause, again);
+            self.schedule(self.now + pause, retry);
         }
     }
 
@@ -98,10 +99,10 @@
     ) -> ConnectionId {
         self.checker
             .on_sent(self.now, host, id, target, is_idempotent, is_call);
-        let is_of_one_caller = target.ends_with(SINGLE_CALLER_SUFFIX);
+        let is_of_single_caller = target.ends_with(SINGLE_CALLER_SUFFIX);
         let key = match is_call {
             true => None,
-            false if is_of_one_caller => Some(Key::Kept),
+            false if is_of_single_caller => Some(Key::Kept),
             false => Some(self.draw_key()),
         };
         if let Some(key) = key {
@@ -131,7 +132,8 @@
         connection
     }
 
-    /// Draws the key of a caller: mostly one that stays, sometimes one of this or an earlier version.
+    /// Draws the key of a caller: mostly a permanent one, sometimes that of the limited tenant, or
+    /// one of the current or an earlier version of the configuration.
     fn draw_key(&mut self) -> Key {
         match self.draw(20) {
             0 => Key::OfVersion(self.stored_version.saturating_sub(self.draw(3))),
--- a/crates/rillgap-forward/tests/simulation/world/faults.rs
+++ b/crates/rillgap-forward/tests/simulation/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, and what processes do at them.
+//! Applies faults, and starts and stops processes.
 
 use rillgap_forward::event::Event;
 use rillgap_forward::node::Node;
@@ -101,7 +101,7 @@
         entry.incarnation += 1;
         entry.calls.clear();
         entry.callers.clear();
-        // Its connections to the back end are closed, and work on them is dropped.
+        // The back end drops the executions of connections that the ended process had opened.
         entry.back_end.executions.clear();
         if notifies_peers {
             self.close_links_of(host);
@@ -125,7 +125,7 @@
         if self.hosts[host].node.is_some() {
             return;
         }
-        // What peers still hold of an earlier run is reset.
+        // Resets connections that peers still hold to the previous incarnation.
         self.close_links_of(host);
         let seed = self.draw(u64::from(u32::MAX));
         let now = self.clock(host);
--- a/crates/rillgap-forward/tests/simulation/world/links.rs
+++ b/crates/rillgap-forward/tests/simulation/world/links.rs
@@ -1,4 +1,4 @@
-//! Links between nodes: connections that may be cut, with messages held meanwhile.
+//! Simulates links between nodes. A partition delays their messages until it ends.
 
 use rillgap_forward::event::Event;
 use rillgap_forward::id::LinkId;
@@ -8,7 +8,7 @@
 
 use super::*;
 
-/// Milliseconds after which an opener gives a connection up.
+/// Milliseconds after which the opener of a connection times out.
 const OPEN_TIMEOUT_MILLIS: u64 = 900;
 
 impl World {
@@ -20,10 +20,10 @@
         address: std::net::SocketAddr,
     ) {
         let peer = usize::from(address.port()) - 7_000;
-        let refused = self.hosts[peer].node.is_none();
+        let is_refused = self.hosts[peer].node.is_none();
         let is_partitioned = self.is_partitioned(host, peer);
         let resumes_at = self.hosts[peer].paused_until;
-        let is_paused = !refused && !is_partitioned && resumes_at > self.now;
+        let is_paused = !is_refused && !is_partitioned && resumes_at > self.now;
         if is_paused && resumes_at < self.now + OPEN_TIMEOUT_MILLIS {
             let connect = WorldEvent::Connect(host, incarnation, link, address);
             self.schedule(resumes_at, connect);
@@ -32,8 +32,8 @@
         if is_paused {
             self.schedule_abandoned_link(host, peer);
         }
-        if refused || is_partitioned || is_paused {
-            let delay = if refused { 1 } else { OPEN_TIMEOUT_MILLIS };
+        if is_refused || is_partitioned || is_paused {
+            let delay = if is_refused { 1 } else { OPEN_TIMEOUT_MILLIS };
             let event = Event::LinkClosed(link);
             self.schedule(self.now + delay, WorldEvent::Node(host, incarnation, event));
             return;
@@ -43,7 +43,7 @@
         };
         let accepted = node.new_link();
         let greeting = node.hello();
-        let peer_run = self.hosts[peer].incarnation;
+        let peer_incarnation = self.hosts[peer].incarnation;
         let Some(opener) = self.hosts[host].node.as_ref() else {
             return;
         };
@@ -54,17 +54,17 @@
             id,
             Connection {
                 opener: (host, incarnation, link),
-                acceptor: (peer, peer_run, accepted),
+                acceptor: (peer, peer_incarnation, accepted),
                 is_open: true,
                 delayed_messages: Vec::new(),
                 last_delivery: [self.now; 2],
             },
         );
         self.by_link.insert((host, incarnation, link), id);
-        self.by_link.insert((peer, peer_run, accepted), id);
+        self.by_link.insert((peer, peer_incarnation, accepted), id);
         self.node_event(
             peer,
-            peer_run,
+            peer_incarnation,
             Event::LinkAccepted {
                 link: accepted,
                 hello,
@@ -77,7 +77,8 @@
         self.schedule(self.now + 1, WorldEvent::Node(host, incarnation, event));
     }
 
-    /// A host that stands still accepts a connection once it goes on; its opener has given it up by then.
+    /// Schedules a connection that a paused host accepts when it resumes, after its opener has
+    /// timed out.
     fn schedule_abandoned_link(&mut self, opener: usize, acceptor: usize) {
         let Some(node) = self.hosts[opener].node.as_ref() else {
             return;
@@ -90,7 +91,7 @@
         );
     }
 
-    /// A host accepts a connection that its opener has given up.
+    /// Accepts a connection whose opener has timed out, and closes it.
     pub(super) fn accept_abandoned(&mut self, host: usize, incarnation: u32, hello: Hello) {
         let Some(node) = &mut self.hosts[host].node else {
             return;
@@ -156,7 +157,7 @@
         self.node_event(host, incarnation, Event::Link { link, message });
     }
 
-    /// Closes a connection; both ends are told.
+    /// Closes a connection and notifies both ends.
     pub(super) fn close(&mut self, id: u64) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -172,8 +173,8 @@
         }
     }
 
-    pub(super) fn is_partitioned(&self, one: usize, other: usize) -> bool {
-        self.partitioned.contains(&one) || self.partitioned.contains(&other)
+    pub(super) fn is_partitioned(&self, host: usize, peer: usize) -> bool {
+        self.partitioned.contains(&host) || self.partitioned.contains(&peer)
     }
 }
 
--- a/crates/rillgap-forward/tests/simulation/world/mod.rs
+++ b/crates/rillgap-forward/tests/simulation/world/mod.rs
@@ -1,4 +1,5 @@
-//! Hosts with a node and a back end each, their links, the store and the clock.
+//! Simulates a deployment on a virtual clock: hosts with a node and a back end each, links, callers
+//! and the store. All times are in milliseconds.
 
 mod back_ends;
 mod callers;
@@ -33,11 +34,11 @@
 use object_store::ObjectStore;
 use setup::*;
 
-/// Services of the chain; each calls the next.
+/// Services of a chain; each one calls the next.
 pub const SERVICES: [&str; 3] = ["front", "middle", "deep"];
-/// Back ends of each service.
+/// Number of back ends of each service, unless a scenario sets another one.
 const BACK_ENDS_PER_SERVICE: usize = 3;
-/// Requests that a back end works on at the same time.
+/// Number of requests that a back end executes at the same time.
 const SLOTS: u32 = 12;
 /// Retry bound of the deployment.
 pub const RETRY_BOUND: RetryBound = RetryBound {
@@ -45,68 +46,69 @@
     slack: 40,
     window: Duration::from_secs(10),
 };
-/// Time within which a key that was taken away must have stopped working.
+/// Time within which a revoked key must be rejected.
 pub const MAX_REVOCATION_DELAY: Duration = Duration::from_secs(5);
-/// Limit of one of the two tenants, which asks for more.
+/// Rate limit of one of the two tenants, which sends more requests than that.
 pub const TENANT_LIMIT: RateLimit = RateLimit {
     per_second: 20.0,
     burst: 20.0,
 };
-/// Milliseconds between two heartbeats.
+/// Milliseconds between two heartbeats of a back end.
 const HEARTBEAT_MILLIS: u64 = 1_500;
-/// Milliseconds for which a drained back end keeps serving.
+/// Milliseconds for which a back end keeps serving after its draining was acknowledged.
 const DRAINED_SERVING_MILLIS: u64 = 3_500;
 
-/// Key that a caller shows.
+/// Key of a caller. The names of the variants are hashed into the digests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Key {
-    /// Of a tenant without a limit, in all versions.
+    /// Permanent key of a tenant without a limit, valid in all versions of the configuration.
     Kept,
-    /// Of the same tenant, in one version only.
+    /// Key of the same tenant that is valid in one version only.
     OfVersion(u64),
-    /// Of a tenant with a limit.
+    /// Key of the tenant with a limit, valid in all versions.
     Limited,
 }
 
-/// Something that happens at a time.
+/// Scheduled event of the simulation.
 #[derive(Debug)]
 pub enum WorldEvent {
-    /// An event for the node of a host, unless it has been restarted.
+    /// An event for one incarnation of the node of a host; dropped after a restart.
     Node(usize, u32, Event),
-    /// The node of a host may want to be woken.
+    /// The timer of a node fires.
     Wake(usize, u32),
-    /// A message arrives on a connection.
+    /// A message arrives on a connection; the flag is true if it goes to the opener.
     Message(u64, bool, LinkMessage),
     /// A connection is opened.
     Connect(usize, u32, LinkId, std::net::SocketAddr),
-    /// A host accepts a connection whose opener has given it up.
+    /// A host accepts a connection whose opener has timed out.
     AbandonedLink(usize, u32, Box<Hello>),
-    /// A back end has done its own work on a request.
+    /// A back end has finished its own work on a request.
     WorkDone(usize, ExecutionKey),
     /// A back end sends a heartbeat.
     Heartbeat(usize, Incarnation),
-    /// A heartbeat arrives.
+    /// A heartbeat arrives at the node of a host.
     HeartbeatArrives(usize, Heartbeat),
-    /// A drained back end ends.
+    /// A drained back end exits.
     BackEndEnds(usize, Incarnation),
     /// A back end starts.
     BackEndStarts(usize),
-    /// A watch has waited long enough.
+    /// The wait time of a watch is over.
     WatchTimeout(u64),
     /// A call reaches the store.
     StoreCall(usize, u32, StoreRequestId, StoreRequest),
-    /// A caller sends a request.
+    /// The caller at a host sends its next request.
     CallerSends(usize),
-    /// A request that ends each back end that runs it is sent, at any host and again and again.
+    /// A request that crashes each back end that executes it is sent to a random host and scheduled
+    /// again.
     CrashingRequest(&'static str),
-    /// A caller whose request has failed comes again, at any host.
+    /// A caller retries a failed request at a random host.
     CallerRetry {
-        /// What it asks for.
+        /// Target of the request.
         target: String,
-        /// How often it has come.
+        /// Number of this attempt, from 1.
         attempts: u32,
     },
-    /// A caller leaves.
+    /// A caller closes its connection.
     CallerDisconnects(usize, u32, ConnectionId),
     /// A fault begins or ends.
     Fault(Fault),
@@ -117,47 +119,47 @@
 pub enum Fault {
     /// The process of a host is killed.
     Kill(usize),
-    /// A host loses power: nobody is told.
+    /// A host loses power; its peers are not notified.
     PowerOff(usize),
     /// The process of a host starts.
     Start(usize),
-    /// A host stands still until this time.
+    /// The processes of a host are paused until this time.
     Pause(usize, u64),
     /// The machine of a host is suspended until this time.
     Suspend(usize, u64),
-    /// A host is cut off from all others, or not any more.
+    /// A host is partitioned from all others (true), or connected again (false).
     Partition(usize, bool),
-    /// The store does not answer, or does again.
+    /// The store is unreachable for all (true), or reachable again (false).
     StoreDown(bool),
-    /// The store refuses a host and serves the others, or serves it again.
+    /// The store refuses the calls of a host (true), or serves them again (false).
     StoreRefuses(usize, bool),
-    /// The store says nothing any more to the hosts that watch it at this moment.
+    /// The store stops answering the hosts that watch it at this time.
     StoreIgnoresWatchers,
-    /// The answers of the store are lost, or not any more.
+    /// Half of the answers of the store are lost (true), or none any more (false).
     StoreLosesAnswers(bool),
-    /// The store forgets its history and cuts the watches.
+    /// The store compacts its history and answers all watches that their position has expired.
     StoreCompacts,
-    /// The store comes back from a copy that is so many milliseconds old.
+    /// The store is restored from a backup of this age in milliseconds.
     StoreRestored(u64),
-    /// The operator writes the newest configuration again, which the store had lost.
+    /// The operator writes the newest configuration again, which the restore may have removed.
     RewriteConfiguration,
-    /// A back end crashes.
+    /// A back end crashes and restarts 2 s later.
     Crash(usize),
-    /// A back end announces that it leaves; another takes its place.
+    /// A back end announces draining, exits later and is replaced by another one.
     Drain(usize),
-    /// A node gets SIGTERM.
+    /// A node receives SIGTERM.
     Stop(usize),
     /// The operator changes the configuration.
     Configure,
-    /// A back end loses this share of its answers, in percent.
+    /// A back end loses this percentage of its answers.
     LoseAnswers(usize, u64),
-    /// A back end fails this share of its requests, in percent.
+    /// A back end answers this percentage of its requests with status 500.
     FailRequests(usize, u64),
-    /// A back end works this many times as long.
+    /// A back end takes this many times as long for its work.
     Slow(usize, u64),
 }
 
-/// A request at a back end.
+/// Identifies an execution by the incarnation of the node that sent the request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ExecutionKey {
     incarnation: u32,
@@ -168,14 +170,15 @@
 struct Execution {
     id: String,
     instance: Incarnation,
+    /// Whether the request still has to send a call to the next service.
     calls: bool,
-    /// Whether the back end ends while it works on the request.
+    /// Whether the request crashes the back end.
     crashes: bool,
-    /// Last part of the target, which calls made for the request have as well.
+    /// Last part of the target, which the target of the call repeats.
     item: String,
 }
 
-/// A request of a caller.
+/// One attempt of a caller with a request.
 #[derive(Clone, Debug)]
 struct CallerAttempt {
     id: String,
@@ -186,7 +189,7 @@
 #[derive(Debug)]
 struct BackEnd {
     instance: Incarnation,
-    /// Runs so far.
+    /// Number of starts so far.
     start_count: u32,
     is_alive: bool,
     is_draining: bool,
@@ -195,22 +198,27 @@
     executions: BTreeMap<ExecutionKey, Execution>,
     lost_answer_percent: u64,
     fail_percent: u64,
+    /// Factor on the time that an execution takes.
     slowdown: u64,
 }
 
 struct Host {
     name: String,
+    /// The node, while its process runs.
     node: Option<Node>,
+    /// Raised at each start and stop of the process; events for an earlier value are dropped.
     incarnation: u32,
-    /// Milliseconds by which the steady clock of the host is behind.
+    /// Milliseconds by which the monotonic clock of the host is behind.
     clock_lag: u64,
     paused_until: u64,
+    /// Version of the configuration in force at the node.
     version: u64,
     back_end: BackEnd,
-    /// Calls of the back end under way: connection to the work that waits.
+    /// Calls of the back end in flight, with the execution that waits for each.
     calls: BTreeMap<ConnectionId, ExecutionKey>,
-    /// Requests of callers under way.
+    /// Requests of callers in flight.
     callers: BTreeMap<ConnectionId, CallerAttempt>,
+    /// Time of the earliest scheduled [`WorldEvent::Wake`], or [`u64::MAX`].
     wakes_at: u64,
 }
 
@@ -218,13 +226,16 @@
     opener: (usize, u32, LinkId),
     acceptor: (usize, u32, LinkId),
     is_open: bool,
+    /// Messages sent during a partition, with a flag that is true if it goes to the opener.
     delayed_messages: Vec<(bool, LinkMessage)>,
+    /// Time of the last delivery to the acceptor and to the opener; messages are not reordered.
     last_delivery: [u64; 2],
 }
 
-/// The whole deployment.
+/// The simulated deployment.
 pub struct World {
     pub now: u64,
+    /// Sequence number of the last scheduled event; orders events of the same time.
     last_order: u64,
     queue: BTreeMap<(u64, u64), WorldEvent>,
     hosts: Vec<Host>,
@@ -239,25 +250,31 @@
     pub statuses: BTreeMap<String, u16>,
     /// Newest configuration that the store has acknowledged.
     stored_version: u64,
+    /// Time at which [`Self::stored_version`] was stored.
     stored_at: u64,
     object_store: ObjectStore,
     store_down: bool,
+    /// Hosts whose calls the store refuses.
     refused_by_store: BTreeSet<usize>,
+    /// Hosts whose calls the store leaves unanswered.
     ignored_watchers: BTreeSet<usize>,
     store_loses_answers: bool,
     watches: BTreeMap<u64, (usize, u32, StoreRequestId, StorePosition)>,
-    /// Calls that the store got, by name; lists that may be old are cheap and apart.
+    /// Number of calls to the store by name; lists that may be stale are cheap and counted as
+    /// "old-list".
     pub store_calls: BTreeMap<&'static str, u64>,
-    /// How often a node has begun or ceased to watch.
+    /// Number of times that a node has begun or ended to watch the store.
     pub watch_changes: u64,
-    /// Whether each second run of a back end has the identifier of the one before.
+    /// Whether a back end keeps its identifier at every second restart.
     reuses_identifiers: bool,
+    /// Time at which callers stop sending requests.
     callers_until: u64,
-    /// How often callers come with a request in all.
+    /// Maximum number of attempts that a caller makes with a request.
     max_caller_attempts: u32,
-    /// Share of requests that ask for the same as others, in percent.
+    /// Percentage of requests with the same content, see [`Self::set_popular_percent`].
     popular_percent: u64,
-    /// Requests that were refused because back ends have ended under requests like them.
+    /// Number of log records of requests that were refused or not answered because they are
+    /// quarantined.
     pub quarantined_requests: u64,
 }
 
@@ -267,7 +284,7 @@
         Self::of_size(seed, injected_bug, callers_until, BACK_ENDS_PER_SERVICE)
     }
 
-    /// Creates a deployment with so many back ends of each service.
+    /// Creates a deployment with `per_service` back ends of each service.
     pub fn of_size(
         seed: u64,
         injected_bug: InjectedBug,
@@ -319,17 +336,17 @@
         (u64::from(self.random.next_u32()) * bound) >> 32
     }
 
-    /// Lets callers come again after a failure, this often in all.
+    /// Sets the maximum number of attempts that a caller makes with a request.
     pub fn set_max_caller_attempts(&mut self, max_caller_attempts: u32) {
         self.max_caller_attempts = max_caller_attempts;
     }
 
-    /// Lets this share of requests ask for the same as others, in percent.
+    /// Sets the percentage of requests of callers for one shared item, which have equal content.
     pub fn set_popular_percent(&mut self, percent: u64) {
         self.popular_percent = percent;
     }
 
-    /// Lets back ends start again under the identifier that they had, each second time.
+    /// Makes every second restart of a back end keep its identifier.
     pub fn reuse_back_end_identifiers(&mut self) {
         self.reuses_identifiers = true;
     }
@@ -348,14 +365,14 @@
         self.hosts.len()
     }
 
-    /// Schedules something.
+    /// Schedules an event; a time in the past becomes the present.
     pub fn schedule(&mut self, time: u64, world_event: WorldEvent) {
         self.last_order += 1;
         self.queue
             .insert((time.max(self.now), self.last_order), world_event);
     }
 
-    /// Runs until a time.
+    /// Handles all events up to a time and advances the clock to it.
     pub fn run_until(&mut self, end: u64) {
         while let Some(entry) = self.queue.first_entry() {
             let (time, _) = *entry.key();
@@ -369,24 +386,25 @@
         self.now = end;
     }
 
-    /// Judges whether every running node has the stored configuration.
-    /// Returns the versions of the configuration in force, and that of the store.
+    /// Returns the version in force at each running node, and the version that the store has
+    /// accepted.
     pub fn configuration_versions(&self) -> (Vec<u64>, u64) {
         let nodes = self.hosts.iter().filter_map(|host| host.node.as_ref());
         let in_force = nodes.map(Node::configuration_version).collect();
         (in_force, self.stored_version)
     }
 
-    /// Returns how many hosts wait for an answer of the store at this moment.
+    /// Returns the number of hosts with an open watch at the store.
     pub fn watcher_count(&self) -> usize {
         self.watching_hosts().len()
     }
 
-    /// Returns the hosts that wait for an answer of the store at this moment.
+    /// Returns the hosts with an open watch at the store.
     pub fn watching_hosts(&self) -> BTreeSet<usize> {
         self.watches.values().map(|(host, ..)| *host).collect()
     }
 
+    /// Checks that every running node has the stored configuration in force.
     pub fn check_configurations(&mut self) {
         let since = self.now - self.stored_at;
         for host in &self.hosts {
@@ -448,8 +466,8 @@
         }
     }
 
-    /// Returns what the steady clock of a host reads. One that stands still during a suspension reads the same from
-    /// its begin to its end.
+    /// Returns the time of the monotonic clock of a host. A clock that stops during a suspension
+    /// returns the same time from its begin to its end.
     fn clock(&self, host: usize) -> Instant {
         let entry = &self.hosts[host];
         let now = match entry.clock_lag {
@@ -527,9 +545,9 @@
                     WorldEvent::StoreCall(host, incarnation, id, request),
                 );
             }
-            Action::Log(note) => {
-                self.quarantined_requests += u64::from(is_quarantine(&note));
-                self.watch_changes += u64::from(matches!(note, LogRecord::Watch { .. }));
+            Action::Log(record) => {
+                self.quarantined_requests += u64::from(is_quarantine(&record));
+                self.watch_changes += u64::from(matches!(record, LogRecord::Watch { .. }));
             }
             Action::Acknowledge { .. } => {}
             Action::Exit => {
@@ -540,16 +558,17 @@
     }
 }
 
-/// Returns whether a record tells that a request was refused because back ends have ended under requests like it.
-fn is_quarantine(note: &LogRecord) -> bool {
-    match note {
+/// Returns whether a log record reports that a request was refused or not answered because it is
+/// quarantined.
+fn is_quarantine(record: &LogRecord) -> bool {
+    match record {
         LogRecord::RequestQuarantined { .. } => true,
         LogRecord::NotAnswered { code, .. } => *code == ResultCode::Quarantined,
         _ => false,
     }
 }
 
-/// Returns the host that must be awake for something to happen.
+/// Returns the host that has to handle an event, which waits while the host is paused.
 fn host_of(world_event: &WorldEvent) -> Option<usize> {
     match world_event {
         WorldEvent::Node(host, ..)
--- a/crates/rillgap-forward/tests/simulation/world/object_store.rs
+++ b/crates/rillgap-forward/tests/simulation/world/object_store.rs
@@ -1,4 +1,5 @@
-//! What the store holds: configuration and records, its revisions, and copies of them.
+//! State of the simulated store: configuration, node records and revisions, with its history for
+//! restores from a backup.
 
 use std::collections::BTreeMap;
 
@@ -7,12 +8,12 @@
 use rillgap_forward::store_sync::{ListExtent, NodeList};
 use rillgap_forward::watcher_election::name_hash;
 
-/// Records that one answer holds.
+/// Number of records in one page of a list.
 const PAGE_RECORDS: usize = 100;
-/// Version of the configuration at the start.
+/// Version of the configuration that the store holds at first.
 const FIRST_VERSION: u64 = 1;
 
-/// A state of the store.
+/// State of the store at one revision.
 #[derive(Clone, Debug)]
 struct State {
     revision: u64,
@@ -21,12 +22,12 @@
     records: BTreeMap<String, NodeRecord>,
 }
 
-/// The store's content, with all its earlier states.
+/// The store with all its earlier states.
 #[derive(Clone, Debug)]
 pub(super) struct ObjectStore {
     epoch: u64,
     state: State,
-    /// Earlier states, with the time at which each was written.
+    /// All states of this history, each with the time at which it was written.
     history: Vec<(u64, State)>,
 }
 
@@ -54,7 +55,7 @@
         StorePosition::new(self.epoch(), self.state.revision)
     }
 
-    /// Returns the version of the configuration that it holds.
+    /// Returns the version of the stored configuration.
     pub fn version(&self) -> u64 {
         self.state.configuration.0
     }
@@ -64,12 +65,14 @@
         self.state.configuration.1 > revision
     }
 
-    /// Returns whether it has given out a revision in this epoch, or in the copy that it came from.
+    /// Returns whether a revision has been issued in this epoch or in the backup that the store was
+    /// restored from.
     pub fn has_issued(&self, revision: u64) -> bool {
         revision <= self.state.revision
     }
 
-    /// Returns records in the order of places: all, or two pages.
+    /// Returns records in the order of their name hashes: all, or the first page and a page
+    /// from `from` on.
     pub fn list(&self, from: u64, extent: ListExtent) -> NodeList {
         let mut records: Vec<NodeRecord> = self.state.records.values().cloned().collect();
         records.sort_by_key(|record| name_hash(&record.name));
@@ -98,7 +101,7 @@
         self.record_state(now);
     }
 
-    /// Stores a record; returns whether there was none.
+    /// Stores a record and returns whether the name had none before.
     pub fn register(&mut self, now: u64, record: NodeRecord) -> bool {
         self.state.revision += 1;
         let before = self.state.records.insert(record.name.clone(), record);
@@ -112,7 +115,7 @@
         self.record_state(now);
     }
 
-    /// Goes back to its state of an earlier time.
+    /// Restores the state of an earlier time and raises the epoch.
     pub fn restore_to(&mut self, time: u64) {
         self.epoch += 1;
         self.history.retain(|(at, _)| *at <= time);
--- a/crates/rillgap-forward/tests/simulation/world/setup.rs
+++ b/crates/rillgap-forward/tests/simulation/world/setup.rs
@@ -1,4 +1,4 @@
-//! Names, addresses, settings and the configuration of the deployment.
+//! Builds the names, addresses, settings and configuration of the simulated deployment.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 use super::*;
 
-/// Zones of a large deployment.
+/// Number of zones of a large deployment; each holds one host of each service in turn.
 const ZONES: usize = 5;
 
 pub(super) fn service(host: usize) -> &'static str {
@@ -88,7 +88,7 @@
 }
 
 impl Key {
-    /// Returns the digest by which nodes know the key.
+    /// Returns the digest of the key in the configuration; it hashes the name of the variant.
     pub(super) fn digest(&self) -> KeyDigest {
         KeyDigest::of(format!("{self:?}").as_bytes())
     }
--- a/crates/rillgap-forward/tests/simulation/world/store.rs
+++ b/crates/rillgap-forward/tests/simulation/world/store.rs
@@ -1,4 +1,4 @@
-//! The store: configuration, records of nodes, watches, refusals.
+//! Simulates the store: calls, watches, failures and restores from a backup.
 
 use rillgap_core::code::ResultCode;
 use rillgap_forward::event::Event;
@@ -10,7 +10,7 @@
 
 use super::*;
 
-/// Milliseconds after which a call that the store ignores is given up.
+/// Milliseconds after which an unanswered store call times out.
 const CALL_TIMEOUT_MILLIS: u64 = CALL_TIMEOUT.as_millis() as u64;
 
 impl World {
@@ -116,8 +116,10 @@
         }
     }
 
-    /// Lets the store come back from a copy. Some watches get no answer, others a late one of the store that was
-    /// lost; what the operator has written is written again a moment later.
+    /// Restores the store from a backup.
+    ///
+    /// About half of the watches time out, the others receive a late answer from before the
+    /// restore. The operator writes the newest configuration again 200 to 1,200 ms later.
     pub(super) fn restore_from_backup(&mut self, backup_age: u64) {
         let before = self.object_store.position();
         self.object_store
@@ -133,8 +135,8 @@
             };
             self.reply(host, incarnation, id, reply, delay);
         }
-        let again = self.now + 200 + self.draw(1_000);
-        self.schedule(again, WorldEvent::Fault(Fault::RewriteConfiguration));
+        let rewritten_at = self.now + 200 + self.draw(1_000);
+        self.schedule(rewritten_at, WorldEvent::Fault(Fault::RewriteConfiguration));
     }
 
     pub(super) fn answer_watch(
@@ -152,7 +154,7 @@
         self.reply(host, incarnation, id, reply, 4);
     }
 
-    /// Answers the watches; those of hosts that the store ignores wait on.
+    /// Answers all watches except those of ignored hosts, which remain open.
     pub(super) fn answer_all_watches(&mut self) {
         let ignored_watchers = self.ignored_watchers.clone();
         let watches = std::mem::take(&mut self.watches);
--- a/crates/rillgap-forward/tests/support/mod.rs
+++ b/crates/rillgap-forward/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders that the tests of this crate share.
+//! Builders and a test node that the tests of this crate share.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -33,10 +33,10 @@
 
 pub const SERVICE: &str = "takst";
 pub const INSTANCE: &str = "i-1";
-/// Writing calls a second that a store takes.
+/// Write calls per second that the store accepts.
 pub const WRITES: f64 = 400.0;
 
-/// Longest time after which a node without a configuration reads it, in milliseconds.
+/// Milliseconds within which a node without a configuration must read it from the store.
 const MAX_READ_DELAY_MILLIS: u64 = 4_000;
 
 pub const HOST: &str = "fares.example";
@@ -95,13 +95,14 @@
     }
 }
 
-/// Service that back ends of [`SERVICE`] call.
+/// Service that the back ends of [`SERVICE`] call.
 pub const DEEP_SERVICE: &str = "sone";
 
-/// Service that calls [`DEEP_SERVICE`] as well.
+/// Another service whose back ends call [`DEEP_SERVICE`].
 pub const OTHER_SERVICE: &str = "oppgjor";
 
-/// Routes `/safe/` and `/once/` to [`SERVICE`], `/deep/` and `/settlement/` to services of that name.
+/// Returns a configuration that routes `/safe/` and `/once/` to [`SERVICE`], `/deep/` to
+/// [`DEEP_SERVICE`] and `/settlement/` to [`OTHER_SERVICE`].
 pub fn configuration(version: u64) -> Configuration {
     Configuration {
         version,
@@ -166,7 +167,7 @@
     }
 }
 
-/// Returns a list of a node itself and these others.
+/// Returns a list reply with the record of the node itself and those of others.
 pub fn nodes(own: NodeRecord, mut lowest: Vec<NodeRecord>) -> StoreReply {
     lowest.push(own);
     StoreReply::Nodes {
@@ -178,7 +179,7 @@
     }
 }
 
-/// Returns the reply of a store that cannot be reached.
+/// Returns the reply that stands for a store that cannot be reached.
 pub fn failed(detail: &str) -> StoreReply {
     StoreReply::Failed(StoreFailure {
         code: ResultCode::StoreUnavailable,
@@ -186,7 +187,7 @@
     })
 }
 
-/// Returns the code of a result that is no answer of a back end.
+/// Returns the code of a result, or `None` if a back end has answered.
 pub fn code_of(result: &ForwardResult) -> Option<ResultCode> {
     match result {
         ForwardResult::Answered(_) => None,
@@ -232,20 +233,21 @@
     }
 }
 
-/// A node with what it has asked for.
+/// A node under test, with the actions that it has returned.
 pub struct TestNode {
     pub node: Node,
+    /// Current time in milliseconds.
     pub now: u64,
     pub actions: Actions,
 }
 
 impl TestNode {
-    /// Creates a node that knows nothing.
+    /// Creates a node without a configuration and without contact with other nodes or the store.
     pub fn fresh(service: &str) -> Self {
         Self::with_settings(settings("own", service))
     }
 
-    /// Creates a node that knows nothing but its settings.
+    /// Creates a node with the given settings and without a configuration.
     pub fn with_settings(settings: ForwardSettings) -> Self {
         let mut test = Self {
             node: Node::new(at(0), settings),
@@ -256,7 +258,7 @@
         test
     }
 
-    /// Creates a node with a configuration and no back end in service.
+    /// Creates a node with a configuration whose back end is not serving yet.
     pub fn configured(service: &str) -> Self {
         let mut test = Self::fresh(service);
         test.configure(configuration(1));
@@ -285,7 +287,8 @@
         }
     }
 
-    /// Answers the read of the configuration that the node asks for once it has listed the others.
+    /// Answers the read of the configuration, which the node makes after it has listed the other
+    /// nodes.
     pub fn configure(&mut self, configuration: Configuration) {
         let position = StorePosition::new(StoreEpoch::default(), configuration.version);
         self.join();
@@ -301,12 +304,13 @@
         });
     }
 
-    /// Returns the record of the node.
+    /// Returns the node record that the node sends to peers.
     pub fn record(&self) -> NodeRecord {
         self.node.hello().node
     }
 
-    /// Answers the registration and the list, if they wait for it: nobody else is there.
+    /// Answers a pending registration and a pending list of nodes; the list holds only the node
+    /// itself.
     fn join(&mut self) {
         if let Some(request) = self.store_call(|call| matches!(call, StoreRequest::Register(_))) {
             let reply = StoreReply::Registered {
@@ -323,7 +327,7 @@
         }
     }
 
-    /// Returns the call by which the node reads or watches the configuration, and lets time pass until it is made.
+    /// Advances the time until the node reads or watches the configuration, and returns this call.
     fn read_of_configuration(&mut self) -> StoreRequestId {
         let is_read = |call: &StoreRequest| {
             matches!(
@@ -337,10 +341,10 @@
             }
             self.pass(1);
         }
-        panic!("no read of the configuration");
+        panic!("the node has not read the configuration in {MAX_READ_DELAY_MILLIS} ms");
     }
 
-    /// Returns the last call to the store that fits.
+    /// Returns the latest call to the store that matches `fits`.
     fn store_call(&self, fits: impl Fn(&StoreRequest) -> bool) -> Option<StoreRequestId> {
         self.actions.iter().rev().find_map(|action| match action {
             Action::CallStore { id, request } if fits(request) => Some(*id),
@@ -348,9 +352,9 @@
         })
     }
 
-    /// Answers the call to the store that fits and was made last.
+    /// Answers the latest call to the store that matches `fits`.
     pub fn answer_store(&mut self, fits: impl Fn(&StoreRequest) -> bool, reply: StoreReply) {
-        let request = self.store_call(fits).expect("a call to the store");
+        let request = self.store_call(fits).expect("a matching call to the store");
         self.event(Event::Store { request, reply });
     }
 
@@ -362,7 +366,7 @@
         self.announce(heartbeat(instance, sequence, state))
     }
 
-    /// Hands in a heartbeat; returns whether it is acknowledged.
+    /// Passes a heartbeat to the node and returns whether the node accepts it.
     pub fn announce(&mut self, heartbeat: Heartbeat) -> bool {
         let announcement = AnnouncementId(heartbeat.sequence);
         self.event(Event::Heartbeat {
@@ -376,7 +380,7 @@
             } if *answered == announcement => Some(*is_accepted),
             _ => None,
         });
-        acknowledged.expect("an answer to the heartbeat")
+        acknowledged.expect("an acknowledgement or rejection of the heartbeat")
     }
 
     pub fn leave(&mut self, instance: &str) {
@@ -386,7 +390,7 @@
         });
     }
 
-    /// Returns the probe that is asked for last.
+    /// Returns the latest probe that the node has requested.
     pub fn probe(&self) -> Option<ProbeId> {
         self.actions.iter().rev().find_map(|action| match action {
             Action::Probe { probe, .. } => Some(*probe),
@@ -394,9 +398,9 @@
         })
     }
 
-    /// Lets the health endpoint name an incarnation as healthy.
+    /// Ends the latest probe: the health endpoint reports an instance as healthy.
     pub fn confirm(&mut self, instance: &str) {
-        let probe = self.probe().expect("a probe");
+        let probe = self.probe().expect("a requested probe");
         let instance = instance.to_owned();
         self.end_probe(probe, ProbeResult::Healthy { instance });
     }
@@ -405,7 +409,7 @@
         self.event(Event::ProbeEnded { probe, result });
     }
 
-    /// Lets a peer open a link to the node.
+    /// Accepts a link from a peer without a back end.
     pub fn accept(&mut self, link: u64) -> LinkId {
         let link = LinkId(link);
         let hello = hello("caller-side", 9, Status::default(), 0);
@@ -413,7 +417,8 @@
         link
     }
 
-    /// Lets a peer whose back end serves `service` open a link to the node, which serves both ends.
+    /// Accepts a link from a peer whose back end serves `service`, 250 ms later; both ends can send
+    /// requests on it.
     pub fn connect(&mut self, name: &str, last: u8, service: &str) -> LinkId {
         let link = LinkId(1_000 + u64::from(last));
         let hello = hello(name, last, serving(service), 0);
@@ -422,7 +427,7 @@
         link
     }
 
-    /// Sends a request to the node's inbound side.
+    /// Passes a request of a peer to the inbound side of the node.
     pub fn forward(&mut self, link: LinkId, sequence: u64, request: ForwardedRequest) {
         self.event(Event::Link {
             link,
@@ -441,7 +446,7 @@
         });
     }
 
-    /// Returns the requests that were handed to the back end, in order.
+    /// Returns the exchanges that the node has started with its back end, in order.
     pub fn exchanges(&self) -> Vec<Exchange> {
         let exchange = |action: &Action| match action {
             Action::StartExchange(exchange) => Some(exchange.clone()),
@@ -454,7 +459,7 @@
         self.event(Event::ExchangeEnded { exchange, result });
     }
 
-    /// Returns what the inbound side has answered to requests on links.
+    /// Returns the results that the inbound side has sent on links, with their sequence numbers.
     pub fn results(&self) -> Vec<(u64, ForwardResult)> {
         let result = |action: &Action| match action {
             Action::SendOnLink {
@@ -466,28 +471,29 @@
         self.actions.iter().filter_map(result).collect()
     }
 
-    /// Returns the levels of other services that the last answer of the inbound side told.
+    /// Returns the admission levels of downstream services in the latest response of the inbound
+    /// side.
     pub fn involved(&self) -> Vec<ServiceAdmissionLevel> {
-        let told = self.actions.iter().rev().find_map(|action| match action {
+        let levels = self.actions.iter().rev().find_map(|action| match action {
             Action::SendOnLink {
                 message: LinkMessage::Response(response),
                 ..
             } => Some(response.downstream_levels.clone()),
             _ => None,
         });
-        told.unwrap_or_default()
+        levels.unwrap_or_default()
     }
 
-    /// Returns the records for the log.
+    /// Returns the log records that the node has emitted.
     pub fn notes(&self) -> Vec<LogRecord> {
-        let note = |action: &Action| match action {
-            Action::Log(note) => Some(note.clone()),
+        let record = |action: &Action| match action {
+            Action::Log(record) => Some(record.clone()),
             _ => None,
         };
-        self.actions.iter().filter_map(note).collect()
+        self.actions.iter().filter_map(record).collect()
     }
 
-    /// Returns the requests that were sent to peers, with their links.
+    /// Returns the requests that were sent to peers, with their links and sequence numbers.
     pub fn sent(&self) -> Vec<(LinkId, Sequence, ForwardedRequest)> {
         let sent = |action: &Action| match action {
             Action::SendOnLink {
@@ -499,20 +505,20 @@
         self.actions.iter().filter_map(sent).collect()
     }
 
-    /// Lets a peer answer the request that was sent last.
+    /// Passes a response of a peer to the latest request sent.
     pub fn respond(&mut self, result: ForwardResult) {
         self.respond_with(serving(SERVICE).load, Vec::new(), result);
     }
 
-    /// Lets a peer answer the request that was sent last, with its load and the levels of the services
-    /// that its calls went to.
+    /// Passes a response of a peer to the latest request sent, with the load of the peer and the
+    /// admission levels of the services that its calls went to.
     pub fn respond_with(
         &mut self,
         load: Load,
         downstream_levels: Vec<ServiceAdmissionLevel>,
         result: ForwardResult,
     ) {
-        let (link, sequence, _) = self.sent().pop().expect("a request that was sent");
+        let (link, sequence, _) = self.sent().pop().expect("a request sent to a peer");
         self.event(Event::Link {
             link,
             message: LinkMessage::Response(ForwardResponse {
@@ -526,7 +532,7 @@
         });
     }
 
-    /// Returns the answers for callers.
+    /// Returns the answers that the node has sent to callers.
     pub fn answers(&self) -> Vec<CallerAnswer> {
         let answer = |action: &Action| match action {
             Action::Answer { answer, .. } => Some(answer.clone()),
