--- a/crates/rillgap-core/src/admission/limit.rs
+++ b/crates/rillgap-core/src/admission/limit.rs
@@ -1,68 +1,71 @@
-//! Concurrency limit of one back end, learned from how its requests end.
+//! Adaptive concurrency limit of one back end, adjusted by how its requests end.
 //!
-//! The policy's slots are the upper bound. Below it the limit grows by one per answer while it
-//! recovers (slow start), then by one per limit's worth of answers (additive increase), and
-//! shrinks by a factor when the back end sheds or when requests keep failing.
+//! The slots of the policy are the upper bound. Below it, the limit grows by one per answer while
+//! it recovers (slow start), then by one per `limit` answers (additive increase). It is multiplied
+//! by [`DECREASE_FACTOR`] when the back end sheds, and falls to the start of slow start when
+//! requests keep failing.
 
 use std::time::Duration;
 
 use super::Completion;
 use crate::time::Instant;
 
-/// Factor applied when the back end sheds.
-const DECREASE: f64 = 0.8;
-/// Failures in a row that mean the back end is not working.
-const FAILURES_IN_A_ROW: u32 = 8;
-/// Share of the slots that a back end gets when it starts or returns.
-const START_SHARE: f64 = 0.25;
-/// Lowest limit; one request is always let through, to learn from it.
-const FLOOR: f64 = 1.0;
-/// Shortest time between two decreases, so that one burst of shedding counts once.
-const SHORTEST_COOLDOWN: Duration = Duration::from_millis(20);
+/// Factor applied to the limit when the back end sheds a request.
+const DECREASE_FACTOR: f64 = 0.8;
+/// Number of consecutive failures after which slow start begins again.
+const SLOW_START_FAILURES: u32 = 8;
+/// Fraction of the slots at which slow start begins.
+const SLOW_START_FRACTION: f64 = 0.25;
+/// Minimum limit: one request is always admitted, so that the limit can recover.
+const MIN_LIMIT: f64 = 1.0;
+/// Minimum time between two decreases, so that one burst of shed requests counts once.
+const MIN_COOLDOWN: Duration = Duration::from_millis(20);
 
-/// Learned concurrency limit.
+/// Adaptive concurrency limit.
 #[derive(Clone, Debug)]
 pub(super) struct ConcurrencyLimit {
     slots: f64,
     limit: f64,
+    /// Limit at which slow start ends.
     slow_start_until: f64,
-    failures: u32,
+    consecutive_failures: u32,
     decreased_at: Option<Instant>,
 }
 
 impl Default for ConcurrencyLimit {
     fn default() -> Self {
         Self {
-            slots: FLOOR,
-            limit: FLOOR,
-            slow_start_until: FLOOR,
-            failures: 0,
+            slots: MIN_LIMIT,
+            limit: MIN_LIMIT,
+            slow_start_until: MIN_LIMIT,
+            consecutive_failures: 0,
             decreased_at: None,
         }
     }
 }
 
 impl ConcurrencyLimit {
-    /// Sets the upper bound; a back end seen for the first time begins with a share of it.
+    /// Sets the upper bound. The first call begins slow start.
     pub fn configure(&mut self, slots: u16) {
         let slots = f64::from(slots.max(1));
         if slots == self.slots {
             return;
         }
-        if self.slots == FLOOR {
-            self.limit = (slots * START_SHARE).max(FLOOR);
+        if self.slots == MIN_LIMIT {
+            self.limit = (slots * SLOW_START_FRACTION).max(MIN_LIMIT);
         }
         self.slots = slots;
         self.slow_start_until = slots;
         self.limit = self.limit.min(slots);
     }
 
-    /// Returns the requests that may run at once.
+    /// Returns the number of requests that may run concurrently.
     pub fn get(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Takes in how a request ended while `running` requests ran, itself included.
+    /// Adjusts the limit to the end of a request; `running` counts the running requests, including
+    /// this one.
     pub fn finish(
         &mut self,
         now: Instant,
@@ -71,14 +74,14 @@
         running: usize,
     ) {
         match completion {
-            Completion::Answered => self.answered(running),
-            Completion::Shed => self.shed(now, latency),
-            Completion::Failed => self.failed(now),
+            Completion::Answered => self.on_answered(running),
+            Completion::Shed => self.on_shed(now, latency),
+            Completion::Failed => self.on_failed(now),
         }
     }
 
-    fn answered(&mut self, running: usize) {
-        self.failures = 0;
+    fn on_answered(&mut self, running: usize) {
+        self.consecutive_failures = 0;
         let in_use = running as f64 >= self.limit * 0.5;
         if !in_use || self.limit >= self.slots {
             return;
@@ -91,28 +94,28 @@
         self.limit = (self.limit + growth).min(self.slots);
     }
 
-    fn shed(&mut self, now: Instant, latency: Duration) {
-        self.failures = 0;
-        let cooldown = latency.max(SHORTEST_COOLDOWN);
+    fn on_shed(&mut self, now: Instant, latency: Duration) {
+        self.consecutive_failures = 0;
+        let cooldown = latency.max(MIN_COOLDOWN);
         let cooling = self
             .decreased_at
             .is_some_and(|at| now.saturating_since(at) < cooldown);
         if !cooling {
-            self.decrease(now, self.limit * DECREASE);
+            self.decrease(now, self.limit * DECREASE_FACTOR);
         }
     }
 
-    fn failed(&mut self, now: Instant) {
-        self.failures = self.failures.saturating_add(1);
-        if self.failures >= FAILURES_IN_A_ROW {
-            self.failures = 0;
-            self.decrease(now, self.limit.min(self.slots * START_SHARE));
+    fn on_failed(&mut self, now: Instant) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        if self.consecutive_failures >= SLOW_START_FAILURES {
+            self.consecutive_failures = 0;
+            self.decrease(now, self.limit.min(self.slots * SLOW_START_FRACTION));
             self.slow_start_until = self.slots;
         }
     }
 
     fn decrease(&mut self, now: Instant, limit: f64) {
-        self.limit = limit.max(FLOOR);
+        self.limit = limit.max(MIN_LIMIT);
         self.slow_start_until = self.limit;
         self.decreased_at = Some(now);
     }
--- a/crates/rillgap-forward/src/crash/evidence.rs
+++ b/crates/rillgap-forward/src/crash/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence against one content.
+//! Evidence against one content, and the suspicion that follows from it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,39 +7,40 @@
 use rillgap_core::time::{Instant, micros};
 
 use super::{
-    ContentEvidence, CrashId, CrashRecord, EvidenceStrength, QUARANTINE_CRASHES,
-    QUARANTINE_CRASHES_ALONE, QUARANTINE_CRASHES_DOUBTFUL,
+    ContentEvidence, CrashId, CrashRecord, EvidenceStrength, MIN_QUARANTINE_CRASHES,
+    MIN_QUARANTINE_SOLE_SUSPECT_CRASHES, MIN_QUARANTINE_STRONG_CRASHES,
 };
 
-/// Crashes from which a request is recurrent.
-const RECURRENT_CRASHES: usize = 2;
-/// Crashes that are kept of one content. Later ones are passed over until it is forgotten: were others dropped for them, what
-/// peers tell again would be news without end.
-const MOST_CRASHES: usize = 32;
-/// Time after the last crash for which a content is refused. Then one run may end one more back end.
-const QUARANTINE: Duration = Duration::from_secs(600);
-/// Time after the last crash after which a suspect, or one that was exonerated, is forgotten: callers give up much
-/// earlier.
-const SUSPECT_LIFE: Duration = Duration::from_secs(60);
-/// Time after the last crash after which a recurrent content is forgotten.
-const RECURRENT_LIFE: Duration = Duration::from_secs(3_600);
-
-/// What follows from the evidence against a content.
+/// Minimum number of crashes of a recurrent content.
+const MIN_RECURRENT_CRASHES: usize = 2;
+/// Maximum number of crashes that are kept of one content. Later ones are ignored until the content
+/// is evicted. If they replaced earlier ones, crashes that peers send again would count as new, and
+/// nodes would send them back and forth without end.
+const MAX_CRASHES_PER_CONTENT: usize = 32;
+/// Duration of a quarantine from the last crash. After it, one run may crash one more back end.
+const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
+/// Time after the last crash at which a suspect or exonerated content is evicted. Callers stop
+/// retrying much earlier.
+const SUSPECT_TTL: Duration = Duration::from_secs(60);
+/// Time after the last crash at which a recurrent or quarantined content is evicted.
+const RECURRENT_TTL: Duration = Duration::from_secs(3_600);
+
+/// Suspicion that follows from the evidence against a content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Suspicion {
-    /// Nothing is held against it.
+    /// There is no evidence against the content, or it was exonerated.
     Clear,
-    /// It was under way at one crash.
+    /// The content was in flight at one crash.
     Suspected,
-    /// It was under way at several crashes.
+    /// The content was in flight at several crashes.
     Recurrent,
-    /// It is refused.
+    /// All nodes refuse requests with the content.
     Quarantined,
 }
 
 impl Suspicion {
-    /// Returns whether such a request may run beside no other one that back ends have ended under: if the back end ends
-    /// again, it is known which of them it was.
+    /// Returns whether requests with the content must run isolated, as the only suspect on the back
+    /// end. A further crash then shows which request caused it.
     pub const fn is_isolated(self) -> bool {
         matches!(self, Self::Suspected | Self::Recurrent)
     }
@@ -56,60 +57,63 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct CrashObservation {
     strength: EvidenceStrength,
-    /// When the node learned of it.
-    learned_at: Instant,
-    /// Age at that time: it may be older than the node.
-    age_then: Duration,
+    /// When the node recorded the crash.
+    observed_at: Instant,
+    /// Age of the crash at that time. The crash may have happened before the node started.
+    age_when_observed: Duration,
 }
 
-impl Seen {
+impl CrashObservation {
     fn age(&self, now: Instant) -> Duration {
-        self.age_then + now.saturating_since(self.learned_at)
+        self.age_when_observed + now.saturating_since(self.observed_at)
     }
 }
 
 /// Evidence against one content.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Evidence {
-    crashes: BTreeMap<CrashId, Seen>,
+    crashes: BTreeMap<CrashId, CrashObservation>,
     is_exonerated: bool,
 }
 
 impl Evidence {
-    /// Takes in a crash; returns whether it was news.
-    fn add(&mut self, now: Instant, record: &CrashRecord) -> bool {
+    /// Records a crash. Returns whether the evidence has changed.
+    fn record_crash(&mut self, now: Instant, record: &CrashRecord) -> bool {
         let CrashRecord {
             crash,
             strength,
             age_micros,
         } = *record;
-        if let Some(seen) = self.crashes.get_mut(&crash) {
-            let is_news = strength > seen.strength;
-            seen.strength = seen.strength.max(strength);
-            return is_news;
+        if let Some(observation) = self.crashes.get_mut(&crash) {
+            let has_changed = strength > observation.strength;
+            observation.strength = observation.strength.max(strength);
+            return has_changed;
         }
-        if self.is_exonerated || self.crashes.len() >= MOST_CRASHES {
+        if self.is_exonerated || self.crashes.len() >= MAX_CRASHES_PER_CONTENT {
             return false;
         }
-        let seen = Seen {
+        let observation = CrashObservation {
             strength,
-            learned_at: now,
-            age_then: Duration::from_micros(age_micros),
+            observed_at: now,
+            age_when_observed: Duration::from_micros(age_micros),
         };
-        self.crashes.insert(crash, seen);
+        self.crashes.insert(crash, observation);
         true
     }
 
-    /// Takes in that such a request was answered; returns whether that was news.
+    /// Records that such a request was answered. Returns whether the evidence has changed.
     pub const fn exonerate(&mut self) -> bool {
         !std::mem::replace(&mut self.is_exonerated, true)
     }
 
     /// Returns the age of the last crash.
     pub fn age(&self, now: Instant) -> Duration {
-        let ages = self.crashes.values().map(|seen| seen.age(now));
+        let ages = self
+            .crashes
+            .values()
+            .map(|observation| observation.age(now));
         ages.min().unwrap_or(Duration::MAX)
     }
 
@@ -118,90 +122,95 @@
         self.crashes.len()
     }
 
-    /// Returns the number of crashes at which it was the only suspect.
+    /// Returns the number of crashes at which the content was the only suspect.
     pub fn crashes_as_only_suspect(&self) -> usize {
-        self.crashes_of(EvidenceStrength::Weak)
+        self.count_crashes(EvidenceStrength::Weak)
     }
 
-    fn crashes_of(&self, least: EvidenceStrength) -> usize {
+    fn count_crashes(&self, min_strength: EvidenceStrength) -> usize {
         let crashes = self.crashes.values();
-        crashes.filter(|seen| seen.strength >= least).count()
+        crashes
+            .filter(|observation| observation.strength >= min_strength)
+            .count()
     }
 
-    /// Returns whether it was under way at a crash.
-    pub fn has(&self, crash: CrashId) -> bool {
+    /// Returns whether the content was in flight at a crash.
+    pub fn was_in_flight_at(&self, crash: CrashId) -> bool {
         self.crashes.contains_key(&crash)
     }
 
-    /// Returns the crashes that are younger than `age`, and whether it was the only suspect.
+    /// Returns the crashes that are younger than `age`, each with whether the content was the only
+    /// suspect.
     pub fn recent(&self, now: Instant, age: Duration) -> impl Iterator<Item = (CrashId, bool)> {
         let recent = self
             .crashes
             .iter()
-            .filter(move |(_, seen)| seen.age(now) < age);
-        recent.map(|(crash, seen)| (*crash, seen.strength > EvidenceStrength::Inconclusive))
+            .filter(move |(_, observation)| observation.age(now) < age);
+        recent.map(|(crash, known)| (*crash, known.strength > EvidenceStrength::Inconclusive))
     }
 
-    /// Returns whether it was under way at several crashes, whatever has become of it.
-    pub fn is_of_several_crashes(&self) -> bool {
-        self.crashes.len() >= RECURRENT_CRASHES
+    /// Returns whether the content was in flight at several crashes, even if it was exonerated.
+    pub fn has_several_crashes(&self) -> bool {
+        self.crashes.len() >= MIN_RECURRENT_CRASHES
     }
 
-    /// Returns what follows from the evidence.
+    /// Returns the suspicion that follows from the evidence.
     pub fn suspicion(&self, now: Instant) -> Suspicion {
         if self.is_exonerated || self.crashes.is_empty() {
             return Suspicion::Clear;
         }
-        if !self.is_of_several_crashes() {
+        if !self.has_several_crashes() {
             return Suspicion::Suspected;
         }
-        if self.is_guilty() && !self.quarantine_left(now).is_zero() {
+        if self.meets_quarantine_threshold() && !self.quarantine_remaining(now).is_zero() {
             Suspicion::Quarantined
         } else {
             Suspicion::Recurrent
         }
     }
 
-    fn is_guilty(&self) -> bool {
-        let is_proved = self.crashes_of(EvidenceStrength::Strong) >= QUARANTINE_CRASHES_ALONE
-            || self.crashes_as_only_suspect() >= QUARANTINE_CRASHES_DOUBTFUL;
-        is_proved && self.crashes() >= QUARANTINE_CRASHES
+    fn meets_quarantine_threshold(&self) -> bool {
+        let has_enough_crashes = self.count_crashes(EvidenceStrength::Strong)
+            >= MIN_QUARANTINE_STRONG_CRASHES
+            || self.crashes_as_only_suspect() >= MIN_QUARANTINE_SOLE_SUSPECT_CRASHES;
+        has_enough_crashes && self.crashes() >= MIN_QUARANTINE_CRASHES
     }
 
-    /// Returns the time until the end of the quarantine, if the content is guilty.
-    pub fn quarantine_left(&self, now: Instant) -> Duration {
-        QUARANTINE.saturating_sub(self.age(now))
+    /// Returns the time that is left of a quarantine that began with the last crash. It does not
+    /// tell whether the content meets the quarantine threshold.
+    pub fn quarantine_remaining(&self, now: Instant) -> Duration {
+        QUARANTINE_DURATION.saturating_sub(self.age(now))
     }
 
-    /// Returns whether the evidence is too old to be kept.
-    pub fn is_over(&self, now: Instant) -> bool {
+    /// Returns whether the evidence is old enough to be evicted.
+    pub fn is_expired(&self, now: Instant) -> bool {
         let is_recurrent = self.suspicion(now) >= Suspicion::Recurrent;
-        let life = if is_recurrent {
-            RECURRENT_LIFE
+        let ttl = if is_recurrent {
+            RECURRENT_TTL
         } else {
-            SUSPECT_LIFE
+            SUSPECT_TTL
         };
-        self.age(now) >= life
+        self.age(now) >= ttl
     }
 
-    /// Takes in what a peer knows; returns whether any of it was news.
-    pub fn merge(&mut self, now: Instant, told: &ContentEvidence) -> bool {
-        let mut is_news = false;
-        for record in &told.crashes {
-            is_news |= self.add(now, record);
+    /// Merges the evidence of a peer. Returns whether the evidence has changed.
+    pub fn merge(&mut self, now: Instant, message: &ContentEvidence) -> bool {
+        let mut has_changed = false;
+        for record in &message.crashes {
+            has_changed |= self.record_crash(now, record);
         }
-        if told.is_exonerated {
-            is_news |= self.exonerate();
+        if message.is_exonerated {
+            has_changed |= self.exonerate();
         }
-        is_news
+        has_changed
     }
 
-    /// Returns what peers are told.
-    pub fn tell(&self, now: Instant, content: Fingerprint) -> ContentEvidence {
-        let record = |(crash, seen): (&CrashId, &Seen)| CrashRecord {
+    /// Returns the evidence as a message to peers.
+    pub fn to_message(&self, now: Instant, content: Fingerprint) -> ContentEvidence {
+        let record = |(crash, observation): (&CrashId, &CrashObservation)| CrashRecord {
             crash: *crash,
-            strength: seen.strength,
-            age_micros: micros(seen.age(now)),
+            strength: observation.strength,
+            age_micros: micros(observation.age(now)),
         };
         ContentEvidence {
             content,
@@ -210,10 +219,10 @@
         }
     }
 
-    /// Creates the evidence that a peer knows.
-    pub fn heard(now: Instant, told: &ContentEvidence) -> Self {
+    /// Creates the evidence from the message of a peer.
+    pub fn from_message(now: Instant, message: &ContentEvidence) -> Self {
         let mut evidence = Self::default();
-        evidence.merge(now, told);
+        evidence.merge(now, message);
         evidence
     }
 }
--- a/crates/rillgap-forward/src/node/spread.rs
+++ b/crates/rillgap-forward/src/node/configuration_distribution.rs
@@ -1,4 +1,4 @@
-//! The configuration: put in force, offered to peers, asked from them.
+//! Distribution of the configuration: activation, offers to peers, queries to peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +12,13 @@
 use crate::log_record::LogRecord;
 use crate::message::LinkMessage;
 
-/// Time after a newer version was heard of in which the node waits for the store to bring it.
-const OFFER_PATIENCE: Duration = Duration::from_millis(200);
+/// Time for which the node waits for the store to deliver a newer version before it queries a peer
+/// that has offered it.
+const STORE_DELIVERY_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Node {
-    /// Puts a configuration in force unless it is not newer.
-    pub(super) fn adopt(
+    /// Puts a configuration in force unless the current one is the same version or newer.
+    pub(super) fn apply_configuration(
         &mut self,
         now: Instant,
         configuration: Configuration,
@@ -36,13 +37,13 @@
         let version = configuration.version;
         let table = RouteTable::new(configuration);
         self.freshness.on_configuration_in_force(version);
-        self.limit_tenants(now, &table);
+        self.apply_tenant_limits(now, &table);
         self.table = Some(Arc::new(table));
         self.configured_at = Some(now);
         self.offers.on_configuration_in_force(version);
         self.store.on_configuration_in_force();
         self.broadcast(&LinkMessage::ConfigurationOffer(version), out);
-        // The health endpoint's path may be known now.
+        // The new configuration may define the path of the health endpoint.
         let table = self.table.clone();
         self.inbound.poll(now, table.as_deref(), out);
     }
@@ -55,11 +56,11 @@
                 message: LinkMessage::ConfigurationOffer(own_version),
             });
         }
-        self.learn_version(now, link, version, out);
+        self.observe_version(now, link, version, out);
     }
 
-    /// Takes in which version the peer on a link has.
-    pub(super) fn learn_version(
+    /// Records the version of the configuration that the peer on a link has.
+    pub(super) fn observe_version(
         &mut self,
         now: Instant,
         link: LinkId,
@@ -70,12 +71,12 @@
         if version <= own_version {
             return;
         }
-        let patience = if self.store.has_configuration_call_in_flight() {
-            OFFER_PATIENCE
+        let delay = if self.store.has_configuration_call_in_flight() {
+            STORE_DELIVERY_TIMEOUT
         } else {
             Duration::ZERO
         };
-        if self.offers.on_offer(now, link, version, now + patience) {
+        if self.offers.on_offer(now, link, version, now + delay) {
             let peer = self.peer_name(link);
             out.push(Action::Log(LogRecord::NewerConfiguration {
                 version,
@@ -99,8 +100,8 @@
         });
     }
 
-    /// Asks a peer for the newer configuration that it has told of.
-    pub(super) fn ask_for_configuration(&mut self, now: Instant, out: &mut Actions) {
+    /// Sends a query for a newer configuration to a peer that has offered it.
+    pub(super) fn query_configuration(&mut self, now: Instant, out: &mut Actions) {
         let Some(query) = self.offers.take_due(now) else {
             return;
         };
--- a/crates/rillgap-forward/src/node/freshness.rs
+++ b/crates/rillgap-forward/src/node/freshness.rs
@@ -1,4 +1,4 @@
-//! Proofs that the configuration is fresh: asked from peers, given to them.
+//! Proofs that the configuration is the newest one: queries to peers and answers to theirs.
 
 use std::time::Duration;
 
@@ -11,16 +11,17 @@
 use crate::log_record::LogRecord;
 use crate::message::{FreshnessAnswer, LinkMessage};
 
-/// Returns the age of the proof, if there is one.
+/// Returns the age of the proof in milliseconds, `None` if there is no proof.
 pub(super) fn age_millis(freshness: &Freshness, now: Instant) -> Option<u64> {
     let age = freshness.proof_age(now)?.as_millis();
     Some(u64::try_from(age).unwrap_or(u64::MAX))
 }
 
 impl Node {
-    /// Asks peers for a proof when the own one is getting old: those that watch the store first.
-    pub(super) fn ask_for_proof(&mut self, now: Instant, out: &mut Actions) {
-        self.note_freshness(now, out);
+    /// Queries peers for a proof before the node's own one expires, those that watch the store
+    /// first.
+    pub(super) fn query_freshness(&mut self, now: Instant, out: &mut Actions) {
+        self.log_freshness(now, out);
         let is_needed = self.table.as_ref().is_some_and(|table| table.has_tenants());
         let width = self.freshness.queries_due(now).filter(|_| is_needed);
         let Some(width) = width else {
@@ -62,21 +63,21 @@
     }
 
     pub(super) fn on_freshness_answer(&mut self, answer: FreshnessAnswer) {
-        // The peer has not heard yet that the store came back from a copy.
+        // The peer has not been notified yet that the store was restored from a backup.
         if Some(answer.epoch) < self.store.epoch() {
             return;
         }
-        let own = self.configuration_version();
+        let own_version = self.configuration_version();
         let age = Duration::from_micros(answer.age_micros);
         self.freshness
-            .on_answer(answer.number, answer.version, age, own);
+            .on_answer(answer.number, answer.version, age, own_version);
     }
 
-    /// Notes that requests with keys are served again, or not any more.
-    fn note_freshness(&mut self, now: Instant, out: &mut Actions) {
+    /// Logs when the node begins or ceases to serve requests with keys.
+    fn log_freshness(&mut self, now: Instant, out: &mut Actions) {
         let is_proven = self.freshness.is_proven(now);
-        if is_proven != self.told_proven {
-            self.told_proven = is_proven;
+        if is_proven != self.logged_fresh {
+            self.logged_fresh = is_proven;
             out.push(Action::Log(LogRecord::Freshness {
                 is_proven,
                 proof_age_millis: age_millis(&self.freshness, now),
--- a/crates/rillgap-forward/src/node/store.rs
+++ b/crates/rillgap-forward/src/node/store.rs
@@ -1,4 +1,4 @@
-//! What the store answers, and its return from a copy.
+//! Replies of the store, and its restoration from a backup.
 
 use rillgap_core::time::Instant;
 
@@ -21,40 +21,42 @@
         if let Some(epoch) = reply.epoch() {
             self.observe_epoch(now, epoch, None, out);
         }
-        let news = self.store.on_reply(now, request, reply);
-        self.note_store(&news, out);
-        match news {
+        let event = self.store.on_reply(now, request, reply);
+        self.log_store(&event, out);
+        match event {
             Some(StoreEvent::Configuration(configuration)) => {
-                self.adopt(now, configuration, "store", out);
+                self.apply_configuration(now, configuration, "store", out);
             }
             Some(StoreEvent::Nodes { list, is_complete }) => {
-                self.knows_members |= is_complete;
+                self.has_full_membership |= is_complete;
                 if list.unreadable > 0 {
                     let unreadable = list.unreadable;
                     out.push(Action::Log(LogRecord::UnreadableRecords { unreadable }));
                 }
-                self.directory.learn_list(now, &list);
+                self.directory.apply_node_list(now, &list);
             }
             _ => {}
         }
-        self.take_proof();
+        self.apply_store_proof();
     }
 
-    /// Takes the proof of freshness that an answer has brought. A store that holds an older version than the
-    /// one in force has lost what was written since, perhaps also a version that no node has seen: it proves
-    /// nothing until it has caught up.
-    fn take_proof(&mut self) {
+    /// Applies the proof of freshness that a reply of the store contains. A store that holds an
+    /// older version than the one in force has lost later writes, possibly including a version that
+    /// no node has received: its replies prove nothing until it has caught up.
+    fn apply_store_proof(&mut self) {
         let Some(proof) = self.store.take_proof() else {
             return;
         };
-        let own = self.configuration_version();
-        if proof.version >= own {
-            self.freshness.record_proof(proof.at, proof.version, own);
+        let own_version = self.configuration_version();
+        if proof.version >= own_version {
+            self.freshness
+                .record_proof(proof.at, proof.version, own_version);
         }
     }
 
-    /// Takes in that the store has reached an epoch, as itself or the peer on a link has told. If it has come
-    /// back from a copy, the peers are told: the store may refuse some of them.
+    /// Records the epoch of the store that the store itself or the peer on link `from` has
+    /// reported. A higher epoch means that the store was restored from a backup; it is forwarded to
+    /// all peers, since the store may reject calls of some of them.
     pub(super) fn observe_epoch(
         &mut self,
         now: Instant,
@@ -77,9 +79,9 @@
         self.broadcast(&LinkMessage::StoreEpoch(epoch), out);
     }
 
-    /// Notes that the store is lost or back.
-    fn note_store(&mut self, news: &Option<StoreEvent>, out: &mut Actions) {
-        let failure = match news {
+    /// Logs when the store becomes unavailable or available again.
+    fn log_store(&mut self, event: &Option<StoreEvent>, out: &mut Actions) {
+        let failure = match event {
             Some(StoreEvent::Failed { call, failure }) => Some((*call, failure.clone())),
             _ => None,
         };
--- a/crates/rillgap-forward/src/outbound/mod.rs
+++ b/crates/rillgap-forward/src/outbound/mod.rs
@@ -1,14 +1,14 @@
-//! Requests that begin at this node: of its callers and of the back end beside it.
+//! Outbound side of a node: requests of its callers and of its local back end.
 //!
-//! A request has one owner from its first byte to its answer: the node that took it in. The owner
-//! chooses the node that runs it, keeps its deadline, pays for repeats and answers. It hands a
-//! request that may run only once to a second node only with the first one's word that it did not
-//! run and never will.
+//! One node is responsible for a request from its first byte to its answer: the node that received
+//! it. This node chooses where the request runs, enforces its deadline, spends retry budget on it
+//! and answers it. It sends a request that may run only once to a second node only after the first
+//! one has reported that the request did not run there and never will.
 
 mod admission;
 mod answer;
 mod attempts;
-mod ending;
+mod completion;
 mod intake;
 mod request;
 mod results;
@@ -40,70 +40,76 @@
 use tenancy::Refusal;
 use weights::WeightedChoice;
 
-/// Share of the target latency for which a caller's request may wait in a queue. Those that wait longer are mostly not
-/// served in time, and fail after work was done for them.
-const QUEUE_SHARE: f64 = 0.2;
-/// Share of the target latency for which a back end's own request may wait in a queue: it is one
-/// of several that follow each other within the time of one caller's request.
-const CALL_QUEUE_SHARE: f64 = 0.33;
-/// Most moves of a request to another node while no back end was reached: they cost no budget.
-const MOST_FREE_MOVES: u32 = 3;
-/// Most moves in all: enough for nearly every call where back ends refuse half of what they get.
-const MOST_MOVES: u32 = 6;
-/// Time after which to come back when no back end takes requests, in milliseconds.
-const NO_BACK_END_MILLIS: u32 = 250;
-/// Time between two looks at what the log tells of admission.
+/// Fraction of the route's target latency for which a caller's request may wait in queues. Requests
+/// that wait longer are mostly not served in time, and fail after work was done for them.
+const CALLER_QUEUE_FRACTION: f64 = 0.2;
+/// Fraction of the route's target latency for which a back end's call may wait in queues. Several
+/// calls follow each other within the time of one caller's request.
+const CALL_QUEUE_FRACTION: f64 = 0.33;
+/// Maximum number of retries of a request after an attempt that reached no back end. Such a retry
+/// spends no budget.
+const MAX_TRANSPARENT_RETRIES: u32 = 3;
+/// Maximum number of retries of a request in total: enough for nearly every call to succeed where
+/// back ends refuse half of the requests.
+const MAX_RETRIES: u32 = 6;
+/// `Retry-After` of a request for which no back end or no configuration is available, in
+/// milliseconds.
+const NO_BACK_END_RETRY_AFTER_MILLIS: u32 = 250;
+/// Interval at which changes of admission are logged.
 const ADMISSION_REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// Time after which to come back when requests are throttled, in milliseconds.
-const THROTTLED_MILLIS: u32 = 300;
+/// `Retry-After` of a request that admission control refuses, in milliseconds.
+const THROTTLED_RETRY_AFTER_MILLIS: u32 = 300;
 
 /// Node that may run an attempt.
 #[derive(Clone, Copy, Debug)]
 enum Target {
     /// This node.
-    Own,
-    /// A peer, over the link in use.
+    Local,
+    /// A peer, over its open link.
     Peer(PeerIndex, LinkId),
 }
 
-/// Where a request comes from.
+/// Source of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A caller.
+    /// A caller, or the local back end outside of the requests that it is running.
     Caller,
-    /// The back end beside the node, for a request that it works on.
+    /// The local back end, as a call for a request that it is running.
     BackEnd {
-        /// Admission level of the root of the chain.
+        /// Admission level of the root request of the chain.
         level: Level,
-        /// Whether a request further up the chain was sent to a back end before.
+        /// Whether a request further up the chain is a retry.
         is_retry: bool,
     },
 }
 
-/// What the outbound side consults.
+/// State of the node that the outbound side uses to handle an event.
 #[derive(Debug)]
 pub struct OutboundContext<'a> {
-    /// Configuration in force.
+    /// Configuration in force; `None` before the first one.
     pub table: Option<&'a RouteTable>,
-    /// Peers.
+    /// Peers that are known to this node, with their links and loads.
     pub directory: &'a mut Directory,
-    /// The back end beside the node.
+    /// Inbound side of this node, with the local back end.
     pub inbound: &'a Inbound,
-    /// Whether the configuration is known to be fresh enough to trust keys.
+    /// Whether the configuration is known to be recent enough to check callers' keys by it.
     pub is_configuration_fresh: bool,
-    /// Age of the proof of that, in milliseconds.
+    /// Age of the last proof that the configuration is the newest, in milliseconds; `None` without
+    /// a proof.
     pub proof_age_millis: Option<u64>,
     /// Whether the node is in a planned stop.
     pub is_stopping: bool,
-    /// Whether callers' requests are refused: they may still be under way when a planned stop ends.
+    /// Whether callers' requests are refused, because they could still be in flight when a planned
+    /// stop ends.
     pub refuses_callers: bool,
-    /// Whether the process is about to end: nothing new can be finished.
+    /// Whether the process is about to exit. All new requests are refused, as none could be
+    /// completed.
     pub is_exiting: bool,
-    /// Actions for the driver.
+    /// Receives the actions that the driver has to carry out.
     pub out: &'a mut Actions,
 }
 
-/// The outbound side of a node.
+/// Outbound side of a node: its unanswered requests and the state for routing and admission.
 #[derive(Debug)]
 pub struct Outbound {
     own_name: String,
@@ -111,6 +117,7 @@
     own_service: String,
     requests: BTreeMap<RequestKey, Request>,
     deadlines: BTreeSet<(Instant, RequestKey)>,
+    /// Requests with an attempt in flight, by the sequence number of the attempt.
     by_sequence: BTreeMap<Sequence, RequestKey>,
     next_sequence: u64,
     balancer: Balancer,
@@ -119,11 +126,12 @@
     tokens: EntryLimiter<RequestKey>,
     next_admission_report: Instant,
     weights: WeightedChoice,
+    /// Updates on calls of the local back end that the inbound side has not received yet.
     call_updates: Vec<CallUpdate>,
 }
 
 impl Outbound {
-    /// Creates the outbound side of a fresh node.
+    /// Creates the outbound side of a node that has just started.
     pub fn new(settings: &ForwardSettings) -> Self {
         Self {
             own_name: settings.record.name.clone(),
@@ -143,12 +151,12 @@
         }
     }
 
-    /// Returns the number of requests without an answer.
+    /// Returns the number of requests that have not been answered yet.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Takes in a request.
+    /// Handles a new request: checks it, then sends it to a node or refuses it.
     pub fn on_request(
         &mut self,
         now: Instant,
@@ -169,7 +177,7 @@
                     code,
                     retry_after_millis,
                 } = refusal;
-                let answer = answer::own(code, retry_after_millis, false, context.is_stopping);
+                let answer = answer::for_code(code, retry_after_millis, false, context.is_stopping);
                 self.answer_rejected(key, *rejected, code, answer, context);
                 return;
             }
@@ -183,10 +191,10 @@
         }
         self.deadlines.insert((request.deadline, key));
         self.requests.insert(key, request);
-        self.dispatch_within_limit(now, key, context);
+        self.dispatch_with_token(now, key, context);
     }
 
-    /// Takes in that a caller has gone.
+    /// Cancels all requests of a caller's connection that was closed.
     pub fn on_caller_gone(&mut self, connection: ConnectionId, context: &mut OutboundContext<'_>) {
         let first = RequestKey::first(connection);
         let last = RequestKey::last(connection);
@@ -196,7 +204,7 @@
             .map(|(key, _)| *key)
             .collect();
         for key in keys {
-            let Some(mut request) = self.take(key) else {
+            let Some(mut request) = self.remove_request(key) else {
                 continue;
             };
             self.cancel_attempt(&mut request, context);
@@ -206,7 +214,7 @@
         }
     }
 
-    /// Takes in the answer of the node that was asked.
+    /// Handles the response of a node to an attempt.
     pub fn on_response(
         &mut self,
         now: Instant,
@@ -218,14 +226,14 @@
         if let Some(key) = key {
             self.end_attempt(key, context);
         }
-        // The load that is told does not hold the answered request any more.
+        // Recorded after the end of the attempt: the load does not include the answered request.
         if let Some(peer) = context.directory.by_link(link) {
             peer.observe_load(response.load);
         }
         let Some(key) = key else {
             return;
         };
-        self.observe_levels(now, key, link, &response, context);
+        self.record_levels(now, key, link, &response, context);
         if let Some(request) = self.requests.get_mut(&key) {
             request.timing = response.timing;
             request.has_failed_call = response.has_failed_call;
@@ -233,14 +241,14 @@
         self.on_result(now, key, response.result, context);
     }
 
-    /// Takes in that a link has ended: what was sent on it may have run.
+    /// Handles the end of a link: attempts that were sent on it may have run.
     pub fn on_link_closed(
         &mut self,
         now: Instant,
         link: LinkId,
         context: &mut OutboundContext<'_>,
     ) {
-        for key in self.requests_at(link) {
+        for key in self.requests_on_link(link) {
             self.end_attempt(key, context);
             let result = ForwardResult::Unknown {
                 code: ResultCode::AnswerLost,
@@ -249,31 +257,33 @@
         }
     }
 
-    /// Answers requests whose time is over, and moves the admitted shares.
+    /// Logs changes of admission, and answers requests that have waited too long for a token or
+    /// whose deadline has passed.
     pub fn poll(&mut self, now: Instant, context: &mut OutboundContext<'_>) {
         if now >= self.next_admission_report {
             self.next_admission_report = now + ADMISSION_REPORT_INTERVAL;
             self.report_admission(now, context);
         }
-        self.refuse_overdue(now, context);
+        self.refuse_unanswered_token_waits(now, context);
         while let Some((deadline, key)) = self.deadlines.first().copied() {
             if deadline > now {
                 return;
             }
-            self.give_up(now, key, context);
+            self.on_deadline(now, key, context);
         }
     }
 
-    /// Takes in the level of a peer's back end.
+    /// Records the admission level that a peer publishes for its back end.
     pub fn on_status(&mut self, now: Instant, peer: &str, status: &Status) {
         if status.is_serving {
             let level = status.load.level;
-            self.admission.observe(now, &status.service, peer, level);
+            self.admission
+                .record_published(now, &status.service, peer, level);
         }
     }
 
-    /// Takes in the levels of the services that an answer involved.
-    fn observe_levels(
+    /// Records the levels of the services that an answer involved.
+    fn record_levels(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -290,15 +300,15 @@
             .map_or(self.own_name.as_str(), |peer| &peer.record.name);
         let service = &request.forwarded.service;
         self.admission
-            .observe(now, service, reporter, response.load.level);
+            .record_published(now, service, reporter, response.load.level);
         for involved in &response.downstream_levels {
-            self.admission.observe_relayed(now, involved, reporter);
+            self.admission.record_relayed(now, involved, reporter);
         }
         let is_success =
             matches!(&response.result, ForwardResult::Answered(answer) if answer.is_success());
         if is_success {
             self.budget
-                .learn_calls(service, !response.downstream_levels.is_empty());
+                .record_calls(service, !response.downstream_levels.is_empty());
         }
         if request.is_call {
             let mut involved = vec![ServiceAdmissionLevel {
@@ -309,12 +319,16 @@
             request.involved = involved;
         } else {
             let route = &request.route.name;
-            self.admission
-                .learn(route, service, &response.downstream_levels, is_success);
+            self.admission.record_involvement(
+                route,
+                service,
+                &response.downstream_levels,
+                is_success,
+            );
         }
     }
 
-    /// Tells the log what has changed in what is let in.
+    /// Logs changes of admission.
     fn report_admission(&mut self, now: Instant, context: &mut OutboundContext<'_>) {
         for change in self.admission.take_changes(now) {
             context.out.push(Action::Log(LogRecord::Admission {
@@ -325,8 +339,8 @@
         }
     }
 
-    /// Returns what became of the back end's calls since the last look, by the request that each is
-    /// made for.
+    /// Returns the updates on calls of the local back end that were queued since the last call of
+    /// this function.
     pub fn take_call_updates(&mut self) -> Vec<CallUpdate> {
         std::mem::take(&mut self.call_updates)
     }
@@ -338,14 +352,13 @@
     }
 }
 
-/// Returns the longest time for which a request may still wait in queues, `elapsed` after its
-/// arrival.
+/// Returns how long a request that arrived `elapsed` ago may still wait in queues.
 fn queue_limit(route: &Route, is_call: bool, elapsed: Duration) -> Duration {
-    let share = if is_call {
-        CALL_QUEUE_SHARE
+    let fraction = if is_call {
+        CALL_QUEUE_FRACTION
     } else {
-        QUEUE_SHARE
+        CALLER_QUEUE_FRACTION
     };
-    let limit = route.target_latency().mul_f64(share);
+    let limit = route.target_latency().mul_f64(fraction);
     limit.saturating_sub(elapsed)
 }
--- a/crates/rillgap-forward/tests/inbound.rs
+++ b/crates/rillgap-forward/tests/inbound.rs
@@ -1,4 +1,4 @@
-//! The side beside the back end: what it believes, what it lets run and what it says.
+//! Tests of the inbound side: health of the back end, admission, queueing and results.
 
 mod support;
 
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn fresh_node_believes_a_heartbeat_only_after_the_health_endpoint() {
+fn new_node_considers_a_back_end_serving_only_after_the_health_endpoint_confirms_it() {
     let mut test = TestNode::configured(support::SERVICE);
     expect_that!(test.heartbeat(1, AnnouncedState::Ready), eq(true));
     expect_that!(test.node.inbound().status().is_serving, eq(false));
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn late_ready_does_not_revive_what_announced_draining() {
+fn late_ready_heartbeat_does_not_return_a_draining_back_end_to_service() {
     let mut test = TestNode::serving();
     expect_that!(test.heartbeat(5, AnnouncedState::Draining), eq(true));
     expect_that!(test.heartbeat(4, AnnouncedState::Ready), eq(true));
@@ -41,9 +41,10 @@
 }
 
 #[gtest]
-fn restarted_node_does_not_take_a_leaving_back_end_for_a_serving_one() {
+fn restarted_node_does_not_consider_a_leaving_back_end_serving() {
     let mut test = TestNode::configured(support::SERVICE);
-    // A late heartbeat from before the announcement, which this run has not heard.
+    // A heartbeat from before the announcement arrives late; the restarted node has no record of
+    // the announcement.
     test.heartbeat(3, AnnouncedState::Ready);
     let probe = test.probe().expect("a probe");
     test.end_probe(probe, ProbeResult::Unhealthy);
@@ -51,7 +52,7 @@
 }
 
 #[gtest]
-fn back_end_that_leaves_without_draining_gets_nothing_more() {
+fn back_end_that_leaves_without_draining_gets_no_more_requests() {
     let mut test = TestNode::serving();
     test.leave(INSTANCE);
     let link = test.accept(50);
@@ -62,7 +63,7 @@
 }
 
 #[gtest]
-fn next_incarnation_is_believed_after_the_first_has_left() {
+fn next_incarnation_serves_after_the_first_has_left() {
     let mut test = TestNode::serving();
     test.heartbeat(9, AnnouncedState::Draining);
     test.heartbeat_of("i-2", 1, AnnouncedState::Ready);
@@ -82,18 +83,18 @@
 }
 
 #[gtest]
-fn never_more_run_than_the_back_end_has_slots() {
+fn running_requests_never_exceed_the_usable_slots() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     for sequence in 0..20 {
         test.forward(link, sequence, forwarded(&format!("r{sequence}"), true));
     }
-    // Four slots, of which a few in a hundred are left free.
+    // Of the four slots, a small fraction is left free.
     expect_that!(test.exchanges().len(), eq(3));
 }
 
 #[gtest]
-fn draining_refuses_at_once_what_waits_and_lets_finish_what_runs() {
+fn draining_refuses_queued_requests_at_once_and_completes_running_ones() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     for sequence in 0..5 {
@@ -135,12 +136,12 @@
         .skip(3)
         .map(|exchange| exchange.request.request_id.clone())
         .collect();
-    // The reserve of the lower rank is empty, so it gets one place first.
+    // The lower rank uses none of its reserve, so its request is started first.
     expect_that!(ids, elements_are![eq("low"), eq("high")]);
 }
 
 #[gtest]
-fn cancelled_request_frees_its_place_unless_it_may_run_only_once() {
+fn cancelled_request_frees_its_slot_unless_it_is_not_idempotent() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.forward(link, 1, forwarded("safe", true));
@@ -156,7 +157,7 @@
 }
 
 #[gtest]
-fn end_of_a_link_cancels_its_requests_only() {
+fn closed_link_cancels_only_its_own_requests() {
     let mut test = TestNode::serving();
     let first = test.accept(50);
     let second = test.accept(51);
@@ -169,7 +170,7 @@
 }
 
 #[gtest]
-fn silence_ends_as_unknown_after_the_deadline_and_never_as_not_run() {
+fn missing_answer_is_unknown_after_the_deadline_and_never_not_run() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.forward(link, 1, forwarded("a", false));
@@ -184,7 +185,7 @@
 }
 
 #[gtest]
-fn what_cannot_be_proved_is_unknown_and_what_can_is_not_run() {
+fn result_is_not_run_only_if_execution_is_ruled_out() {
     let cases = [
         (ExchangeResult::Lost, ResultCode::AnswerLost, false),
         (
@@ -205,17 +206,18 @@
         test.forward(link, 1, forwarded("a", false));
         let exchange = test.exchanges()[0].id;
         test.end_exchange(exchange, result);
-        // What is said of a lost answer waits until the health endpoint has told whether the back end has ended.
+        // The response to a lost request is held until the health endpoint has answered or the hold
+        // timeout has passed.
         test.pass(60);
         let results = test.results();
         expect_that!(code_of(&results[0].1), some(eq(code)));
-        let said = matches!(results[0].1, ForwardResult::NotRun { .. });
-        expect_that!(said, eq(is_not_run));
+        let is_reported_not_run = matches!(results[0].1, ForwardResult::NotRun { .. });
+        expect_that!(is_reported_not_run, eq(is_not_run));
     }
 }
 
 #[gtest]
-fn stopping_node_gives_its_back_end_requests_for_a_quarter_of_the_grace_and_then_refuses() {
+fn stopping_node_starts_requests_for_a_quarter_of_the_grace_and_then_refuses_them() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.event(Event::Stop);
@@ -233,7 +235,7 @@
 }
 
 #[gtest]
-fn queue_that_is_too_long_refuses_at_once_with_a_time_to_come_back() {
+fn overlong_queue_refuses_at_once_with_a_retry_after() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.forward(link, 0, forwarded("warm", true));
@@ -261,7 +263,7 @@
 }
 
 #[gtest]
-fn silent_back_end_is_probed_and_taken_out_if_it_does_not_answer() {
+fn back_end_without_heartbeats_is_probed_and_taken_out_of_service_if_it_does_not_answer() {
     let mut test = TestNode::serving();
     test.pass(4_900);
     let probe = test.probe().expect("a probe after missed heartbeats");
@@ -286,8 +288,8 @@
     expect_that!(test.node.inbound().load().limit, eq(95));
 }
 
-/// Sends 12 requests of the lowest priority each 50 ms, each of which is at the back end for as long:
-/// four times what its 3 usable slots carry.
+/// Sends 12 requests of priority 2 every 50 ms, each of which takes 50 ms on the back end: four
+/// times the capacity of its 3 usable slots.
 fn overload(test: &mut TestNode, link: LinkId, millis: u64) {
     let until = test.now + millis;
     let mut sequence = 0;
@@ -307,13 +309,13 @@
 }
 
 #[gtest]
-fn overload_raises_the_level_within_the_lowest_priority_until_it_has_passed() {
+fn overload_raises_the_level_within_the_lowest_priority_until_it_ends() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     overload(&mut test, link, 2_000);
     let level = test.node.inbound().load().level;
     expect_that!(priority_of(level), eq(2));
-    // A quarter of the priority fits, a little more while the queue is short.
+    // A quarter of the requests fits, slightly more while the queue is short.
     let shed = f64::from(level.0 % Level::PER_TIER) / f64::from(Level::PER_TIER);
     expect_that!(shed, all!(gt(0.5), lt(0.95)));
     for exchange in &test.exchanges() {
@@ -325,10 +327,10 @@
 }
 
 #[gtest]
-fn requests_that_are_refused_count_as_demand() {
+fn refused_requests_count_as_demand() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    // Three requests take 50 ms each, so that the time that one takes is known.
+    // Requests that take 50 ms each give the node an expected service time.
     overload(&mut test, link, 400);
     for sequence in 10_000..10_400 {
         let mut request = forwarded(&format!("r{sequence}"), true);
@@ -344,7 +346,7 @@
     );
 }
 
-/// Hands so many requests to the back end, one after the other, which all end in this way.
+/// Runs `count` requests on the back end, one after the other, each of which ends with `result`.
 fn run_and_end(test: &mut TestNode, first: u64, count: u64, result: &ExchangeResult) {
     let link = test.accept(70);
     for number in first..first + count {
@@ -355,7 +357,7 @@
 }
 
 #[gtest]
-fn back_end_that_loses_answers_stands_out_until_it_has_been_spared_for_a_while() {
+fn back_end_that_loses_answers_counts_as_failing_until_its_rate_has_decayed() {
     let mut test = TestNode::serving();
     run_and_end(&mut test, 1, 20, &ExchangeResult::Lost);
     test.event(Event::Wake);
@@ -365,7 +367,7 @@
 }
 
 #[gtest]
-fn few_failures_among_many_successes_do_not_stand_out() {
+fn few_failures_among_many_successes_do_not_count_as_failing() {
     let mut test = TestNode::serving();
     run_and_end(&mut test, 1, 1, &ExchangeResult::Lost);
     run_and_end(&mut test, 2, 30, &ExchangeResult::Answered(answer(200)));
@@ -374,7 +376,7 @@
 }
 
 #[gtest]
-fn failure_of_a_call_is_not_blamed_on_the_back_end_that_made_it() {
+fn failure_of_a_call_does_not_count_against_the_back_end_that_made_it() {
     let mut test = TestNode::fresh(SERVICE);
     let mut table = configuration(1);
     let other = route("/other/", "other", Repeatability::Idempotent);
@@ -398,7 +400,7 @@
 }
 
 #[gtest]
-fn failure_without_a_failed_call_is_the_back_ends_own() {
+fn failure_without_a_failed_call_counts_against_the_back_end() {
     let mut test = TestNode::serving();
     run_and_end(&mut test, 1, 20, &ExchangeResult::Answered(answer(500)));
     test.event(Event::Wake);
@@ -406,7 +408,7 @@
 }
 
 #[gtest]
-fn cancellation_at_the_deadline_counts_as_no_answer() {
+fn cancellation_at_the_deadline_counts_as_a_missing_answer() {
     let mut test = TestNode::serving();
     let link = test.accept(70);
     for number in 1..=4 {
@@ -421,9 +423,9 @@
 }
 
 #[gtest]
-fn wrong_health_answer_does_not_take_out_a_back_end_that_answers_requests() {
+fn unhealthy_probe_does_not_take_a_back_end_that_answers_requests_out_of_service() {
     let mut test = TestNode::serving();
-    // Three lost answers ask for a probe; the next request is answered.
+    // Three lost answers trigger a probe; the next request is answered.
     run_and_end(&mut test, 1, 3, &ExchangeResult::Lost);
     let probe = test.probe().expect("a probe");
     run_and_end(&mut test, 4, 1, &ExchangeResult::Answered(answer(200)));
@@ -432,9 +434,9 @@
 }
 
 #[gtest]
-fn back_end_that_stops_answering_is_taken_out_at_the_first_bad_health_answer() {
+fn back_end_that_stops_answering_is_taken_out_of_service_by_the_first_unhealthy_probe() {
     let mut test = TestNode::serving();
-    // It has answered just before; nothing has been answered since the probe began.
+    // A request is answered before the probe begins, and none after that.
     run_and_end(&mut test, 1, 1, &ExchangeResult::Answered(answer(200)));
     run_and_end(&mut test, 2, 3, &ExchangeResult::Lost);
     let probe = test.probe().expect("a probe");
@@ -444,10 +446,10 @@
 }
 
 #[gtest]
-fn response_tells_where_the_time_went() {
+fn response_contains_the_queue_time_and_the_back_end_time() {
     let mut test = TestNode::serving();
     let link = test.accept(70);
-    // The back end has four slots, of which three are used; the fourth request waits.
+    // The back end has four slots, of which three are usable; the fourth request waits.
     for number in 1..=4 {
         test.forward(link, number, forwarded(&format!("r{number}"), true));
     }
