--- a/crates/rillgap-forward/tests/admission.rs
+++ b/crates/rillgap-forward/tests/admission.rs
@@ -11,7 +11,8 @@
     ForwardResult, LinkMessage, Load, ServiceAdmissionLevel, Status, level_of,
 };
 use support::{
-    DEEP_SERVICE, OTHER_SERVICE, SERVICE, TestNode, answer, caller_request, forwarded, serving,
+    DEEP_SERVICE, OTHER_SERVICE, SERVICE, TestNode, answer, caller_request, forwarded_request,
+    serving,
 };
 
 /// Priority of the routes of the test configuration.
@@ -78,7 +79,7 @@
                 ForwardResult::Answered(answer(status)),
             );
         }
-        test.pass(2);
+        test.advance(2);
     }
     admitted
 }
@@ -154,7 +155,7 @@
     );
     test.actions.clear();
     expect_that!(admitted(&mut test, 1, "/safe/1", Level(0), &[]), eq(0));
-    test.pass(2_500);
+    test.advance(2_500);
     expect_that!(admitted(&mut test, 1, "/safe/1", Level(0), &[]), eq(1));
 }
 
@@ -187,13 +188,16 @@
         let answered = ForwardResult::Answered(answer(200));
         test.respond_with(load(Level(0)), involved(level_admitting(10)), answered);
     }
-    test.forward(link, 1, forwarded("parent", true));
+    test.forward(link, 1, forwarded_request("parent", true));
     let parent = test.exchanges().last().expect("the parent").id;
     test.request(1_000, caller_request("parent.1", "/deep/1"));
     let answered = ForwardResult::Answered(answer(200));
     test.respond_with(load(published), Vec::new(), answered);
     test.end_exchange(parent, ExchangeResult::Answered(answer(200)));
-    let relayed = test.involved().pop().expect("levels of the answer");
+    let relayed = test
+        .downstream_levels()
+        .pop()
+        .expect("levels of the answer");
     expect_that!(relayed.service.as_str(), eq(DEEP_SERVICE));
     expect_that!(relayed.level, eq(published));
 }
@@ -208,14 +212,18 @@
         Level(0),
         &involved(level_admitting(30)),
     );
-    let logged = test.notes().into_iter().rev().find_map(|note| match note {
-        LogRecord::Admission {
-            service,
-            priority,
-            admitted_percent,
-        } => Some((service, priority, admitted_percent)),
-        _ => None,
-    });
+    let logged = test
+        .log_records()
+        .into_iter()
+        .rev()
+        .find_map(|note| match note {
+            LogRecord::Admission {
+                service,
+                priority,
+                admitted_percent,
+            } => Some((service, priority, admitted_percent)),
+            _ => None,
+        });
     let (service, priority, percent) = logged.expect("a log record of the change");
     expect_that!(service.as_str(), eq(DEEP_SERVICE));
     expect_that!(priority, eq(PRIORITY));
--- a/crates/rillgap-forward/tests/back_end_restart.rs
+++ b/crates/rillgap-forward/tests/back_end_restart.rs
@@ -8,7 +8,7 @@
 use rillgap_forward::id::AnnouncementId;
 use rillgap_forward::incarnation::Incarnation;
 use rillgap_forward::message::ForwardResult;
-use support::{INSTANCE, TestNode, answer, code_of, forwarded, heartbeat};
+use support::{INSTANCE, TestNode, answer, code_of, forwarded_request, heartbeat};
 
 const FIRST_START_MILLIS: u64 = 1_000;
 const SECOND_START_MILLIS: u64 = 2_000;
@@ -103,7 +103,7 @@
 fn request_of_the_earlier_incarnation_is_unknown_at_once_and_never_not_run() {
     let mut test = serving();
     let link = test.accept(500);
-    test.forward(link, 1, forwarded("r1", false));
+    test.forward(link, 1, forwarded_request("r1", false));
     let exchange = test.exchanges()[0].id;
     test.announce(run_heartbeat(SECOND_START_MILLIS, 1, AnnouncedState::Ready));
     expect_that!(test.has_cancelled(exchange), eq(true));
@@ -121,8 +121,8 @@
     let mut test = serving();
     let link = test.accept(500);
     for run in 1..=3 {
-        test.forward(link, run, forwarded(&format!("r{run}"), true));
-        test.pass(300);
+        test.forward(link, run, forwarded_request(&format!("r{run}"), true));
+        test.advance(300);
         test.announce(run_heartbeat(
             FIRST_START_MILLIS + run,
             1,
@@ -130,7 +130,7 @@
         ));
         test.confirm(INSTANCE);
     }
-    test.forward(link, 4, forwarded("r4", true));
+    test.forward(link, 4, forwarded_request("r4", true));
     let (_, last) = test.results().pop().expect("an answer");
     expect_that!(code_of(&last), some(eq(ResultCode::Quarantined)));
 }
@@ -138,9 +138,13 @@
 /// Runs a request that the back end answers after `millis`.
 fn answer_after(test: &mut TestNode, sequence: u64, millis: u64) {
     let link = test.accept(500 + sequence);
-    test.forward(link, sequence, forwarded(&format!("r{sequence}"), true));
+    test.forward(
+        link,
+        sequence,
+        forwarded_request(&format!("r{sequence}"), true),
+    );
     let exchange = test.exchanges().pop().expect("a running request").id;
-    test.pass(millis);
+    test.advance(millis);
     test.end_exchange(exchange, ExchangeResult::Answered(answer(200)));
 }
 
--- a/crates/rillgap-forward/tests/configuration_distribution.rs
+++ b/crates/rillgap-forward/tests/configuration_distribution.rs
@@ -47,14 +47,14 @@
     let closed = accept(&mut test, "peer-b", 60);
     let working = accept(&mut test, "peer-c", 70);
     test.event(Event::LinkClosed(closed));
-    test.pass(1_000);
+    test.advance(1_000);
     expect_that!(queried_links(&test), contains(eq(&working)));
 }
 
 /// Lets time pass without answers, and returns the links on which the node has sent queries.
 fn queried_links_within(test: &mut TestNode, millis: u64) -> Vec<LinkId> {
     test.actions.clear();
-    test.pass(millis);
+    test.advance(millis);
     queried_links(test)
 }
 
@@ -72,7 +72,7 @@
 fn unanswered_queries_rotate_over_the_peers_until_the_version_is_in_force() {
     let mut test = TestNode::configured("logbok");
     let links = [50, 51, 52].map(|link| accept(&mut test, &format!("peer-{link}"), link));
-    test.pass(3_000);
+    test.advance(3_000);
     let all = queried_links(&test);
     expect_that!(all.len(), le(6));
     for link in links {
@@ -91,7 +91,7 @@
 fn peer_with_the_latest_message_is_queried_first() {
     let mut test = TestNode::configured("logbok");
     let links = [50, 51, 52].map(|link| accept(&mut test, &format!("peer-{link}"), link));
-    test.pass(100);
+    test.advance(100);
     let message = LinkMessage::Pong;
     let link = links[1];
     test.event(Event::Link { link, message });
--- a/crates/rillgap-forward/tests/control.rs
+++ b/crates/rillgap-forward/tests/control.rs
@@ -13,14 +13,19 @@
     ListExtent, NodeList, StoreReply, StoreRequest, StoreRequestId, StoreSync,
 };
 use support::{
-    INSTANCE, SERVICE, TestNode, WRITES, address, answer, at, configuration, failed, forwarded,
-    settings,
+    INSTANCE, SERVICE, STORE_WRITES_PER_SECOND, TestNode, address, answer, at, configuration,
+    forwarded_request, settings, store_failure,
 };
 
 const WATCH_WAIT: Duration = Duration::from_secs(1);
 
 fn store() -> StoreSync {
-    StoreSync::new(at(0), settings("own", SERVICE).record, false, WRITES)
+    StoreSync::new(
+        at(0),
+        settings("own", SERVICE).record,
+        false,
+        STORE_WRITES_PER_SECOND,
+    )
 }
 
 fn requests(calls: &[(StoreRequestId, StoreRequest)]) -> Vec<StoreRequest> {
@@ -103,7 +108,7 @@
         wait: WATCH_WAIT,
     };
     expect_that!(requests(&watch), elements_are![eq(&expected)]);
-    store.on_reply(at(2), watch[0].0, failed("cut"));
+    store.on_reply(at(2), watch[0].0, store_failure("cut"));
     expect_that!(store.poll(at(2)), is_empty());
     let again = store.poll(at(500));
     expect_that!(requests(&again), elements_are![eq(&expected)]);
@@ -124,7 +129,7 @@
     for now in 0..10_000 {
         for (id, _) in store.poll(at(now)) {
             calls += 1;
-            store.on_reply(at(now), id, failed("down"));
+            store.on_reply(at(now), id, store_failure("down"));
         }
     }
     // Two chains of calls, each at most one call a second once the backoff has reached its maximum.
@@ -151,9 +156,9 @@
 
 #[gtest]
 fn node_without_store_contact_obtains_the_configuration_from_a_peer() {
-    let mut test = TestNode::fresh("logbok");
+    let mut test = TestNode::unconfigured("logbok");
     // The node's own read of the configuration is in flight.
-    test.pass(3_100);
+    test.advance(3_100);
     let link = test.accept(50);
     test.event(Event::Link {
         link,
@@ -171,7 +176,7 @@
         })
     };
     expect_that!(is_queried(&test), eq(false));
-    test.pass(201);
+    test.advance(201);
     expect_that!(is_queried(&test), eq(true));
 }
 
@@ -181,7 +186,7 @@
     let link = test.connect("peer-a", 2, SERVICE);
     test.event(Event::LinkClosed(link));
     test.actions.clear();
-    test.pass(1_500);
+    test.advance(1_500);
     let opened = test
         .actions
         .iter()
@@ -202,7 +207,7 @@
         test.actions.iter().any(is_close)
     };
     expect_that!(closed(&test), eq(false));
-    test.pass(700);
+    test.advance(700);
     expect_that!(closed(&test), eq(true));
 }
 
@@ -210,7 +215,7 @@
 fn planned_stop_waits_for_requests_in_flight() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    let mut slow = forwarded("a", false);
+    let mut slow = forwarded_request("a", false);
     slow.remaining_micros = 10_000_000;
     test.forward(link, 1, slow);
     test.event(Event::Stop);
@@ -218,7 +223,7 @@
         let is_exit = |action: &Action| matches!(action, Action::Exit);
         test.actions.iter().any(is_exit)
     };
-    test.pass(4_000);
+    test.advance(4_000);
     expect_that!(exits(&test), eq(false));
     let exchange = test.exchanges()[0].id;
     test.end_exchange(exchange, ExchangeResult::Answered(answer(200)));
@@ -230,11 +235,11 @@
 fn planned_stop_ends_within_the_grace_period() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    let mut endless = forwarded("a", false);
+    let mut endless = forwarded_request("a", false);
     endless.remaining_micros = 60_000_000;
     test.forward(link, 1, endless);
     test.event(Event::Stop);
-    test.pass(5_900);
+    test.advance(5_900);
     let exits = test
         .actions
         .iter()
@@ -247,15 +252,15 @@
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let peer = test.connect("peer-a", 2, SERVICE);
-    let mut running = forwarded("parent", false);
+    let mut running = forwarded_request("parent", false);
     running.remaining_micros = 5_000_000;
     test.forward(link, 1, running);
     test.event(Event::Stop);
-    test.pass(2_000);
+    test.advance(2_000);
     test.request(0, support::caller_request("early", "/safe/1"));
     test.respond(ForwardResult::Answered(answer(200)));
     expect_that!(test.statuses(), elements_are![eq(&200)]);
-    test.pass(600);
+    test.advance(600);
     test.actions.clear();
     // A request accepted now might still be in flight when the grace period ends.
     test.request(1, support::caller_request("late", "/safe/1"));
@@ -276,7 +281,7 @@
             test.leave(INSTANCE);
         }
         test.event(Event::Stop);
-        test.pass(10);
+        test.advance(10);
         let removed = test.actions.iter().any(|action| {
             matches!(
                 action,
@@ -295,7 +300,7 @@
     let mut test = TestNode::configured("logbok");
     test.connect("peer-a", 2, SERVICE);
     test.event(Event::Stop);
-    test.pass(2_600);
+    test.advance(2_600);
     let is_exit = |action: &Action| matches!(action, Action::Exit);
     expect_that!(test.actions.iter().any(is_exit), eq(true));
     test.actions.clear();
--- a/crates/rillgap-forward/tests/crash.rs
+++ b/crates/rillgap-forward/tests/crash.rs
@@ -25,7 +25,7 @@
 fn request(id: &str, target: &str) -> ForwardedRequest {
     ForwardedRequest {
         target: target.to_owned(),
-        ..forwarded(id, true)
+        ..forwarded_request(id, true)
     }
 }
 
@@ -44,7 +44,7 @@
     for exchange in started {
         test.end_exchange(exchange.id, ExchangeResult::Lost);
     }
-    test.pass(CONNECTION_CLOSE_WINDOW);
+    test.advance(CONNECTION_CLOSE_WINDOW);
 }
 
 /// Answers the pending health probe.
@@ -123,7 +123,7 @@
         let link = test.accept(50);
         lose_requests(&mut test, link, &["/a"]);
         answer_probe(&mut test, result);
-        test.pass(HOLD_TIMEOUT);
+        test.advance(HOLD_TIMEOUT);
         start_incarnation(&mut test, "i-2");
         expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
     }
@@ -184,7 +184,7 @@
     let link = test.accept(50);
     run_and_answer(&mut test, link, "/a");
     for _ in 0..3 {
-        test.pass(31_000);
+        test.advance(31_000);
         run_and_answer(&mut test, link, "/other");
     }
     receive_evidence(&mut test, link, vec![evidence("/a", &[("i-7", false)])]);
@@ -196,7 +196,7 @@
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.forward(link, 1, request("r1", "/other"));
-    test.pass(1);
+    test.advance(1);
     lose_requests(&mut test, link, &["/a"]);
     expect_that!(test.probe(), none());
     let results = test.results();
@@ -219,7 +219,7 @@
     let link = test.accept(50);
     lose_requests(&mut test, link, &["/a"]);
     answer_probe(&mut test, ProbeResult::Unreachable);
-    test.pass(3_000);
+    test.advance(3_000);
     start_incarnation(&mut test, "i-2");
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Suspected));
 }
@@ -230,7 +230,7 @@
     let link = test.accept(50);
     lose_requests(&mut test, link, &["/a"]);
     start_incarnation(&mut test, "i-2");
-    let lost = test.notes().into_iter().find_map(|note| match note {
+    let lost = test.log_records().into_iter().find_map(|note| match note {
         LogRecord::NotAnswered { lost, .. } => lost,
         _ => None,
     });
@@ -268,7 +268,7 @@
     let mut test = TestNode::serving();
     let link = test.accept(50);
     lose_requests(&mut test, link, &["/a"]);
-    test.pass(HOLD_TIMEOUT);
+    test.advance(HOLD_TIMEOUT);
     let results = test.results();
     expect_that!(
         results[0].1,
@@ -360,7 +360,7 @@
     for exchange in test.exchanges() {
         test.end_exchange(exchange.id, ExchangeResult::Lost);
     }
-    test.pass(CONNECTION_CLOSE_WINDOW);
+    test.advance(CONNECTION_CLOSE_WINDOW);
     answer_probe(&mut test, ProbeResult::Refused);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Recurrent));
     expect_that!(suspicion(&test, "/b"), eq(Suspicion::Recurrent));
@@ -384,7 +384,7 @@
 #[gtest]
 fn quarantined_request_is_refused_at_the_entry_node_with_the_remaining_time() {
     let (mut test, _) = node_with_quarantined_target();
-    test.pass(10_000);
+    test.advance(10_000);
     test.request(1, caller_request("c1", QUARANTINED_TARGET));
     test.request(2, caller_request("c2", "/safe/other"));
     let answers = test.answers();
@@ -446,7 +446,7 @@
     let link = test.accept(50);
     let quarantine_crashes = [("i-7", false), ("i-8", true), ("i-9", true)];
     receive_evidence(&mut test, link, vec![evidence("/a", &quarantine_crashes)]);
-    test.pass(600_000);
+    test.advance(600_000);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Recurrent));
     receive_evidence(&mut test, link, vec![evidence("/a", &[("i-10", true)])]);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Quarantined));
@@ -473,7 +473,7 @@
     receive_evidence(&mut test, link, vec![evidence("/a", &quarantine_crashes)]);
     for number in 0..5_000 {
         if number == 1_000 {
-            test.pass(1);
+            test.advance(1);
         }
         let target = format!("/varied/{number}");
         receive_evidence(&mut test, link, vec![evidence(&target, &[("i-6", false)])]);
@@ -494,7 +494,7 @@
     let names: Vec<String> = (0..60).map(|number| format!("i-{number}")).collect();
     for name in &names {
         receive_evidence(&mut test, link, vec![evidence("/a", &[(name, false)])]);
-        test.pass(1);
+        test.advance(1);
     }
     test.actions.clear();
     for name in &names {
@@ -508,7 +508,7 @@
     let mut test = TestNode::serving();
     let link = test.accept(50);
     test.accept(51);
-    test.pass(70_000);
+    test.advance(70_000);
     let mut old = evidence("/a", &[("i-8", false)]);
     old.crashes[0].age_micros = 61_000_000;
     test.actions.clear();
@@ -566,6 +566,6 @@
     let mut test = quarantine_while_queued(before);
     let second = test.exchanges()[1].id;
     test.end_exchange(second, ExchangeResult::Answered(answer(200)));
-    test.pass(700);
+    test.advance(700);
     expect_that!(test.exchanges().len(), eq(3));
 }
--- a/crates/rillgap-forward/tests/inbound.rs
+++ b/crates/rillgap-forward/tests/inbound.rs
@@ -11,7 +11,8 @@
 use rillgap_forward::id::{LinkId, Sequence};
 use rillgap_forward::message::{ForwardResult, LinkMessage, Timing, level_of, priority_of};
 use support::{
-    INSTANCE, SERVICE, TestNode, answer, caller_request, code_of, configuration, forwarded, route,
+    INSTANCE, SERVICE, TestNode, answer, caller_request, code_of, configuration, forwarded_request,
+    route,
 };
 
 fn cancel(test: &mut TestNode, link: LinkId, sequence: u64) {
@@ -56,7 +57,7 @@
     let mut test = TestNode::serving();
     test.leave(INSTANCE);
     let link = test.accept(50);
-    test.forward(link, 1, forwarded("a", true));
+    test.forward(link, 1, forwarded_request("a", true));
     expect_that!(test.exchanges(), is_empty());
     let results = test.results();
     expect_that!(code_of(&results[0].1), some(eq(ResultCode::BackEndLeaving)));
@@ -70,7 +71,7 @@
     test.confirm("i-2");
     expect_that!(test.node.inbound().status().is_serving, eq(true));
     let link = test.accept(50);
-    test.forward(link, 1, forwarded("a", true));
+    test.forward(link, 1, forwarded_request("a", true));
     expect_that!(test.exchanges()[0].incarnation.id, eq("i-2"));
 }
 
@@ -87,7 +88,11 @@
     let mut test = TestNode::serving();
     let link = test.accept(50);
     for sequence in 0..20 {
-        test.forward(link, sequence, forwarded(&format!("r{sequence}"), true));
+        test.forward(
+            link,
+            sequence,
+            forwarded_request(&format!("r{sequence}"), true),
+        );
     }
     // Of the four slots, a small fraction is left free.
     expect_that!(test.exchanges().len(), eq(3));
@@ -98,7 +103,11 @@
     let mut test = TestNode::serving();
     let link = test.accept(50);
     for sequence in 0..5 {
-        test.forward(link, sequence, forwarded(&format!("r{sequence}"), true));
+        test.forward(
+            link,
+            sequence,
+            forwarded_request(&format!("r{sequence}"), true),
+        );
     }
     test.heartbeat(2, AnnouncedState::Draining);
     let refused: Vec<u64> = test
@@ -118,11 +127,15 @@
     let mut test = TestNode::serving();
     let link = test.accept(50);
     for sequence in 0..3 {
-        test.forward(link, sequence, forwarded(&format!("r{sequence}"), true));
+        test.forward(
+            link,
+            sequence,
+            forwarded_request(&format!("r{sequence}"), true),
+        );
     }
-    let mut low = forwarded("low", true);
+    let mut low = forwarded_request("low", true);
     low.level = level_of(5, "low");
-    let mut high = forwarded("high", true);
+    let mut high = forwarded_request("high", true);
     high.level = level_of(0, "high");
     test.forward(link, 10, low);
     test.forward(link, 11, high);
@@ -144,8 +157,8 @@
 fn cancelled_request_frees_its_slot_unless_it_is_not_idempotent() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    test.forward(link, 1, forwarded("safe", true));
-    test.forward(link, 2, forwarded("once", false));
+    test.forward(link, 1, forwarded_request("safe", true));
+    test.forward(link, 2, forwarded_request("once", false));
     let exchanges = test.exchanges();
     cancel(&mut test, link, 1);
     cancel(&mut test, link, 2);
@@ -161,8 +174,8 @@
     let mut test = TestNode::serving();
     let first = test.accept(50);
     let second = test.accept(51);
-    test.forward(first, 1, forwarded("a", true));
-    test.forward(second, 1, forwarded("b", true));
+    test.forward(first, 1, forwarded_request("a", true));
+    test.forward(second, 1, forwarded_request("b", true));
     let exchanges = test.exchanges();
     test.event(Event::LinkClosed(first));
     expect_that!(test.has_cancelled(exchanges[0].id), eq(true));
@@ -173,8 +186,8 @@
 fn missing_answer_is_unknown_after_the_deadline_and_never_not_run() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    test.forward(link, 1, forwarded("a", false));
-    test.pass(1_200);
+    test.forward(link, 1, forwarded_request("a", false));
+    test.advance(1_200);
     let results = test.results();
     expect_that!(
         results[0].1,
@@ -203,12 +216,12 @@
     for (result, code, is_not_run) in cases {
         let mut test = TestNode::serving();
         let link = test.accept(50);
-        test.forward(link, 1, forwarded("a", false));
+        test.forward(link, 1, forwarded_request("a", false));
         let exchange = test.exchanges()[0].id;
         test.end_exchange(exchange, result);
         // The response to a lost request is held until the health endpoint has answered or the hold
         // timeout has passed.
-        test.pass(60);
+        test.advance(60);
         let results = test.results();
         expect_that!(code_of(&results[0].1), some(eq(code)));
         let is_reported_not_run = matches!(results[0].1, ForwardResult::NotRun { .. });
@@ -222,13 +235,13 @@
     let link = test.accept(50);
     test.event(Event::Stop);
     expect_that!(test.node.is_ready(), eq(false));
-    test.pass(1_400);
-    test.forward(link, 1, forwarded("a", false));
+    test.advance(1_400);
+    test.forward(link, 1, forwarded_request("a", false));
     expect_that!(test.exchanges().len(), eq(1));
     expect_that!(test.node.inbound().status().is_stopping, eq(false));
-    test.pass(101);
+    test.advance(101);
     expect_that!(test.node.inbound().status().is_stopping, eq(true));
-    test.forward(link, 2, forwarded("b", false));
+    test.forward(link, 2, forwarded_request("b", false));
     let results = test.results();
     expect_that!(code_of(&results[0].1), some(eq(ResultCode::NodeStopping)));
     expect_that!(test.exchanges().len(), eq(1));
@@ -238,13 +251,17 @@
 fn overlong_queue_refuses_at_once_with_a_retry_after() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    test.forward(link, 0, forwarded("warm", true));
+    test.forward(link, 0, forwarded_request("warm", true));
     let warm = test.exchanges()[0].id;
-    test.pass(200);
+    test.advance(200);
     test.end_exchange(warm, ExchangeResult::Answered(answer(200)));
     test.actions.clear();
     for sequence in 1..10 {
-        test.forward(link, sequence, forwarded(&format!("r{sequence}"), true));
+        test.forward(
+            link,
+            sequence,
+            forwarded_request(&format!("r{sequence}"), true),
+        );
     }
     let refused = test.results();
     expect_that!(refused.len(), gt(0));
@@ -265,7 +282,7 @@
 #[gtest]
 fn back_end_without_heartbeats_is_probed_and_taken_out_of_service_if_it_does_not_answer() {
     let mut test = TestNode::serving();
-    test.pass(4_900);
+    test.advance(4_900);
     let probe = test.probe().expect("a probe after missed heartbeats");
     expect_that!(test.node.inbound().status().is_serving, eq(true));
     test.end_probe(probe, ProbeResult::Unreachable);
@@ -297,11 +314,11 @@
         let ended = test.exchanges().len();
         for _ in 0..12 {
             sequence += 1;
-            let mut request = forwarded(&format!("r{sequence}"), true);
+            let mut request = forwarded_request(&format!("r{sequence}"), true);
             request.level = level_of(2, &request.request_id);
             test.forward(link, sequence, request);
         }
-        test.pass(50);
+        test.advance(50);
         for exchange in test.exchanges().iter().skip(ended.saturating_sub(3)) {
             test.end_exchange(exchange.id, ExchangeResult::Answered(answer(200)));
         }
@@ -321,7 +338,7 @@
     for exchange in &test.exchanges() {
         test.end_exchange(exchange.id, ExchangeResult::Answered(answer(200)));
     }
-    test.pass(3_000);
+    test.advance(3_000);
     expect_that!(test.node.inbound().load().total_queued(), eq(0));
     expect_that!(test.node.inbound().load().level, eq(Level(0)));
 }
@@ -333,11 +350,11 @@
     // Requests that take 50 ms each give the node an expected service time.
     overload(&mut test, link, 400);
     for sequence in 10_000..10_400 {
-        let mut request = forwarded(&format!("r{sequence}"), true);
+        let mut request = forwarded_request(&format!("r{sequence}"), true);
         request.level = level_of(2, &request.request_id);
         request.queue_limit_micros = 0;
         test.forward(link, sequence, request);
-        test.pass(5);
+        test.advance(5);
     }
     expect_that!(test.node.inbound().load().running, eq(3));
     expect_that!(
@@ -350,7 +367,7 @@
 fn run_and_end(test: &mut TestNode, first: u64, count: u64, result: &ExchangeResult) {
     let link = test.accept(70);
     for number in first..first + count {
-        test.forward(link, number, forwarded(&format!("r{number}"), true));
+        test.forward(link, number, forwarded_request(&format!("r{number}"), true));
         let exchange = test.exchanges().pop().expect("an exchange").id;
         test.end_exchange(exchange, result.clone());
     }
@@ -362,7 +379,7 @@
     run_and_end(&mut test, 1, 20, &ExchangeResult::Lost);
     test.event(Event::Wake);
     expect_that!(test.node.inbound().load().failing_permille, gt(500));
-    test.pass(6_000);
+    test.advance(6_000);
     expect_that!(test.node.inbound().load().failing_permille, lt(100));
 }
 
@@ -377,7 +394,7 @@
 
 #[gtest]
 fn failure_of_a_call_does_not_count_against_the_back_end_that_made_it() {
-    let mut test = TestNode::fresh(SERVICE);
+    let mut test = TestNode::unconfigured(SERVICE);
     let mut table = configuration(1);
     let other = route("/other/", "other", Repeatability::Idempotent);
     table.routes.push(other);
@@ -388,7 +405,7 @@
     let link = test.accept(70);
     for number in 1..=20 {
         let id = format!("r{number}");
-        test.forward(link, number, forwarded(&id, true));
+        test.forward(link, number, forwarded_request(&id, true));
         // No back end of the called service is known, so the call fails.
         test.request(number, caller_request(&format!("{id}.1"), "/other/1"));
         let exchange = test.exchanges().first().expect("an exchange").id;
@@ -412,9 +429,9 @@
     let mut test = TestNode::serving();
     let link = test.accept(70);
     for number in 1..=4 {
-        test.forward(link, number, forwarded(&format!("r{number}"), true));
+        test.forward(link, number, forwarded_request(&format!("r{number}"), true));
     }
-    test.pass(795);
+    test.advance(795);
     for number in 1..=4 {
         cancel(&mut test, link, number);
     }
@@ -451,12 +468,12 @@
     let link = test.accept(70);
     // The back end has four slots, of which three are usable; the fourth request waits.
     for number in 1..=4 {
-        test.forward(link, number, forwarded(&format!("r{number}"), true));
+        test.forward(link, number, forwarded_request(&format!("r{number}"), true));
     }
-    test.pass(20);
+    test.advance(20);
     let first = test.exchanges()[0].id;
     test.end_exchange(first, ExchangeResult::Answered(answer(200)));
-    test.pass(30);
+    test.advance(30);
     let last = test.exchanges()[3].id;
     test.end_exchange(last, ExchangeResult::Answered(answer(200)));
     let timing = |wanted: u64| {
--- a/crates/rillgap-forward/tests/links.rs
+++ b/crates/rillgap-forward/tests/links.rs
@@ -14,7 +14,8 @@
 use rillgap_forward::store_sync::{StoreReply, StoreRequest};
 use rillgap_forward::subset::preference;
 use support::{
-    INSTANCE, SERVICE, TestNode, caller_request, configuration, forwarded, hello, nodes, serving,
+    INSTANCE, SERVICE, TestNode, caller_request, configuration, forwarded_request, hello, nodes,
+    serving,
 };
 
 const SERVICES: [&str; 4] = ["logbok", "bestilling", "oppgjor", SERVICE];
@@ -36,10 +37,10 @@
 
 /// Returns a node of zone `hall-a` that has listed these peers.
 fn node_that_lists(records: Vec<NodeRecord>) -> TestNode {
-    let mut test = TestNode::fresh("logbok");
+    let mut test = TestNode::unconfigured("logbok");
     list(&mut test, records);
     test.configure(configuration(1));
-    test.pass(200);
+    test.advance(200);
     test
 }
 
@@ -153,7 +154,7 @@
         test.event(Event::LinkClosed(*link));
     }
     test.actions.clear();
-    test.pass(1_200);
+    test.advance(1_200);
     let before: BTreeSet<SocketAddr> = first.iter().map(|(_, address)| *address).collect();
     let after: BTreeSet<SocketAddr> = opened(&test).into_iter().map(|link| link.1).collect();
     expect_that!(after.difference(&before).count(), ge(first.len() / 2));
@@ -206,10 +207,10 @@
 #[gtest]
 fn peers_that_cease_to_serve_are_replaced() {
     let (mut test, links) = node_with_subset(true);
-    test.pass(200);
+    test.advance(200);
     expect_that!(opened(&test), is_empty());
     report_serving(&mut test, &links, false);
-    test.pass(200);
+    test.advance(200);
     expect_that!(opened(&test).len(), ge(links.len() / 2));
 }
 
@@ -218,12 +219,12 @@
 fn starting_peers_are_replaced_only_after_the_grace_period() {
     let (mut test, links) = node_with_subset(false);
     for _ in 0..10 {
-        test.pass(1_000);
+        test.advance(1_000);
         report_serving(&mut test, &links, false);
     }
     expect_that!(opened(&test), is_empty());
     for _ in 0..6 {
-        test.pass(1_000);
+        test.advance(1_000);
         report_serving(&mut test, &links, false);
     }
     expect_that!(opened(&test).len(), ge(links.len() / 2));
@@ -240,19 +241,19 @@
 
 #[gtest]
 fn link_that_the_node_has_opened_carries_requests_of_the_peer() {
-    let mut test = TestNode::fresh(SERVICE);
+    let mut test = TestNode::unconfigured(SERVICE);
     list(
         &mut test,
         vec![hello("peer-a", 2, serving("logbok"), 0).node],
     );
     test.configure(configuration(1));
-    test.pass(200);
+    test.advance(200);
     let (link, _) = opened(&test)[0];
     test.heartbeat(1, AnnouncedState::Ready);
     test.confirm(INSTANCE);
     let hello = hello("peer-a", 2, serving("logbok"), 0);
     test.event(Event::LinkOpened { link, hello });
-    test.forward(link, 1, forwarded("a", true));
+    test.forward(link, 1, forwarded_request("a", true));
     expect_that!(test.exchanges().len(), eq(1));
 }
 
@@ -321,7 +322,7 @@
     let first = test.connect("peer-a", 2, SERVICE);
     let second = test.connect("peer-b", 3, SERVICE);
     test.actions.clear();
-    test.pass(3_100);
+    test.advance(3_100);
     let receivers: BTreeSet<LinkId> = test
         .actions
         .iter()
@@ -342,12 +343,12 @@
 fn silence_before_a_request_does_not_count_towards_the_timeout() {
     let mut test = TestNode::configured("logbok");
     let link = test.connect("peer-a", 2, SERVICE);
-    test.pass(1_900);
+    test.advance(1_900);
     let mut request = caller_request("a", "/once/1");
     request.deadline = None;
     test.request(0, request);
     test.actions.clear();
-    test.pass(200);
+    test.advance(200);
     let closes = |action: &Action| matches!(action, Action::CloseLink(closed) if *closed == link);
     expect_that!(test.actions.iter().any(closes), eq(false));
     let pings = |action: &Action| {
--- a/crates/rillgap-forward/tests/outbound.rs
+++ b/crates/rillgap-forward/tests/outbound.rs
@@ -53,7 +53,7 @@
 
 #[gtest]
 fn node_without_a_configuration_answers_503_and_is_not_ready() {
-    let mut test = TestNode::fresh("logbok");
+    let mut test = TestNode::unconfigured("logbok");
     expect_that!(test.node.is_ready(), eq(false));
     test.request(0, caller_request("a", "/safe/1"));
     expect_that!(test.statuses(), elements_are![eq(&503)]);
@@ -166,7 +166,7 @@
     test.connect("peer-a", 2, SERVICE);
     test.actions.clear();
     test.request(0, caller_request("a", "/safe/1"));
-    test.pass(801);
+    test.advance(801);
     expect_that!(test.statuses(), elements_are![eq(&504)]);
     let cancels = test.actions.iter().filter(|action| {
         matches!(
@@ -262,7 +262,7 @@
 fn call_of_the_back_end_inherits_the_priority_of_its_root() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    let mut parent = support::forwarded("root", false);
+    let mut parent = support::forwarded_request("root", false);
     parent.level = level_of(0, "root");
     test.forward(link, 1, parent);
     test.request(0, caller_request("root.child", "/safe/1"));
@@ -324,7 +324,7 @@
     without_deadline.deadline = None;
     test.request(0, without_deadline);
     test.actions.clear();
-    test.pass(990);
+    test.advance(990);
     expect_that!(test.statuses(), is_empty());
     let pings = test.actions.iter().filter(|action| {
         matches!(action, Action::SendOnLink { link: on, message: LinkMessage::Ping } if *on == link)
@@ -337,7 +337,7 @@
     let mut test = TestNode::configured("logbok");
     let link = test.connect("peer-a", 2, SERVICE);
     test.request(0, caller_request("a", "/safe/1"));
-    test.pass(500);
+    test.advance(500);
     test.request(1, caller_request("b", "/safe/1"));
     expect_that!(test.statuses(), elements_are![eq(&503)]);
     test.event(Event::Link {
@@ -356,7 +356,7 @@
     test.request(1, caller_request("a", "/safe/1"));
     test.connect("peer-b", 3, SERVICE);
     test.actions.clear();
-    test.pass(450);
+    test.advance(450);
     expect_that!(test.sent(), is_empty());
     expect_that!(test.statuses(), is_empty());
 }
--- a/crates/rillgap-forward/tests/policies.rs
+++ b/crates/rillgap-forward/tests/policies.rs
@@ -53,7 +53,7 @@
 
 #[gtest]
 fn requests_are_divided_by_the_weights() {
-    let mut test = TestNode::fresh("logbok");
+    let mut test = TestNode::unconfigured("logbok");
     let mut split = configuration(1);
     split.routes[0].services = vec![
         WeightedService {
--- a/crates/rillgap-forward/tests/service_time.rs
+++ b/crates/rillgap-forward/tests/service_time.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use rillgap_forward::event::{Event, ExchangeResult};
 use rillgap_forward::id::LinkId;
-use support::{TestNode, answer, forwarded};
+use support::{TestNode, answer, forwarded_request};
 
 /// Usual service time of the back end, in milliseconds.
 const USUAL_MILLIS: u64 = 20;
@@ -17,8 +17,12 @@
     let mut test = TestNode::serving();
     let link = test.accept(50);
     for sequence in 0..20 {
-        test.forward(link, sequence, forwarded(&format!("r{sequence}"), true));
-        test.pass(USUAL_MILLIS);
+        test.forward(
+            link,
+            sequence,
+            forwarded_request(&format!("r{sequence}"), true),
+        );
+        test.advance(USUAL_MILLIS);
         answer_last(&mut test);
     }
     (test, link)
@@ -36,7 +40,7 @@
 #[gtest]
 fn answer_read_late_after_a_stall_of_the_node_is_not_a_sample() {
     let (mut test, link) = node_with_samples();
-    test.forward(link, 100, forwarded("held", true));
+    test.forward(link, 100, forwarded_request("held", true));
     // The node processes no event meanwhile.
     test.now += STALL_MILLIS;
     answer_last(&mut test);
@@ -46,7 +50,7 @@
 #[gtest]
 fn missing_answer_noticed_late_after_a_stall_of_the_node_is_not_a_sample() {
     let (mut test, link) = node_with_samples();
-    test.forward(link, 100, forwarded("held", true));
+    test.forward(link, 100, forwarded_request("held", true));
     test.now += STALL_MILLIS;
     test.event(Event::Wake);
     expect_that!(mean_millis(&test), eq(USUAL_MILLIS as u32));
@@ -55,7 +59,7 @@
 #[gtest]
 fn missing_answer_noticed_in_time_raises_the_service_time() {
     let (mut test, link) = node_with_samples();
-    test.forward(link, 100, forwarded("held", true));
-    test.pass(1_100);
+    test.forward(link, 100, forwarded_request("held", true));
+    test.advance(1_100);
     expect_that!(mean_millis(&test), gt(USUAL_MILLIS as u32));
 }
--- a/crates/rillgap-forward/tests/store_return.rs
+++ b/crates/rillgap-forward/tests/store_return.rs
@@ -14,7 +14,7 @@
 use rillgap_forward::message::{FreshnessAnswer, Hello, LinkMessage, Status};
 use rillgap_forward::store_epoch::{StoreEpoch, StorePosition};
 use rillgap_forward::store_sync::{NodeList, StoreReply, StoreRequest, StoreRequestId, StoreSync};
-use support::{TestNode, WRITES, at, configuration, hello, settings};
+use support::{STORE_WRITES_PER_SECOND, TestNode, at, configuration, hello, settings};
 
 const OLD_EPOCH: StoreEpoch = StoreEpoch(3);
 const NEW_EPOCH: StoreEpoch = StoreEpoch(4);
@@ -48,7 +48,12 @@
 
 impl StoreCalls {
     fn watching() -> Self {
-        let mut store = StoreSync::new(at(0), settings("own", "logbok").record, false, WRITES);
+        let mut store = StoreSync::new(
+            at(0),
+            settings("own", "logbok").record,
+            false,
+            STORE_WRITES_PER_SECOND,
+        );
         store.set_watch(at(0), Some(WATCH_WAIT));
         let mut calls = Self {
             store,
@@ -191,7 +196,7 @@
 /// A node that has received [`OLD_EPOCH`] from the store and has version 7 in force, with a link to
 /// a peer.
 fn node_with_peer() -> (TestNode, LinkId) {
-    let mut test = TestNode::fresh("logbok");
+    let mut test = TestNode::unconfigured("logbok");
     test.answer_store(
         |request| matches!(request, StoreRequest::Register(_)),
         registered_reply(OLD_EPOCH),
@@ -226,7 +231,7 @@
     let (mut test, link) = node_with_peer();
     let message = LinkMessage::StoreEpoch(NEW_EPOCH);
     test.event(Event::Link { link, message });
-    test.pass(3_500);
+    test.advance(3_500);
     test.answer_store(
         |request| matches!(request, StoreRequest::ReadConfiguration),
         config_reply(NEW_EPOCH, 20, Some(6)),
@@ -260,7 +265,7 @@
         configuration: 7,
         peer: Some("peer".to_owned()),
     };
-    expect_that!(test.notes(), contains(eq(&restored)));
+    expect_that!(test.log_records(), contains(eq(&restored)));
 }
 
 #[gtest]
@@ -321,7 +326,7 @@
 fn store_that_holds_an_older_version_than_the_one_in_force_proves_nothing() {
     let mut test = node_after_reading_the_backup();
     expect_that!(test.node.proof_age(at(test.now)), none());
-    test.pass(100);
+    test.advance(100);
     test.answer_store(
         |request| matches!(request, StoreRequest::WatchConfiguration { .. }),
         config_reply(NEW_EPOCH, 22, Some(7)),
--- a/crates/rillgap-forward/tests/support/mod.rs
+++ b/crates/rillgap-forward/tests/support/mod.rs
@@ -34,7 +34,7 @@
 pub const SERVICE: &str = "takst";
 pub const INSTANCE: &str = "i-1";
 /// Write calls per second that the store accepts.
-pub const WRITES: f64 = 400.0;
+pub const STORE_WRITES_PER_SECOND: f64 = 400.0;
 
 /// Milliseconds within which a node without a configuration must read it from the store.
 const MAX_READ_DELAY_MILLIS: u64 = 4_000;
@@ -62,7 +62,7 @@
             service: service.to_owned(),
         },
         is_first_start: false,
-        store_writes_per_second: WRITES,
+        store_writes_per_second: STORE_WRITES_PER_SECOND,
         incarnation: 1,
         random_seed: 7,
         back_end_address: back_end_address(),
@@ -147,7 +147,7 @@
     }
 }
 
-pub fn forwarded(id: &str, is_idempotent: bool) -> ForwardedRequest {
+pub fn forwarded_request(id: &str, is_idempotent: bool) -> ForwardedRequest {
     ForwardedRequest {
         request_id: id.to_owned(),
         method: "GET".to_owned(),
@@ -180,7 +180,7 @@
 }
 
 /// Returns the reply that stands for a store that cannot be reached.
-pub fn failed(detail: &str) -> StoreReply {
+pub fn store_failure(detail: &str) -> StoreReply {
     StoreReply::Failed(StoreFailure {
         code: ResultCode::StoreUnavailable,
         detail: detail.to_owned(),
@@ -243,7 +243,7 @@
 
 impl TestNode {
     /// Creates a node without a configuration and without contact with other nodes or the store.
-    pub fn fresh(service: &str) -> Self {
+    pub fn unconfigured(service: &str) -> Self {
         Self::with_settings(settings("own", service))
     }
 
@@ -260,7 +260,7 @@
 
     /// Creates a node with a configuration whose back end is not serving yet.
     pub fn configured(service: &str) -> Self {
-        let mut test = Self::fresh(service);
+        let mut test = Self::unconfigured(service);
         test.configure(configuration(1));
         test
     }
@@ -278,7 +278,7 @@
         self.node.handle(at(self.now), event, &mut self.actions);
     }
 
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis {
             self.now += 1;
             if self.node.next_wake() <= at(self.now) {
@@ -339,7 +339,7 @@
             if let Some(request) = self.store_call(is_read) {
                 return request;
             }
-            self.pass(1);
+            self.advance(1);
         }
         panic!("the node has not read the configuration in {MAX_READ_DELAY_MILLIS} ms");
     }
@@ -422,7 +422,7 @@
     pub fn connect(&mut self, name: &str, last: u8, service: &str) -> LinkId {
         let link = LinkId(1_000 + u64::from(last));
         let hello = hello(name, last, serving(service), 0);
-        self.pass(250);
+        self.advance(250);
         self.event(Event::LinkAccepted { link, hello });
         link
     }
@@ -473,7 +473,7 @@
 
     /// Returns the admission levels of downstream services in the latest response of the inbound
     /// side.
-    pub fn involved(&self) -> Vec<ServiceAdmissionLevel> {
+    pub fn downstream_levels(&self) -> Vec<ServiceAdmissionLevel> {
         let levels = self.actions.iter().rev().find_map(|action| match action {
             Action::SendOnLink {
                 message: LinkMessage::Response(response),
@@ -485,7 +485,7 @@
     }
 
     /// Returns the log records that the node has emitted.
-    pub fn notes(&self) -> Vec<LogRecord> {
+    pub fn log_records(&self) -> Vec<LogRecord> {
         let record = |action: &Action| match action {
             Action::Log(record) => Some(record.clone()),
             _ => None,
--- a/crates/rillgap-forward/tests/tenants.rs
+++ b/crates/rillgap-forward/tests/tenants.rs
@@ -79,7 +79,7 @@
         LogRecord::Answered { code, .. } => Some(code),
         _ => None,
     };
-    test.notes().into_iter().filter_map(code).collect()
+    test.log_records().into_iter().filter_map(code).collect()
 }
 
 #[gtest]
@@ -119,7 +119,7 @@
     for route in &mut public.routes {
         route.is_public = true;
     }
-    test.pass(3_500);
+    test.advance(3_500);
     test.configure(public);
     test.request(0, caller_request("a", "/safe/1"));
     expect_that!(test.exchanges().len(), eq(1));
@@ -171,7 +171,7 @@
     for key in [KEY, b"other"] {
         let mut test = node(tenant(None));
         // The store no longer answers, and there is no peer.
-        test.pass(6_000);
+        test.advance(6_000);
         test.actions.clear();
         test.request(0, request_with_key("a", key));
         expect_that!(test.statuses(), elements_are![eq(&503)]);
@@ -193,7 +193,7 @@
 fn peer_proves_the_configuration_while_the_store_does_not_answer() {
     let mut test = node(tenant(None));
     let link = test.connect("peer", 5, SERVICE);
-    test.pass(4_500);
+    test.advance(4_500);
     let numbers: Vec<QueryNumber> = test
         .actions
         .iter()
@@ -213,7 +213,7 @@
     };
     let message = LinkMessage::FreshnessAnswer(answer);
     test.event(Event::Link { link, message });
-    test.pass(3_000);
+    test.advance(3_000);
     test.request(0, request_with_key("a", KEY));
     expect_that!(test.exchanges().len() + test.sent().len(), eq(1));
 }
@@ -273,7 +273,7 @@
     test.configure(with_tenant(1, tenant(Some(LIMIT))));
     test.heartbeat(1, AnnouncedState::Ready);
     test.confirm(INSTANCE);
-    test.pass(10_000);
+    test.advance(10_000);
     test.actions.clear();
     test
 }
@@ -400,7 +400,7 @@
     let mut test = sole_owner();
     let link = connect_owner(&mut test, &after, 6);
     let owner = connect_owner(&mut test, &before, 5);
-    test.pass(1_000);
+    test.advance(1_000);
     test.event(Event::LinkClosed(owner));
     let first = query_token(&mut test, link);
     let Some(TokenResult::Granted { tokens, .. }) = first else {
@@ -415,10 +415,10 @@
     let mut test = sole_owner();
     connect_owner(&mut test, &after, 6);
     // The peer is silent, but its link stays open.
-    test.pass(4_500);
+    test.advance(4_500);
     test.actions.clear();
     test.request(0, request_with_key("a", KEY));
-    test.pass(500);
+    test.advance(500);
     expect_that!(test.exchanges().len(), eq(0));
 }
 
@@ -442,7 +442,7 @@
     expect_that!(pinged, contains(eq(&owner)));
     // The owner sends nothing, while the peer that queries the token is not silent.
     for _ in 0..6 {
-        test.pass(300);
+        test.advance(300);
         query_token(&mut test, link);
     }
     expect_that!(
@@ -465,7 +465,7 @@
         })
     };
     expect_that!(queried(&test), elements_are![eq(&owner)]);
-    test.pass(100);
+    test.advance(100);
     expect_that!(queried(&test), contains(eq(&next)));
 }
 
@@ -514,10 +514,10 @@
         };
         test.actions.iter().filter_map(address).collect()
     };
-    test.pass(50);
+    test.advance(50);
     let mut tried = opened(&test);
     test.configure(with_tenants);
-    test.pass(150);
+    test.advance(150);
     tried.extend(opened(&test));
     let owner_of = |tenant: &Tenant| {
         let hash = TenantHash::of(&tenant.name);
@@ -538,7 +538,7 @@
         wanted: 1,
     });
     test.event(Event::Link { link, message });
-    test.pass(150);
+    test.advance(150);
     expect_that!(opened(&test), contains(eq(&owner_of(&tenant))));
 }
 
--- a/crates/rillgap-forward/tests/watch.rs
+++ b/crates/rillgap-forward/tests/watch.rs
@@ -12,7 +12,10 @@
 use rillgap_forward::store_epoch::{StoreEpoch, StorePosition};
 use rillgap_forward::store_sync::{StoreReply, StoreRequest, StoreRequestId, StoreSync};
 use rillgap_forward::watcher_election::{PrecedingNodes, WatcherElection, name_hash};
-use support::{SERVICE, TestNode, WRITES, at, configuration, failed, hello, serving, settings};
+use support::{
+    SERVICE, STORE_WRITES_PER_SECOND, TestNode, at, configuration, hello, serving, settings,
+    store_failure,
+};
 
 const WATCH_WAIT: Duration = Duration::from_secs(1);
 /// Name of the node under test.
@@ -151,7 +154,7 @@
 /// Advances the time while the watchers report.
 fn pass_with_reports(test: &mut TestNode, links: &[LinkId], millis: u64) {
     for _ in 0..millis / 500 {
-        test.pass(500);
+        test.advance(500);
         for link in links {
             report(test, *link, true);
         }
@@ -170,7 +173,7 @@
     let (mut test, links) = node_with_watchers();
     pass_with_reports(&mut test, &links, 3_000);
     report(&mut test, links[0], false);
-    test.pass(450);
+    test.advance(450);
     expect_that!(has_watched_store(&test), eq(true));
 }
 
@@ -178,7 +181,7 @@
 fn node_takes_over_when_the_watchers_stop_reporting() {
     let (mut test, links) = node_with_watchers();
     pass_with_reports(&mut test, &links, 3_000);
-    test.pass(2_100);
+    test.advance(2_100);
     expect_that!(has_watched_store(&test), eq(true));
 }
 
@@ -205,13 +208,18 @@
         message: LinkMessage::ConfigurationOffer(7),
     });
     expect_that!(test.actions.iter().filter(|a| query(a)).count(), eq(1));
-    test.pass(350);
+    test.advance(350);
     expect_that!(test.actions.iter().filter(|a| query(a)).count(), eq(2));
 }
 
 /// A store client with a watch in flight, and the request of this watch.
 fn store_with_watch_in_flight() -> (StoreSync, StoreRequestId) {
-    let mut store = StoreSync::new(at(0), settings(OWN_NAME, SERVICE).record, false, WRITES);
+    let mut store = StoreSync::new(
+        at(0),
+        settings(OWN_NAME, SERVICE).record,
+        false,
+        STORE_WRITES_PER_SECOND,
+    );
     store.set_watch(at(0), Some(WATCH_WAIT));
     let read = store.poll(at(0))[0].0;
     let reply = StoreReply::Configuration {
@@ -233,7 +241,7 @@
 #[gtest]
 fn failed_watch_does_not_count_until_the_store_answers_again() {
     let (mut store, watch) = store_with_watch_in_flight();
-    store.on_reply(at(100), watch, failed("refused"));
+    store.on_reply(at(100), watch, store_failure("refused"));
     expect_that!(store.is_watching(at(101)), eq(false));
     let again = store.poll(at(300))[0].0;
     let reply = StoreReply::Configuration {
@@ -267,6 +275,6 @@
 fn failed_watch_of_a_node_that_need_not_watch_is_not_retried() {
     let (mut store, watch) = store_with_watch_in_flight();
     store.set_watch(at(10), None);
-    store.on_reply(at(20), watch, failed("refused"));
+    store.on_reply(at(20), watch, store_failure("refused"));
     expect_that!(store.poll(at(5_000)), is_empty());
 }
