--- a/crates/rillgap-core/examples/claim_cost.rs
+++ b/crates/rillgap-core/examples/claim_cost.rs
@@ -25,11 +25,11 @@
 
 const KEYS: u64 = 2_000;
 const START_MILLIS: u64 = 1_700_000_000_000;
-const RUN: Incarnation = Incarnation(1);
+const INCARNATION: Incarnation = Incarnation(1);
 
-struct Settled(Vec<ActivatedView>);
+struct StaticElectorate(Vec<ActivatedView>);
 
-impl Electorate for Settled {
+impl Electorate for StaticElectorate {
     fn view(&self) -> &Arc<View> {
         &self.0[0].view
     }
@@ -43,21 +43,21 @@
     }
 }
 
-fn settled(nodes: usize, zones: usize) -> Settled {
+fn static_electorate(nodes: usize, zones: usize) -> StaticElectorate {
     let mut members: Vec<Arc<Member>> = (0..nodes)
         .map(|index| {
             Arc::new(Member {
                 name: NodeName::new(format!("node-{index}")),
                 zone: ZoneName::new(format!("zone-{}", index % zones)),
                 region: RegionName::new("region"),
-                incarnation: RUN,
+                incarnation: INCARNATION,
                 mesh_address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
             })
         })
         .collect();
     members.sort_by_key(|member| member.id());
     let version = ViewVersion(1);
-    Settled(vec![ActivatedView {
+    StaticElectorate(vec![ActivatedView {
         view: Arc::new(View { version, members }),
         activated_at: WallTime::default(),
     }])
@@ -75,18 +75,18 @@
     begun.elapsed() / KEYS as u32
 }
 
-fn vote(electorate: &Settled, key: IdempotencyKey) {
+fn vote(electorate: &StaticElectorate, key: IdempotencyKey) {
     let group = replica_group(electorate.view(), key);
     let voter = Voter {
         node: group[0],
-        incarnation: RUN,
+        incarnation: INCARNATION,
     };
     let claim = Claim {
         key,
         attempt: AttemptId {
             call: CallId {
                 node: group[0],
-                incarnation: RUN,
+                incarnation: INCARNATION,
                 sequence: 1,
             },
             number: 0,
@@ -94,7 +94,7 @@
         round: Round(1),
         gate: Gate {
             node: group[0],
-            incarnation: RUN,
+            incarnation: INCARNATION,
         },
         group,
         protected_micros: 1_000_000,
@@ -111,7 +111,7 @@
 
 fn main() {
     for (nodes, zones) in [(9, 3), (100, 22), (400, 22), (1_900, 22)] {
-        let electorate = settled(nodes, zones);
+        let electorate = static_electorate(nodes, zones);
         let choice = per_key(|key| {
             black_box(replica_group(electorate.view(), key));
         });
--- a/crates/rillgap-core/src/call/remembered.rs
+++ b/crates/rillgap-core/src/call/answer_recorder.rs
@@ -4,9 +4,9 @@
 use crate::request::AnswerHead;
 
 /// Longest body that is recorded, in bytes.
-pub const LONGEST_REMEMBERED_BODY: usize = 2 * 1024;
+pub const MAX_REMEMBERED_BODY_BYTES: usize = 2 * 1024;
 
-/// Collects an answer while it passes through, up to [`LONGEST_REMEMBERED_BODY`].
+/// Collects an answer while it passes through, up to [`MAX_REMEMBERED_BODY_BYTES`].
 #[derive(Debug)]
 pub struct AnswerRecorder {
     answer: Option<RememberedAnswer>,
@@ -23,7 +23,7 @@
     }
 
     /// Records the head.
-    pub fn head(&mut self, head: &AnswerHead) {
+    pub fn record_head(&mut self, head: &AnswerHead) {
         if self.recording {
             self.answer = Some(RememberedAnswer {
                 head: head.clone(),
@@ -33,11 +33,11 @@
     }
 
     /// Records a part of the body, or gives up if the answer becomes too long.
-    pub fn body(&mut self, chunk: &[u8]) {
+    pub fn record_body(&mut self, chunk: &[u8]) {
         let Some(answer) = &mut self.answer else {
             return;
         };
-        if answer.body.len() + chunk.len() > LONGEST_REMEMBERED_BODY {
+        if answer.body.len() + chunk.len() > MAX_REMEMBERED_BODY_BYTES {
             self.answer = None;
             return;
         }
--- a/crates/rillgap-core/src/call/gate/intake.rs
+++ b/crates/rillgap-core/src/call/attempt_runner/admission.rs
@@ -5,13 +5,13 @@
 use bytes::Bytes;
 use rand_chacha::rand_core::Rng;
 
-use super::{ANSWER_WINDOW_BYTES, Gate, LocalAttempt, Phase, plain};
+use super::{ANSWER_WINDOW_BYTES, AttemptRunner, LocalAttempt, Phase, refusal_for};
 use crate::action::{Action, BackEndRequest};
 use crate::admission::{Ticket, Verdict};
+use crate::call::answer_recorder::AnswerRecorder;
 use crate::call::children::Children;
-use crate::call::pool::RetryPool;
 use crate::call::ports::Ports;
-use crate::call::remembered::AnswerRecorder;
+use crate::call::retry_pool::RetryPool;
 use crate::claim::GuardVerdict;
 use crate::code::ResultCode;
 use crate::id::{AttemptId, CallToken, NodeId};
@@ -19,7 +19,7 @@
 use crate::policy::BackEndState;
 use crate::time::{Instant, Now};
 
-impl Gate {
+impl AttemptRunner {
     /// Takes in an attempt that an entry node dispatched.
     pub fn on_dispatch(
         &mut self,
@@ -33,7 +33,7 @@
         }
         self.configure(ports);
         if let Some(code) = self.reason_to_refuse(now, &dispatch, ports) {
-            let refusal = plain(code);
+            let refusal = refusal_for(code);
             self.refuse(now, from, &dispatch, refusal, ports);
             return;
         }
@@ -82,11 +82,15 @@
         if local.name != dispatch.back_end {
             return Some(ResultCode::NoBackEnd);
         }
-        self.reason_closed(now, ports)
+        self.refusal_while_closed(now, ports)
     }
 
     /// Returns why the local back end takes nothing new at the moment, if so.
-    pub(super) fn reason_closed(&self, now: Now, ports: &Ports<'_, '_>) -> Option<ResultCode> {
+    pub(super) fn refusal_while_closed(
+        &self,
+        now: Now,
+        ports: &Ports<'_, '_>,
+    ) -> Option<ResultCode> {
         let context = &*ports.context;
         let Some(local) = &context.settings.back_end else {
             return Some(ResultCode::NoBackEnd);
@@ -170,8 +174,8 @@
             body: Bytes::from(std::mem::take(&mut local.dispatch.body)),
         };
         self.tokens.insert(token, attempt);
-        ports.act(Action::CallBackEnd(Box::new(request)));
-        ports.act(Action::ReadBackEnd {
+        ports.emit(Action::CallBackEnd(Box::new(request)));
+        ports.emit(Action::ReadBackEnd {
             attempt,
             bytes: ANSWER_WINDOW_BYTES,
         });
--- a/crates/rillgap-core/src/call/gate/answers.rs
+++ b/crates/rillgap-core/src/call/attempt_runner/answers.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-use super::{Gate, Phase};
+use super::{AttemptRunner, Phase};
 use crate::action::Action;
 use crate::admission::Completion;
 use crate::call::ports::Ports;
@@ -13,11 +13,11 @@
 use crate::request::AnswerHead;
 use crate::time::Now;
 
-impl Gate {
+impl AttemptRunner {
     /// Continues the answer of an attempt: its reader has room for more.
     pub fn on_credit(&mut self, attempt: AttemptId, bytes: u32, ports: &mut Ports<'_, '_>) {
         if self.attempts.contains_key(&attempt) {
-            ports.act(Action::ReadBackEnd { attempt, bytes });
+            ports.emit(Action::ReadBackEnd { attempt, bytes });
         }
     }
 
@@ -27,7 +27,7 @@
         let Some(local) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        local.recorder.head(&head);
+        local.recorder.record_head(&head);
         ports.send(
             local.entry,
             CallMessage::AnswerHead {
@@ -46,7 +46,7 @@
         let Phase::Running { parts, .. } = &mut local.phase else {
             return;
         };
-        local.recorder.body(&chunk);
+        local.recorder.record_body(&chunk);
         let sequence = *parts;
         *parts += 1;
         let chunk = Vec::from(chunk);
@@ -72,7 +72,7 @@
             self.guard
                 .complete(now, keyed.key, local.recorder.into_answer());
         }
-        let unspent = local.pool.left();
+        let unspent = local.pool.available();
         ports.send(
             local.entry,
             CallMessage::AnswerEnd {
--- a/crates/rillgap-core/src/call/gate/ending.rs
+++ b/crates/rillgap-core/src/call/attempt_runner/completion.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Gate, LocalAttempt, Phase, plain};
+use super::{AttemptRunner, LocalAttempt, Phase, refusal_for};
 use crate::action::Action;
 use crate::admission::{Completion, LoadReport};
 use crate::call::ports::Ports;
@@ -12,7 +12,7 @@
 use crate::request::Refusal;
 use crate::time::Now;
 
-impl Gate {
+impl AttemptRunner {
     /// Ends an attempt that nobody waits for any more.
     ///
     /// A keyed attempt that was started runs on: its key can never run again, so its
@@ -50,7 +50,7 @@
         if self.attempts.is_empty() {
             return;
         }
-        let Some(code) = self.reason_closed(now, ports) else {
+        let Some(code) = self.refusal_while_closed(now, ports) else {
             return;
         };
         let queued: Vec<AttemptId> = self
@@ -100,7 +100,7 @@
         ports: &mut Ports<'_, '_>,
     ) {
         if let Some((local, _)) = self.finish(now, attempt, Completion::Shed) {
-            let refusal = plain(code);
+            let refusal = refusal_for(code);
             self.refuse(now, local.entry, &local.dispatch, refusal, ports);
         }
     }
@@ -119,8 +119,8 @@
         if let (Some(keyed), Phase::Running { .. }) = (local.dispatch.key, &local.phase) {
             self.guard.fail(now, keyed.key);
         }
-        let refusal = plain(code);
-        let unspent = local.pool.left();
+        let refusal = refusal_for(code);
+        let unspent = local.pool.available();
         ports.send(
             local.entry,
             CallMessage::AnswerFailed {
@@ -133,7 +133,7 @@
     }
 
     pub(super) fn abort(&mut self, now: Now, attempt: AttemptId, ports: &mut Ports<'_, '_>) {
-        ports.act(Action::CancelBackEnd { attempt });
+        ports.emit(Action::CancelBackEnd { attempt });
         self.end_failed(now, attempt, ResultCode::AnswerTimeout, ports);
     }
 
@@ -159,7 +159,7 @@
         ports: &mut Ports<'_, '_>,
     ) {
         self.admission.cancel(now.instant, attempt);
-        self.refuse_queued(now, attempt, plain(code), ports);
+        self.refuse_queued(now, attempt, refusal_for(code), ports);
     }
 
     /// Refuses an attempt that admission has already taken out of its queue.
--- a/crates/rillgap-core/src/call/gate/mod.rs
+++ b/crates/rillgap-core/src/call/attempt_runner/mod.rs
@@ -6,11 +6,11 @@
 use rand_chacha::rand_core::SeedableRng;
 
 use crate::admission::{BackEndAdmission, LoadReport, QueueDecision};
+use crate::call::answer_recorder::AnswerRecorder;
 use crate::call::children::Children;
 use crate::call::deadlines::Deadlines;
-use crate::call::pool::RetryPool;
 use crate::call::ports::Ports;
-use crate::call::remembered::AnswerRecorder;
+use crate::call::retry_pool::RetryPool;
 use crate::claim::DispatchGuard;
 use crate::code::ResultCode;
 use crate::id::{AttemptId, CallToken, NodeId};
@@ -19,9 +19,9 @@
 use crate::request::{Refusal, RetryAfter};
 use crate::time::{Instant, Now};
 
+mod admission;
 mod answers;
-mod ending;
-mod intake;
+mod completion;
 
 /// Bytes of an answer's body that may be on the way to its reader at any time.
 pub const ANSWER_WINDOW_BYTES: u32 = 64 * 1024;
@@ -68,7 +68,7 @@
 
 /// Attempts at the local back end.
 #[derive(Debug)]
-pub struct Gate {
+pub struct AttemptRunner {
     attempts: BTreeMap<AttemptId, LocalAttempt>,
     tokens: BTreeMap<CallToken, AttemptId>,
     deadlines: Deadlines<AttemptId>,
@@ -81,8 +81,8 @@
     ended: Vec<AttemptId>,
 }
 
-impl Gate {
-    /// Creates the gate of a fresh node.
+impl AttemptRunner {
+    /// Creates the runner of a fresh node.
     pub fn new(settings: &NodeSettings) -> Self {
         Self {
             attempts: BTreeMap::new(),
@@ -118,7 +118,7 @@
         self.stopping = true;
     }
 
-    /// Returns when [`Self::settle`] must be called next.
+    /// Returns when [`Self::poll`] must be called next.
     pub fn next_wake(&self) -> Option<Instant> {
         [self.deadlines.next(), self.admission.next_wake()]
             .into_iter()
@@ -127,7 +127,7 @@
     }
 
     /// Records what the back end says of itself.
-    pub fn announce(&mut self, leaving: bool) {
+    pub fn set_leaving(&mut self, leaving: bool) {
         self.announced_leaving = leaving;
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Does what is due: passed deadlines, queue decisions, refusals while leaving.
-    pub fn settle(&mut self, now: Now, ports: &mut Ports<'_, '_>) {
+    pub fn poll(&mut self, now: Now, ports: &mut Ports<'_, '_>) {
         self.configure(ports);
         while let Some(attempt) = self.deadlines.pop_passed(now.instant) {
             self.expire(now, attempt, ports);
@@ -182,7 +182,7 @@
     }
 }
 
-const fn plain(code: ResultCode) -> Refusal {
+const fn refusal_for(code: ResultCode) -> Refusal {
     Refusal {
         code,
         retry_after: RetryAfter::DEFAULT,
--- a/crates/rillgap-core/src/call/children.rs
+++ b/crates/rillgap-core/src/call/children.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::call::pool::RetryPool;
+use crate::call::retry_pool::RetryPool;
 use crate::code::ResultCode;
 use crate::id::Fingerprint;
 use crate::policy::Bounds;
@@ -55,12 +55,12 @@
     }
 
     /// Records that a call was sent on and may run.
-    pub fn sent(&mut self, content: Fingerprint) {
+    pub fn mark_sent(&mut self, content: Fingerprint) {
         self.set_may_have_run(content, true);
     }
 
     /// Records that a call that was sent on is proved not to have run.
-    pub fn not_run(&mut self, content: Fingerprint) {
+    pub fn mark_not_run(&mut self, content: Fingerprint) {
         self.set_may_have_run(content, false);
     }
 
--- a/crates/rillgap-core/src/call/entry.rs
+++ b/crates/rillgap-core/src/call/entry.rs
@@ -4,10 +4,10 @@
 
 use crate::action::{Action, Observation};
 use crate::admission::{RootRequest, RouteId};
-use crate::call::gate::{Gate, Parent};
+use crate::call::attempt_runner::{AttemptRunner, Parent};
 use crate::call::outgoing::{OutgoingCall, ParentLink};
-use crate::call::pool::RetryPool;
 use crate::call::ports::Ports;
+use crate::call::retry_pool::RetryPool;
 use crate::call::sender::Sender;
 use crate::code::ResultCode;
 use crate::event::InboundId;
@@ -24,25 +24,25 @@
     inbound: InboundId,
     request: InboundRequest,
     sender: &mut Sender,
-    gate: &mut Gate,
+    runner: &mut AttemptRunner,
     ports: &mut Ports<'_, '_>,
 ) {
     let admitted = match request.origin {
         Origin::Caller => admit_root(now, inbound, request, sender, ports),
         Origin::LocalBackEnd { token } => {
-            admit_child(now, inbound, request, token, sender, gate, ports)
+            admit_child(now, inbound, request, token, sender, runner, ports)
         }
     };
     match admitted {
-        Ok(call) => sender.begin(now, call, gate, ports),
+        Ok(call) => sender.begin(now, call, runner, ports),
         Err(refusal) => refuse(inbound, refusal, ports),
     }
 }
 
 /// Refuses an inbound request, at once.
 pub fn refuse(inbound: InboundId, refusal: Refusal, ports: &mut Ports<'_, '_>) {
-    ports.act(Action::Refuse { inbound, refusal });
-    ports.act(Action::Observe(Observation::Refused { refusal }));
+    ports.emit(Action::Refuse { inbound, refusal });
+    ports.emit(Action::Observe(Observation::Refused { refusal }));
 }
 
 fn admit_root(
@@ -80,15 +80,15 @@
     request: InboundRequest,
     token: Option<CallToken>,
     sender: &mut Sender,
-    gate: &mut Gate,
+    runner: &mut AttemptRunner,
     ports: &mut Ports<'_, '_>,
 ) -> Result<OutgoingCall, Refusal> {
     let policy = ports.context.configuration.policy().cloned();
     let policy = policy.ok_or_else(|| refusal(ResultCode::NotReady))?;
     let route = find_route(&policy, &request)?.clone();
-    let parent = token.and_then(|token| gate.parent(token));
+    let parent = token.and_then(|token| runner.parent(token));
     let parent = parent.ok_or_else(|| refusal(ResultCode::TokenInvalid))?;
-    let content = content_of(&request);
+    let content = call_content(&request);
     if !sender.is_unbounded() {
         check_deadline(&parent, now)?;
     }
@@ -174,18 +174,18 @@
     let key = request
         .key
         .ok_or_else(|| refusal(ResultCode::KeyRequired))?;
-    let fingerprint = work_of(request, &request.head.path);
+    let fingerprint = request_fingerprint(request, &request.head.path);
     Ok(Some(KeyedAttempt { key, fingerprint }))
 }
 
 /// Recognises a call among its siblings; the query is left out, so that a back end that
 /// numbers its repeats there gains nothing.
-fn content_of(request: &InboundRequest) -> Fingerprint {
+fn call_content(request: &InboundRequest) -> Fingerprint {
     let path = request.head.path.split('?').next().unwrap_or_default();
-    work_of(request, path)
+    request_fingerprint(request, path)
 }
 
-fn work_of(request: &InboundRequest, path: &str) -> Fingerprint {
+fn request_fingerprint(request: &InboundRequest, path: &str) -> Fingerprint {
     fingerprint(&[
         request.service.as_str().as_bytes(),
         request.head.method.as_bytes(),
@@ -202,10 +202,10 @@
     sender: &mut Sender,
     ports: &Ports<'_, '_>,
 ) -> OutgoingCall {
-    let longest: Duration = route.deadline();
+    let max_timeout: Duration = route.deadline();
     let timeout = request
         .timeout
-        .map_or(longest, |timeout| timeout.min(longest));
+        .map_or(max_timeout, |timeout| timeout.min(max_timeout));
     OutgoingCall {
         id: sender.next_call_id(ports.context.settings),
         inbound,
--- a/crates/rillgap-core/src/call/mod.rs
+++ b/crates/rillgap-core/src/call/mod.rs
@@ -1,6 +1,6 @@
 //! The data path: calls of callers and of the local back end, and attempts at the back end.
 //!
-//! A call enters through [`entry`], is sent on by [`sender`] to the [`gate`] of the node
+//! A call enters through [`entry`], is sent on by [`sender`] to the [`runner`] of the node
 //! beside a back end, and its answer comes back the same way. The calls that a back end
 //! makes enter its own node and take the same path; they are charged to the request that
 //! the back end is serving.
@@ -15,18 +15,18 @@
 use crate::node::{Context, NodeSettings};
 use crate::time::{Instant, Now};
 
+pub mod answer_recorder;
+pub mod attempt_runner;
 pub mod children;
 pub mod deadlines;
 pub mod entry;
-pub mod gate;
 pub mod outgoing;
-pub mod pool;
 pub mod ports;
-pub mod remembered;
 pub mod retry;
+pub mod retry_pool;
 pub mod sender;
 
-use gate::Gate;
+use attempt_runner::AttemptRunner;
 use ports::Ports;
 use sender::{AnswerTrailer, Sender};
 
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct CallPath {
     sender: Sender,
-    gate: Gate,
+    runner: AttemptRunner,
     loopback: VecDeque<CallMessage>,
 }
 
@@ -43,7 +43,7 @@
     pub fn new(settings: &NodeSettings) -> Self {
         Self {
             sender: Sender::new(settings),
-            gate: Gate::new(settings),
+            runner: AttemptRunner::new(settings),
             loopback: VecDeque::new(),
         }
     }
@@ -54,23 +54,23 @@
             context,
             loopback: &mut self.loopback,
         };
-        let (sender, gate) = (&mut self.sender, &mut self.gate);
+        let (sender, runner) = (&mut self.sender, &mut self.runner);
         match event {
             Event::Inbound { inbound, request } => {
-                entry::accept(now, inbound, request, sender, gate, ports);
+                entry::accept(now, inbound, request, sender, runner, ports);
             }
-            Event::InboundGone { inbound } => sender.on_gone(now, inbound, ports),
+            Event::InboundGone { inbound } => sender.on_caller_gone(now, inbound, ports),
             Event::InboundConsumed { inbound, bytes } => sender.on_consumed(inbound, bytes, ports),
-            Event::BackEndHead { attempt, head } => gate.on_head(attempt, head, ports),
-            Event::BackEndBody { attempt, chunk } => gate.on_body(attempt, chunk, ports),
-            Event::BackEndEnd { attempt } => gate.on_end(now, attempt, ports),
+            Event::BackEndHead { attempt, head } => runner.on_head(attempt, head, ports),
+            Event::BackEndBody { attempt, chunk } => runner.on_body(attempt, chunk, ports),
+            Event::BackEndEnd { attempt } => runner.on_end(now, attempt, ports),
             Event::BackEndFailed { attempt, failure } => {
-                gate.on_failed(now, attempt, failure, ports);
+                runner.on_failed(now, attempt, failure, ports);
             }
-            Event::BackEndAnnounced { leaving } => gate.announce(leaving),
+            Event::BackEndAnnounced { leaving } => runner.set_leaving(leaving),
             Event::PeerLost { peer } => {
-                sender.on_peer_lost(now, peer, gate, ports);
-                gate.on_peer_lost(now, peer, ports);
+                sender.on_peer_lost(now, peer, runner, ports);
+                runner.on_peer_lost(now, peer, ports);
             }
             // These belong to other subsystems of the node.
             Event::Peer { .. }
@@ -93,15 +93,15 @@
             context,
             loopback: &mut self.loopback,
         };
-        let (sender, gate) = (&mut self.sender, &mut self.gate);
+        let (sender, runner) = (&mut self.sender, &mut self.runner);
         match message {
-            CallMessage::Dispatch(dispatch) => gate.on_dispatch(now, from, *dispatch, ports),
+            CallMessage::Dispatch(dispatch) => runner.on_dispatch(now, from, *dispatch, ports),
             CallMessage::AnswerHead {
                 attempt,
                 head,
                 load,
             } => {
-                sender.on_head(now, attempt, head, &load, gate, ports);
+                sender.on_head(now, attempt, head, &load, runner, ports);
             }
             CallMessage::AnswerBody {
                 attempt,
@@ -117,7 +117,7 @@
                 load,
             } => {
                 let trailer = AnswerTrailer { parts, unspent };
-                sender.on_end(now, attempt, trailer, &load, gate, ports);
+                sender.on_end(now, attempt, trailer, &load, runner, ports);
             }
             CallMessage::AnswerFailed {
                 attempt,
@@ -125,24 +125,24 @@
                 unspent,
                 load: _,
             } => {
-                sender.on_failed(now, attempt, refusal, unspent, gate, ports);
+                sender.on_failed(now, attempt, refusal, unspent, runner, ports);
             }
             CallMessage::Refused {
                 attempt,
                 refusal,
                 load,
             } => {
-                sender.on_refused(now, attempt, refusal, &load, gate, ports);
+                sender.on_refused(now, attempt, refusal, &load, runner, ports);
             }
-            CallMessage::Credit { attempt, bytes } => gate.on_credit(attempt, bytes, ports),
-            CallMessage::Cancel { attempt } => gate.on_cancel(now, attempt, ports),
+            CallMessage::Credit { attempt, bytes } => runner.on_credit(attempt, bytes, ports),
+            CallMessage::Cancel { attempt } => runner.on_cancel(now, attempt, ports),
         }
     }
 
     /// Does what is due: settled claims, deadlines, queue decisions, messages to itself.
-    pub fn settle(&mut self, now: Now, context: &mut Context<'_>) {
+    pub fn poll(&mut self, now: Now, context: &mut Context<'_>) {
         loop {
-            self.settle_once(now, context);
+            self.poll_once(now, context);
             let Some(message) = self.loopback.pop_front() else {
                 break;
             };
@@ -151,17 +151,17 @@
         }
     }
 
-    fn settle_once(&mut self, now: Now, context: &mut Context<'_>) {
+    fn poll_once(&mut self, now: Now, context: &mut Context<'_>) {
         let ports = &mut Ports {
             context,
             loopback: &mut self.loopback,
         };
         while let Some(event) = ports.context.claims.take_event() {
-            self.sender.on_claim(now, event, &mut self.gate, ports);
+            self.sender.on_claim(now, event, &mut self.runner, ports);
         }
-        self.sender.expire(now, &mut self.gate, ports);
-        self.gate.settle(now, ports);
-        for attempt in self.gate.take_ended() {
+        self.sender.expire(now, &mut self.runner, ports);
+        self.runner.poll(now, ports);
+        for attempt in self.runner.take_ended() {
             self.sender.cancel_children(now, attempt, ports);
         }
     }
@@ -169,32 +169,32 @@
     /// Stops taking new requests; what is in flight goes on.
     pub fn begin_stop(&mut self, _now: Now, _context: &mut Context<'_>) {
         self.sender.begin_stop();
-        self.gate.begin_stop();
+        self.runner.begin_stop();
     }
 
     /// Returns whether nothing is in flight.
     pub fn is_idle(&self) -> bool {
-        self.sender.is_idle() && self.gate.is_idle()
+        self.sender.is_idle() && self.runner.is_idle()
     }
 
     /// Returns the number of calls and attempts in flight.
     pub fn in_flight(&self) -> usize {
-        self.sender.in_flight() + self.gate.in_flight()
+        self.sender.in_flight() + self.runner.in_flight()
     }
 
     /// Returns the load of the local back end.
     pub fn load(&self) -> LoadReport {
-        self.gate.load()
+        self.runner.load()
     }
 
     /// Returns the guard beside the back end.
     pub fn guard_mut(&mut self) -> &mut DispatchGuard {
-        self.gate.guard_mut()
+        self.runner.guard_mut()
     }
 
-    /// Returns when [`Self::settle`] must be called next.
+    /// Returns when [`Self::poll`] must be called next.
     pub fn next_wake(&self) -> Option<Instant> {
-        [self.sender.next_wake(), self.gate.next_wake()]
+        [self.sender.next_wake(), self.runner.next_wake()]
             .into_iter()
             .flatten()
             .min()
--- a/crates/rillgap-core/src/call/outgoing.rs
+++ b/crates/rillgap-core/src/call/outgoing.rs
@@ -97,7 +97,7 @@
     /// Returns what the caller is told instead of `refusal` of the last attempt.
     ///
     /// That attempt may not have run, and an earlier one of the same call may have.
-    pub fn truthful(&self, refusal: Refusal) -> Refusal {
+    pub fn reported_refusal(&self, refusal: Refusal) -> Refusal {
         if refusal.code.outcome() == Outcome::NotRun {
             self.earlier_failure.unwrap_or(refusal)
         } else {
--- a/crates/rillgap-core/src/call/ports.rs
+++ b/crates/rillgap-core/src/call/ports.rs
@@ -36,7 +36,7 @@
     }
 
     /// Asks the driver for something.
-    pub fn act(&mut self, action: Action) {
+    pub fn emit(&mut self, action: Action) {
         self.context.out.push(action);
     }
 }
--- a/crates/rillgap-core/src/call/sender/answers.rs
+++ b/crates/rillgap-core/src/call/sender/answers.rs
@@ -2,10 +2,10 @@
 
 use bytes::Bytes;
 
-use super::{AnswerTrailer, Sender, plain};
+use super::{AnswerTrailer, Sender, refusal_for};
 use crate::action::{Action, Observation};
 use crate::admission::LoadReport;
-use crate::call::gate::Gate;
+use crate::call::attempt_runner::AttemptRunner;
 use crate::call::outgoing::{OutgoingCall, Phase};
 use crate::call::ports::Ports;
 use crate::code::ResultCode;
@@ -24,10 +24,10 @@
         attempt: AttemptId,
         head: AnswerHead,
         load: &LoadReport,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
-        self.observe_load(now, attempt, load, gate);
+        self.observe_load(now, attempt, load, runner);
         let Some(call) = self.current(attempt) else {
             return;
         };
@@ -39,7 +39,7 @@
             return;
         }
         current.phase = Phase::Answering { parts: 0 };
-        ports.act(Action::AnswerHead { inbound, head });
+        ports.emit(Action::AnswerHead { inbound, head });
     }
 
     /// Passes on a part of an answer; a gap breaks the answer off.
@@ -58,7 +58,7 @@
         match call.attempt.as_mut().map(|current| &mut current.phase) {
             Some(Phase::Answering { parts }) if *parts == sequence => {
                 *parts += 1;
-                ports.act(Action::AnswerBody {
+                ports.emit(Action::AnswerBody {
                     inbound,
                     chunk: Bytes::from(chunk),
                 });
@@ -75,11 +75,11 @@
         attempt: AttemptId,
         end: AnswerTrailer,
         load: &LoadReport,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let AnswerTrailer { parts, unspent } = end;
-        self.observe_load(now, attempt, load, gate);
+        self.observe_load(now, attempt, load, runner);
         let Some(phase) = self.current(attempt).and_then(|call| call.phase()) else {
             return;
         };
@@ -87,11 +87,11 @@
             self.break_off(now, attempt, ports);
             return;
         }
-        self.restore(attempt, unspent, gate);
+        self.restore(attempt, unspent, runner);
         let Some(call) = self.remove(attempt.call) else {
             return;
         };
-        self.settle_target(now, &call, TargetResult::Answered);
+        self.report_removed_call(now, &call, TargetResult::Answered);
         self.retry_budget.record_success(&call.service);
         if call.parent.is_none() {
             self.entry_admission
@@ -105,10 +105,10 @@
         }
         if phase != Phase::Orphaned {
             let latency = now.instant.saturating_since(call.arrived);
-            ports.act(Action::AnswerEnd {
+            ports.emit(Action::AnswerEnd {
                 inbound: call.inbound,
             });
-            ports.act(Action::Observe(Observation::Answered { latency }));
+            ports.emit(Action::Observe(Observation::Answered { latency }));
         }
     }
 
@@ -119,7 +119,7 @@
         attempt: AttemptId,
         refusal: Refusal,
         unspent: u8,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let Some(call) = self.current(attempt) else {
@@ -127,15 +127,15 @@
         };
         let (phase, repeatable) = (call.phase(), call.repeatable);
         call.earlier_failure = Some(refusal);
-        self.restore(attempt, unspent, gate);
-        self.end_target(now, attempt, TargetResult::Failed);
+        self.restore(attempt, unspent, runner);
+        self.report_attempt_end(now, attempt, TargetResult::Failed);
         match phase {
             Some(Phase::Waiting) if repeatable => {
-                self.retry(now, attempt, refusal, gate, ports);
+                self.retry(now, attempt, refusal, runner, ports);
             }
             Some(Phase::Waiting) => {
                 self.abandon_claim(now, attempt, ports);
-                self.refuse(attempt.call, refusal, gate, ports);
+                self.refuse(attempt.call, refusal, runner, ports);
             }
             Some(Phase::Answering { .. }) => self.break_off(now, attempt, ports),
             _ => {
@@ -152,23 +152,23 @@
         attempt: AttemptId,
         refusal: Refusal,
         load: &LoadReport,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
-        self.observe_load(now, attempt, load, gate);
+        self.observe_load(now, attempt, load, runner);
         let Some(call) = self.current(attempt) else {
             return;
         };
         let phase = call.phase();
-        self.restore(attempt, u8::MAX, gate);
-        self.end_target(now, attempt, result_of_refusal(refusal));
+        self.restore(attempt, u8::MAX, runner);
+        self.report_attempt_end(now, attempt, target_result(refusal));
         if phase == Some(Phase::Orphaned) {
             self.release_claim(now, attempt, ports);
             self.remove(attempt.call);
             return;
         }
-        self.mark_child_not_run(attempt.call, gate);
-        self.retry(now, attempt, refusal, gate, ports);
+        self.mark_child_not_run(attempt.call, runner);
+        self.retry(now, attempt, refusal, runner, ports);
     }
 
     /// Tells the node beside the back end that the caller took in a part of the answer.
@@ -191,7 +191,7 @@
         &mut self,
         now: Now,
         peer: NodeId,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let lost: Vec<AttemptId> = self
@@ -202,8 +202,8 @@
             .map(|attempt| attempt.id)
             .collect();
         for attempt in lost {
-            let refusal = plain(ResultCode::AnswerLost);
-            self.on_failed(now, attempt, refusal, 0, gate, ports);
+            let refusal = refusal_for(ResultCode::AnswerLost);
+            self.on_failed(now, attempt, refusal, 0, runner, ports);
         }
     }
 
@@ -213,7 +213,7 @@
             return;
         };
         let inbound = call.inbound;
-        ports.act(Action::AnswerAbort { inbound });
+        ports.emit(Action::AnswerAbort { inbound });
         self.abandon_claim(now, attempt, ports);
         self.remove(attempt.call);
     }
@@ -223,7 +223,7 @@
         now: Now,
         attempt: AttemptId,
         load: &LoadReport,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
     ) {
         let Some(call) = self.calls.get(&attempt.call) else {
             return;
@@ -231,24 +231,34 @@
         self.entry_admission
             .record_levels(now.instant, &call.service, load);
         if let Some(link) = call.parent {
-            gate.record_nested_load(link.attempt, load);
+            runner.record_nested_load(link.attempt, load);
         }
         if let Some(current) = &call.attempt {
             self.router
-                .observe(now.instant, &current.target.back_end, load);
+                .on_load_report(now.instant, &current.target.back_end, load);
         }
     }
 
     /// Tells routing how the attempt under way of a call ended.
-    pub(super) fn end_target(&mut self, now: Now, attempt: AttemptId, result: TargetResult) {
+    pub(super) fn report_attempt_end(
+        &mut self,
+        now: Now,
+        attempt: AttemptId,
+        result: TargetResult,
+    ) {
         if let Some(call) = self.calls.get(&attempt.call) {
-            report_end(&mut self.router, now, call, result);
+            report_to_router(&mut self.router, now, call, result);
         }
     }
 
     /// Tells routing how the last attempt of a call that was removed ended.
-    pub(super) fn settle_target(&mut self, now: Now, call: &OutgoingCall, result: TargetResult) {
-        report_end(&mut self.router, now, call, result);
+    pub(super) fn report_removed_call(
+        &mut self,
+        now: Now,
+        call: &OutgoingCall,
+        result: TargetResult,
+    ) {
+        report_to_router(&mut self.router, now, call, result);
     }
 
     pub(super) fn current(&mut self, attempt: AttemptId) -> Option<&mut OutgoingCall> {
@@ -258,16 +268,16 @@
     }
 }
 
-fn report_end(router: &mut Router, now: Now, call: &OutgoingCall, result: TargetResult) {
+fn report_to_router(router: &mut Router, now: Now, call: &OutgoingCall, result: TargetResult) {
     if let Some(current) = &call.attempt {
         let latency = now.instant.saturating_since(current.begun_at);
-        router.finished(now.instant, &current.target, latency, result);
+        router.on_finished(now.instant, &current.target, latency, result);
     }
 }
 
 /// Returns what a refusal says about the target. A back end that cannot be reached refuses at once
 /// and looks idle: it must be left out like one that fails, or it draws all calls.
-fn result_of_refusal(refusal: Refusal) -> TargetResult {
+fn target_result(refusal: Refusal) -> TargetResult {
     match refusal.code {
         ResultCode::BackEndUnreachable => TargetResult::Unreachable,
         _ => TargetResult::Refused,
--- a/crates/rillgap-core/src/call/sender/attempts.rs
+++ b/crates/rillgap-core/src/call/sender/attempts.rs
@@ -1,12 +1,12 @@
 //! Attempts: choice of the back end, dispatch and retries.
 
-use super::{Sender, plain};
+use super::{Sender, refusal_for};
 use crate::action::{Action, Observation};
-use crate::call::gate::Gate;
+use crate::call::attempt_runner::AttemptRunner;
 use crate::call::outgoing::{CurrentAttempt, Phase};
-use crate::call::pool::RetryPool;
 use crate::call::ports::Ports;
 use crate::call::retry::{self, Retry};
+use crate::call::retry_pool::RetryPool;
 use crate::claim::ClaimRequest;
 use crate::code::ResultCode;
 use crate::id::{AttemptId, CallId};
@@ -23,11 +23,11 @@
         id: CallId,
         refused: Option<AttemptId>,
         otherwise: ResultCode,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let Some(target) = self.pick(now, id, ports) else {
-            self.refuse_untargeted(now, id, refused, otherwise, gate, ports);
+            self.refuse_untargeted(now, id, refused, otherwise, runner, ports);
             return;
         };
         let Some(call) = self.calls.get_mut(&id) else {
@@ -52,7 +52,7 @@
             phase,
         });
         let Some(keyed) = call.keyed else {
-            self.dispatch(now, attempt, gate, ports);
+            self.dispatch(now, attempt, runner, ports);
             return;
         };
         let request = ClaimRequest {
@@ -83,11 +83,11 @@
         id: CallId,
         refused: Option<AttemptId>,
         otherwise: ResultCode,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         if let Some(attempt) = refused {
-            self.refuse_and_release(now, attempt, plain(otherwise), gate, ports);
+            self.refuse_and_release(now, attempt, refusal_for(otherwise), runner, ports);
             return;
         }
         let keyed = self.calls.get(&id).is_some_and(|call| call.keyed.is_some());
@@ -96,7 +96,7 @@
         } else {
             otherwise
         };
-        self.refuse(id, plain(code), gate, ports);
+        self.refuse(id, refusal_for(code), runner, ports);
     }
 
     pub(super) fn pick(&mut self, now: Now, id: CallId, ports: &Ports<'_, '_>) -> Option<Target> {
@@ -115,15 +115,21 @@
         &mut self,
         now: Now,
         attempt: AttemptId,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         if self.is_unreachable(attempt, ports) {
-            self.retry(now, attempt, plain(ResultCode::NodeStopping), gate, ports);
+            self.retry(
+                now,
+                attempt,
+                refusal_for(ResultCode::NodeStopping),
+                runner,
+                ports,
+            );
             return;
         }
         let lent = self
-            .with_pool(attempt.call, gate, RetryPool::lend)
+            .with_pool(attempt.call, runner, RetryPool::lend)
             .unwrap_or(0);
         let Some(call) = self.calls.get_mut(&attempt.call) else {
             return;
@@ -148,11 +154,11 @@
             body: call.body.to_vec(),
         };
         if let Some(link) = call.parent
-            && let Some(parent) = gate.parent_by_attempt(link.attempt)
+            && let Some(parent) = runner.parent_by_attempt(link.attempt)
         {
-            parent.children.sent(link.content);
+            parent.children.mark_sent(link.content);
         }
-        self.router.started(now.instant, &target);
+        self.router.on_started(now.instant, &target);
         ports.send(target.node, CallMessage::Dispatch(Box::new(dispatch)));
     }
 
@@ -176,25 +182,25 @@
         now: Now,
         failed: AttemptId,
         refusal: Refusal,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let allowed = match retry::kind(refusal.code) {
             Retry::Never => false,
-            Retry::Reroute => self.take_reroute(failed.call) || self.spend(failed.call, gate),
-            Retry::Budgeted => self.spend(failed.call, gate),
+            Retry::Reroute => self.take_reroute(failed.call) || self.spend(failed.call, runner),
+            Retry::Budgeted => self.spend(failed.call, runner),
         };
         if allowed {
-            ports.act(Action::Observe(Observation::Retried));
+            ports.emit(Action::Observe(Observation::Retried));
             let keyed = self
                 .calls
                 .get(&failed.call)
                 .is_some_and(|call| call.keyed.is_some());
             let refused = Some(failed).filter(|_| keyed);
-            self.begin_attempt(now, failed.call, refused, refusal.code, gate, ports);
+            self.begin_attempt(now, failed.call, refused, refusal.code, runner, ports);
             return;
         }
-        self.refuse_and_release(now, failed, refusal, gate, ports);
+        self.refuse_and_release(now, failed, refusal, runner, ports);
     }
 
     pub(super) fn take_reroute(&mut self, id: CallId) -> bool {
--- a/crates/rillgap-core/src/call/sender/claims.rs
+++ b/crates/rillgap-core/src/call/sender/claims.rs
@@ -2,10 +2,10 @@
 
 use bytes::Bytes;
 
-use super::{Sender, plain};
+use super::{Sender, refusal_for};
 use crate::action::{Action, Observation};
 use crate::admission::RootRequest;
-use crate::call::gate::Gate;
+use crate::call::attempt_runner::AttemptRunner;
 use crate::call::outgoing::Phase;
 use crate::call::ports::Ports;
 use crate::claim::{ClaimEvent, ClaimResult, RememberedAnswer};
@@ -20,7 +20,7 @@
         &mut self,
         now: Now,
         event: ClaimEvent,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let id = event.attempt.call;
@@ -43,10 +43,10 @@
                 if let Some(pool) = self.pools.get_mut(&id) {
                     pool.limit(budget);
                 }
-                self.on_granted(now, event.attempt, gate, ports);
+                self.on_granted(now, event.attempt, runner, ports);
             }
             ClaimResult::Completed(answer) => self.answer_remembered(now, id, answer, ports),
-            ClaimResult::Refused(refusal) => self.refuse(id, refusal, gate, ports),
+            ClaimResult::Refused(refusal) => self.refuse(id, refusal, runner, ports),
         }
     }
 
@@ -55,7 +55,7 @@
         &mut self,
         now: Now,
         attempt: AttemptId,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let Some(call) = self.calls.get(&attempt.call) else {
@@ -69,8 +69,8 @@
         };
         let admitted = self.entry_admission.admit(now.instant, request);
         match admitted {
-            Ok(()) => self.dispatch(now, attempt, gate, ports),
-            Err(refusal) => self.refuse_and_release(now, attempt, refusal, gate, ports),
+            Ok(()) => self.dispatch(now, attempt, runner, ports),
+            Err(refusal) => self.refuse_and_release(now, attempt, refusal, runner, ports),
         }
     }
 
@@ -86,16 +86,16 @@
         };
         let inbound = call.inbound;
         let latency = now.instant.saturating_since(call.arrived);
-        ports.act(Action::AnswerHead {
+        ports.emit(Action::AnswerHead {
             inbound,
             head: answer.head,
         });
-        ports.act(Action::AnswerBody {
+        ports.emit(Action::AnswerBody {
             inbound,
             chunk: Bytes::from(answer.body),
         });
-        ports.act(Action::AnswerEnd { inbound });
-        ports.act(Action::Observe(Observation::Answered { latency }));
+        ports.emit(Action::AnswerEnd { inbound });
+        ports.emit(Action::Observe(Observation::Answered { latency }));
     }
 
     pub(super) fn release_claim(
@@ -139,18 +139,18 @@
         now: Now,
         attempt: AttemptId,
         refusal: Refusal,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let context = &*ports.context;
         let holds = context.claims.holds(now, attempt, &*context.membership);
         let unproved = self.is_keyed(attempt) && !holds;
         let told = if unproved && refusal.code.outcome() == Outcome::NotRun {
-            plain(ResultCode::InProgress)
+            refusal_for(ResultCode::InProgress)
         } else {
             refusal
         };
         self.release_claim(now, attempt, ports);
-        self.refuse(attempt.call, told, gate, ports);
+        self.refuse(attempt.call, told, runner, ports);
     }
 }
--- a/crates/rillgap-core/src/call/sender/ending.rs
+++ b/crates/rillgap-core/src/call/sender/completion.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use super::{Sender, plain};
+use super::{Sender, refusal_for};
 use crate::action::Action;
+use crate::call::attempt_runner::AttemptRunner;
 use crate::call::entry;
-use crate::call::gate::Gate;
 use crate::call::outgoing::{OutgoingCall, Phase};
 use crate::call::ports::Ports;
 use crate::code::ResultCode;
@@ -17,11 +17,11 @@
 use crate::time::Now;
 
 /// How long the fate of a keyed attempt is awaited after its caller was answered.
-const ORPHAN_WAIT: Duration = Duration::from_secs(10);
+const ORPHAN_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Sender {
     /// Cancels a call whose caller went away.
-    pub fn on_gone(&mut self, now: Now, inbound: InboundId, ports: &mut Ports<'_, '_>) {
+    pub fn on_caller_gone(&mut self, now: Now, inbound: InboundId, ports: &mut Ports<'_, '_>) {
         if let Some(id) = self.by_inbound.get(&inbound).copied() {
             self.cancel(now, id, ports);
         }
@@ -40,14 +40,14 @@
                 continue;
             };
             self.cancel(now, id, ports);
-            ports.act(Action::AnswerAbort { inbound });
+            ports.emit(Action::AnswerAbort { inbound });
         }
     }
 
     /// Answers the calls whose deadline has passed.
-    pub fn expire(&mut self, now: Now, gate: &mut Gate, ports: &mut Ports<'_, '_>) {
+    pub fn expire(&mut self, now: Now, runner: &mut AttemptRunner, ports: &mut Ports<'_, '_>) {
         while let Some(id) = self.deadlines.pop_passed(now.instant) {
-            self.expire_call(now, id, gate, ports);
+            self.expire_call(now, id, runner, ports);
         }
     }
 
@@ -55,7 +55,7 @@
         &mut self,
         now: Now,
         id: CallId,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let Some(call) = self.calls.get(&id) else {
@@ -70,18 +70,18 @@
                 self.remove(id);
             }
             Some(Phase::Answering { .. }) => {
-                ports.act(Action::AnswerAbort { inbound });
+                ports.emit(Action::AnswerAbort { inbound });
                 self.cancel(now, id, ports);
             }
             Some(Phase::Waiting) => {
-                entry::refuse(inbound, plain(ResultCode::AnswerTimeout), ports);
+                entry::refuse(inbound, refusal_for(ResultCode::AnswerTimeout), ports);
                 self.cancel(now, id, ports);
             }
             Some(Phase::Claiming) => {
-                entry::refuse(inbound, plain(ResultCode::NoQuorum), ports);
+                entry::refuse(inbound, refusal_for(ResultCode::NoQuorum), ports);
                 self.cancel(now, id, ports);
             }
-            None => self.refuse(id, plain(ResultCode::DeadlineUnmet), gate, ports),
+            None => self.refuse(id, refusal_for(ResultCode::DeadlineUnmet), runner, ports),
         }
     }
 
@@ -89,12 +89,12 @@
         &mut self,
         id: CallId,
         refusal: Refusal,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
-        self.mark_unsent_child(id, gate);
+        self.mark_unsent_child(id, runner);
         if let Some(call) = self.remove(id) {
-            entry::refuse(call.inbound, call.truthful(refusal), ports);
+            entry::refuse(call.inbound, call.reported_refusal(refusal), ports);
         }
     }
 
@@ -118,33 +118,33 @@
         }
         if !holds_claim {
             if let Some(call) = self.remove(id) {
-                self.settle_target(now, &call, TargetResult::Failed);
+                self.report_removed_call(now, &call, TargetResult::Failed);
             }
             return;
         }
-        self.await_fate(now, id);
+        self.await_outcome(now, id);
     }
 
-    pub(super) fn await_fate(&mut self, now: Now, id: CallId) {
+    pub(super) fn await_outcome(&mut self, now: Now, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
         self.deadlines.remove(call.deadline, id);
         self.by_inbound.remove(&call.inbound);
-        call.deadline = now.instant + ORPHAN_WAIT;
+        call.deadline = now.instant + ORPHAN_TIMEOUT;
         self.deadlines.insert(call.deadline, id);
     }
 
     pub(super) fn remove(&mut self, id: CallId) -> Option<OutgoingCall> {
         let call = self.calls.remove(&id)?;
         self.pools.remove(&id);
-        self.forget_child(&call);
+        self.remove_child(&call);
         self.by_inbound.remove(&call.inbound);
         self.deadlines.remove(call.deadline, id);
         Some(call)
     }
 
-    fn forget_child(&mut self, call: &OutgoingCall) {
+    fn remove_child(&mut self, call: &OutgoingCall) {
         let Some(link) = call.parent else {
             return;
         };
--- a/crates/rillgap-core/src/call/sender/mod.rs
+++ b/crates/rillgap-core/src/call/sender/mod.rs
@@ -6,11 +6,11 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 
 use crate::admission::{EntryAdmission, RetryBudget};
+use crate::call::attempt_runner::AttemptRunner;
 use crate::call::deadlines::Deadlines;
-use crate::call::gate::Gate;
 use crate::call::outgoing::OutgoingCall;
-use crate::call::pool::RetryPool;
 use crate::call::ports::Ports;
+use crate::call::retry_pool::RetryPool;
 use crate::code::ResultCode;
 use crate::event::InboundId;
 use crate::id::{AttemptId, CallId};
@@ -23,7 +23,7 @@
 mod attempts;
 mod budget;
 mod claims;
-mod ending;
+mod completion;
 
 /// Mixed into the node's seed, so that identifiers share no random numbers with other parts.
 const IDENTIFIER_SEED_SALT: u64 = 0x726f_6f74_7321;
@@ -132,7 +132,7 @@
         &mut self,
         now: Now,
         call: OutgoingCall,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let id = call.id;
@@ -143,7 +143,7 @@
         }
         self.deadlines.insert(call.deadline, id);
         self.calls.insert(id, call);
-        self.begin_attempt(now, id, None, ResultCode::NoBackEnd, gate, ports);
+        self.begin_attempt(now, id, None, ResultCode::NoBackEnd, runner, ports);
     }
 }
 
@@ -152,7 +152,7 @@
     policy.map_or(0, |policy| policy.bounds.retry_percent)
 }
 
-const fn plain(code: ResultCode) -> Refusal {
+const fn refusal_for(code: ResultCode) -> Refusal {
     Refusal {
         code,
         retry_after: RetryAfter::DEFAULT,
--- a/crates/rillgap-core/src/fingerprint.rs
+++ b/crates/rillgap-core/src/fingerprint.rs
@@ -9,7 +9,7 @@
 use crate::id::Fingerprint;
 
 /// Bytes of the digest that are kept. Two among a million requests are alike with a chance of 10^-27.
-const LENGTH: usize = 16;
+const FINGERPRINT_BYTES: usize = 16;
 
 /// Returns the fingerprint of the parts of a request, in this order.
 pub fn fingerprint(parts: &[&[u8]]) -> Fingerprint {
@@ -19,7 +19,7 @@
         hasher.update(part);
     }
     let digest = hasher.finalize();
-    let mut kept = [0; LENGTH];
-    kept.copy_from_slice(&digest[..LENGTH]);
+    let mut kept = [0; FINGERPRINT_BYTES];
+    kept.copy_from_slice(&digest[..FINGERPRINT_BYTES]);
     Fingerprint(u128::from_be_bytes(kept))
 }
--- a/crates/rillgap-core/src/node.rs
+++ b/crates/rillgap-core/src/node.rs
@@ -142,7 +142,7 @@
     /// Handles one event; actions for the driver are appended to `out`.
     pub fn handle(&mut self, now: Now, event: Event, out: &mut Outbox) {
         // A host that was frozen must notice before it acts on what had piled up meanwhile.
-        self.poll_control(now, out);
+        self.poll_control_plane(now, out);
         self.configuration.note_time(now);
         match event {
             Event::Peer {
@@ -159,7 +159,7 @@
                 call_path.handle(now, event, &mut context);
             }
         }
-        self.settle(now, out);
+        self.poll_subsystems(now, out);
     }
 
     /// Returns when [`Event::Wake`] is due next, if at all.
@@ -288,21 +288,21 @@
         call_path.begin_stop(now, &mut context);
     }
 
-    fn poll_control(&mut self, now: Now, out: &mut Outbox) {
+    fn poll_control_plane(&mut self, now: Now, out: &mut Outbox) {
         self.membership.poll(now, out);
         self.configuration.poll(now, &self.membership, out);
     }
 
     /// Lets every subsystem do what is due and passes on what one has for another.
-    fn settle(&mut self, now: Now, out: &mut Outbox) {
-        self.poll_control(now, out);
+    fn poll_subsystems(&mut self, now: Now, out: &mut Outbox) {
+        self.poll_control_plane(now, out);
         self.membership
             .set_policy_version(self.configuration.version());
         self.poll_claims(now, out);
         self.report_versions(out);
         self.report_serving(now, out);
         let (call_path, mut context) = self.split(out);
-        call_path.settle(now, &mut context);
+        call_path.poll(now, &mut context);
         self.leave_when_idle(now, out);
     }
 
--- a/crates/rillgap-core/src/policy/validate.rs
+++ b/crates/rillgap-core/src/policy/validate.rs
@@ -21,14 +21,14 @@
 /// Longest method of a route, in bytes.
 pub const MAX_METHOD_BYTES: usize = 16;
 
-const EXTRA_ATTEMPTS: RangeInclusive<u64> = 0..=32;
-const CALLS_PER_REQUEST: RangeInclusive<u64> = 1..=64;
-const KEY_LIFE_SECONDS: RangeInclusive<u64> = 10..=86_400;
-const RETRY_PERCENT: RangeInclusive<u64> = 0..=100;
-const SLOTS: RangeInclusive<u64> = 1..=65_535;
-const CONNECTIONS: RangeInclusive<u64> = 1..=65_535;
-const QUEUE_MILLIS: RangeInclusive<u64> = 1..=60_000;
-const DEADLINE_MILLIS: RangeInclusive<u64> = 1..=3_600_000;
+const EXTRA_ATTEMPTS_RANGE: RangeInclusive<u64> = 0..=32;
+const CALLS_PER_REQUEST_RANGE: RangeInclusive<u64> = 1..=64;
+const KEY_LIFE_SECONDS_RANGE: RangeInclusive<u64> = 10..=86_400;
+const RETRY_PERCENT_RANGE: RangeInclusive<u64> = 0..=100;
+const SLOTS_RANGE: RangeInclusive<u64> = 1..=65_535;
+const CONNECTIONS_RANGE: RangeInclusive<u64> = 1..=65_535;
+const QUEUE_MILLIS_RANGE: RangeInclusive<u64> = 1..=60_000;
+const DEADLINE_MILLIS_RANGE: RangeInclusive<u64> = 1..=3_600_000;
 
 /// Most violations that are collected from one policy.
 const MAX_VIOLATIONS: usize = 20;
@@ -57,13 +57,13 @@
 
 /// A policy that must not come into force.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{}", join(violations))]
+#[error("{}", join_violations(violations))]
 pub struct InvalidPolicy {
     /// What is wrong, in the order of the policy; at least one, at most twenty.
     pub violations: Vec<Violation>,
 }
 
-fn join(violations: &[Violation]) -> String {
+fn join_violations(violations: &[Violation]) -> String {
     let lines: Vec<String> = violations.iter().map(Violation::to_string).collect();
     lines.join("; ")
 }
@@ -71,43 +71,43 @@
 impl Policy {
     /// Checks names, ranges and references.
     pub fn validate(&self) -> Result<(), InvalidPolicy> {
-        let mut check = Check::default();
-        check.bounds(&self.bounds);
-        check.count("service", self.services.len());
-        check.count("route", self.routes.len());
-        check.count("back-end", self.back_ends.len());
-        if check.violations.is_empty() {
-            self.validate_entries(&mut check);
+        let mut validator = Validator::default();
+        validator.bounds(&self.bounds);
+        validator.count("service", self.services.len());
+        validator.count("route", self.routes.len());
+        validator.count("back-end", self.back_ends.len());
+        if validator.violations.is_empty() {
+            self.validate_entries(&mut validator);
         }
-        check.finish()
+        validator.finish()
     }
 
-    fn validate_entries(&self, check: &mut Check) {
+    fn validate_entries(&self, validator: &mut Validator) {
         let mut services = BTreeSet::new();
         for service in &self.services {
-            check.service(service, &mut services);
+            validator.service(service, &mut services);
         }
         let mut matches = BTreeSet::new();
         for route in &self.routes {
-            check.route(route, &self.bounds, &services);
-            check.unique_match(route, &mut matches);
+            validator.route(route, &self.bounds, &services);
+            validator.unique_match(route, &mut matches);
         }
         let mut names = BTreeSet::new();
         let mut nodes = BTreeSet::new();
         for back_end in &self.back_ends {
-            check.back_end(back_end, &services);
-            check.unique_back_end(back_end, &mut names, &mut nodes);
+            validator.back_end(back_end, &services);
+            validator.unique_back_end(back_end, &mut names, &mut nodes);
         }
     }
 }
 
 /// Collects violations.
 #[derive(Default)]
-struct Check {
+struct Validator {
     violations: Vec<Violation>,
 }
 
-impl Check {
+impl Validator {
     fn finish(self) -> Result<(), InvalidPolicy> {
         if self.violations.is_empty() {
             return Ok(());
@@ -121,19 +121,23 @@
         self.range(
             "bounds.extra-attempts",
             bounds.extra_attempts,
-            EXTRA_ATTEMPTS,
+            EXTRA_ATTEMPTS_RANGE,
         );
         self.range(
             "bounds.calls-per-request",
             bounds.calls_per_request,
-            CALLS_PER_REQUEST,
+            CALLS_PER_REQUEST_RANGE,
         );
         self.range(
             "bounds.key-life-seconds",
             bounds.key_life_seconds,
-            KEY_LIFE_SECONDS,
+            KEY_LIFE_SECONDS_RANGE,
+        );
+        self.range(
+            "bounds.retry-percent",
+            bounds.retry_percent,
+            RETRY_PERCENT_RANGE,
         );
-        self.range("bounds.retry-percent", bounds.retry_percent, RETRY_PERCENT);
     }
 
     fn service<'a>(
@@ -146,9 +150,13 @@
         if !services.insert(&service.name) {
             self.violation(&key("name"), service.name.as_str(), "a name used once");
         }
-        self.range(&key("slots"), service.slots, SLOTS);
-        self.range(&key("connections"), service.connections, CONNECTIONS);
-        self.range(&key("queue-millis"), service.queue_millis, QUEUE_MILLIS);
+        self.range(&key("slots"), service.slots, SLOTS_RANGE);
+        self.range(&key("connections"), service.connections, CONNECTIONS_RANGE);
+        self.range(
+            &key("queue-millis"),
+            service.queue_millis,
+            QUEUE_MILLIS_RANGE,
+        );
     }
 
     fn route(&mut self, route: &RoutePolicy, bounds: &Bounds, services: &BTreeSet<&ServiceName>) {
@@ -166,7 +174,7 @@
         self.range(
             &key("deadline-millis"),
             route.deadline_millis,
-            DEADLINE_MILLIS,
+            DEADLINE_MILLIS_RANGE,
         );
         if !route.repeatable && route.deadline() > bounds.key_life() {
             let allowed = format!(
--- a/crates/rillgap-core/src/routing/health.rs
+++ b/crates/rillgap-core/src/routing/health.rs
@@ -5,17 +5,17 @@
 use crate::time::Instant;
 
 /// Failures in a row after which a back end is left out.
-const FAILURES_IN_A_ROW: u32 = 5;
+const MAX_CONSECUTIVE_FAILURES: u32 = 5;
 /// Time for which a back end is left out at first.
-const FIRST_EJECTION: Duration = Duration::from_millis(250);
+const MIN_EJECTION_TIME: Duration = Duration::from_millis(250);
 /// Longest time for which a back end is left out before it is probed.
-const LONGEST_EJECTION: Duration = Duration::from_secs(2);
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(2);
 /// Time after which a probe without a result is taken for lost.
-const PROBE_PATIENCE: Duration = Duration::from_secs(2);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time in which a returning back end comes back to its full share.
-const RAMP: Duration = Duration::from_secs(1);
+const SLOW_START_TIME: Duration = Duration::from_secs(1);
 /// Share that a returning back end gets at first.
-const RAMP_FLOOR: f64 = 0.1;
+const MIN_SLOW_START_FRACTION: f64 = 0.1;
 
 /// Whether a back end may be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,15 +35,15 @@
     ejections: u32,
     ejected_until: Option<Instant>,
     probe_until: Option<Instant>,
-    returned_at: Option<Instant>,
+    slow_start_at: Option<Instant>,
     is_unreachable: bool,
 }
 
 impl Health {
     /// Creates the health of a back end that has just come into service.
-    pub fn returning(now: Instant) -> Self {
+    pub fn slow_starting(now: Instant) -> Self {
         Self {
-            returned_at: Some(now),
+            slow_start_at: Some(now),
             ..Self::default()
         }
     }
@@ -58,46 +58,47 @@
         }
     }
 
-    /// Returns the share of its load that the back end may take, from [`RAMP_FLOOR`] to one.
-    pub fn ramp(&self, now: Instant) -> f64 {
-        let Some(returned_at) = self.returned_at else {
+    /// Returns the share of its load that the back end may take, from [`MIN_SLOW_START_FRACTION`] to one.
+    pub fn slow_start_fraction(&self, now: Instant) -> f64 {
+        let Some(slow_start_at) = self.slow_start_at else {
             return 1.0;
         };
-        let since = now.saturating_since(returned_at);
-        (since.as_micros() as f64 / RAMP.as_micros() as f64).clamp(RAMP_FLOOR, 1.0)
+        let since = now.saturating_since(slow_start_at);
+        (since.as_micros() as f64 / SLOW_START_TIME.as_micros() as f64)
+            .clamp(MIN_SLOW_START_FRACTION, 1.0)
     }
 
     /// Tells that a call was sent; on an ejected back end it is the probe.
-    pub fn started(&mut self, now: Instant) {
+    pub fn on_started(&mut self, now: Instant) {
         if self.ejected_until.is_some() {
-            self.probe_until = Some(now + PROBE_PATIENCE);
+            self.probe_until = Some(now + PROBE_TIMEOUT);
         }
     }
 
     /// Tells that the back end answered, be it with a refusal.
-    pub fn succeeded(&mut self, now: Instant) {
+    pub fn on_success(&mut self, now: Instant) {
         self.failures = 0;
         self.is_unreachable = false;
         if self.ejected_until.take().is_some() {
             self.probe_until = None;
-            self.returned_at = Some(now);
+            self.slow_start_at = Some(now);
         }
-        if self.ramp(now) >= 1.0 {
+        if self.slow_start_fraction(now) >= 1.0 {
             self.ejections = 0;
         }
     }
 
     /// Tells that a call failed.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn on_failure(&mut self, now: Instant) {
         self.failures = self.failures.saturating_add(1);
         let probing = self.ejected_until.is_some();
-        if probing || self.failures >= FAILURES_IN_A_ROW {
+        if probing || self.failures >= MAX_CONSECUTIVE_FAILURES {
             self.eject(now);
         }
     }
 
     /// Tells that the back end cannot be reached: one refused connection is proof enough.
-    pub fn unreachable(&mut self, now: Instant) {
+    pub fn on_unreachable(&mut self, now: Instant) {
         self.is_unreachable = true;
         self.eject(now);
     }
@@ -109,7 +110,7 @@
 
     fn eject(&mut self, now: Instant) {
         let factor = 1_u32 << self.ejections.min(8);
-        let duration = (FIRST_EJECTION * factor).min(LONGEST_EJECTION);
+        let duration = (MIN_EJECTION_TIME * factor).min(MAX_EJECTION_TIME);
         self.ejections += 1;
         self.failures = 0;
         self.probe_until = None;
--- a/crates/rillgap-core/src/routing/router.rs
+++ b/crates/rillgap-core/src/routing/router.rs
@@ -16,19 +16,19 @@
 use crate::view::Member;
 
 /// Load of the own zone, as a share of its limit, from which other zones are considered.
-const SPILL_UTILIZATION: f64 = 0.7;
+const SPILLOVER_UTILIZATION: f64 = 0.7;
 /// Load that a back end of another zone must be below the own zone's best to be chosen.
-const ZONE_ADVANTAGE: f64 = 0.1;
+const CROSS_ZONE_MARGIN: f64 = 0.1;
 /// Bounds of a back end's latency relative to the fastest, as a factor on its load.
-const LATENCY_FACTOR: (f64, f64) = (1.0, 8.0);
+const LATENCY_FACTOR_RANGE: (f64, f64) = (1.0, 8.0);
 /// Time after the router's first choice from which a new back end counts as returning.
-const SETTLED: Duration = Duration::from_secs(5);
+const WARM_UP_TIME: Duration = Duration::from_secs(5);
 
 /// A candidate with what routing weighs.
 #[derive(Clone, Debug)]
 struct Candidate {
     target: Target,
-    local: bool,
+    in_own_zone: bool,
     availability: Availability,
     is_unreachable: bool,
     cost: f64,
@@ -40,7 +40,7 @@
 pub struct Router {
     random: ChaCha8Rng,
     targets: BTreeMap<BackEndName, TargetState>,
-    first_choice: Option<Instant>,
+    first_pick_at: Option<Instant>,
 }
 
 impl Default for Router {
@@ -55,7 +55,7 @@
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             targets: BTreeMap::new(),
-            first_choice: None,
+            first_pick_at: None,
         }
     }
 
@@ -67,33 +67,33 @@
         service: &ServiceName,
         excluded: &[BackEndName],
     ) -> Option<Target> {
-        let first_choice = *self.first_choice.get_or_insert(now);
-        let settled = now.saturating_since(first_choice) >= SETTLED;
-        let serving = self.serving(now, candidates, service, excluded, settled);
-        let usable = usable(serving);
+        let first_pick_at = *self.first_pick_at.get_or_insert(now);
+        let is_warmed_up = now.saturating_since(first_pick_at) >= WARM_UP_TIME;
+        let serving = self.serving(now, candidates, service, excluded, is_warmed_up);
+        let usable = without_ejected(serving);
         self.choose(usable)
     }
 
     /// Tells that an attempt was sent to a target.
-    pub fn started(&mut self, now: Instant, target: &Target) {
-        self.state(target).started(now);
+    pub fn on_started(&mut self, now: Instant, target: &Target) {
+        self.state(target).on_started(now);
     }
 
     /// Tells that an attempt at a target has ended after `latency`.
-    pub fn finished(
+    pub fn on_finished(
         &mut self,
         now: Instant,
         target: &Target,
         latency: Duration,
         result: TargetResult,
     ) {
-        self.state(target).finished(now, latency, result);
+        self.state(target).on_finished(now, latency, result);
     }
 
     /// Takes in the load that an answer of a target carried.
-    pub fn observe(&mut self, now: Instant, back_end: &BackEndName, load: &LoadReport) {
+    pub fn on_load_report(&mut self, now: Instant, back_end: &BackEndName, load: &LoadReport) {
         if let Some(state) = self.targets.get_mut(back_end) {
-            state.observe(now, load);
+            state.on_load_report(now, load);
         }
     }
 
@@ -110,7 +110,7 @@
         candidates: Candidates<'_>,
         service: &ServiceName,
         excluded: &[BackEndName],
-        settled: bool,
+        is_warmed_up: bool,
     ) -> Vec<Candidate> {
         let mut serving = Vec::new();
         for back_end in candidates.policy.back_ends_of(service) {
@@ -125,7 +125,7 @@
             if excluded.contains(&back_end.name) {
                 continue;
             }
-            let state = self.refresh(now, &back_end.name, member, settled);
+            let state = self.refresh(now, &back_end.name, member, is_warmed_up);
             serving.push(candidate(
                 now,
                 &back_end.name,
@@ -134,7 +134,7 @@
                 state,
             ));
         }
-        weigh_latency(&mut serving, &self.targets);
+        apply_latency_factor(&mut serving, &self.targets);
         serving
     }
 
@@ -144,15 +144,15 @@
         now: Instant,
         name: &BackEndName,
         member: &Member,
-        settled: bool,
+        is_warmed_up: bool,
     ) -> &TargetState {
         let known = self
             .targets
             .get(name)
             .is_some_and(|state| state.incarnation == member.incarnation);
         if !known {
-            let health = if settled {
-                Health::returning(now)
+            let health = if is_warmed_up {
+                Health::slow_starting(now)
             } else {
                 Health::default()
             };
@@ -169,18 +169,19 @@
         {
             return Some(probe.target.clone());
         }
-        let (local, remote): (Vec<_>, Vec<_>) =
-            usable.into_iter().partition(|candidate| candidate.local);
+        let (local, remote): (Vec<_>, Vec<_>) = usable
+            .into_iter()
+            .partition(|candidate| candidate.in_own_zone);
         let local = self.better_of_two(&local);
         if let Some(local) = &local
-            && local.utilization < SPILL_UTILIZATION
-            && local.cost < SPILL_UTILIZATION * 2.0
+            && local.utilization < SPILLOVER_UTILIZATION
+            && local.cost < SPILLOVER_UTILIZATION * 2.0
         {
             return Some(local.target.clone());
         }
         let remote = self.better_of_two(&remote);
         match (local, remote) {
-            (Some(local), Some(remote)) if remote.cost + ZONE_ADVANTAGE < local.cost => {
+            (Some(local), Some(remote)) if remote.cost + CROSS_ZONE_MARGIN < local.cost => {
                 Some(remote.target)
             }
             (Some(local), _) => Some(local.target),
@@ -228,7 +229,7 @@
             address: member.mesh_address,
             back_end: name.clone(),
         },
-        local: member.zone == *zone,
+        in_own_zone: member.zone == *zone,
         availability: state.health.availability(now),
         is_unreachable: state.health.is_unreachable(),
         cost: utilization,
@@ -237,7 +238,10 @@
 }
 
 /// Raises the cost of back ends that answer slower than the fastest.
-fn weigh_latency(candidates: &mut [Candidate], targets: &BTreeMap<BackEndName, TargetState>) {
+fn apply_latency_factor(
+    candidates: &mut [Candidate],
+    targets: &BTreeMap<BackEndName, TargetState>,
+) {
     let latency = |candidate: &Candidate| {
         targets
             .get(&candidate.target.back_end)
@@ -249,8 +253,8 @@
         .filter(|latency| *latency > 0.0)
         .fold(f64::INFINITY, f64::min);
     for candidate in candidates {
-        let (least, most) = LATENCY_FACTOR;
-        let factor = (latency(candidate) / fastest).clamp(least, most);
+        let (min, max) = LATENCY_FACTOR_RANGE;
+        let factor = (latency(candidate) / fastest).clamp(min, max);
         candidate.cost *= factor;
     }
 }
@@ -258,8 +262,8 @@
 /// Leaves out ejected back ends, unless that would leave out more than half of them: then it is
 /// more likely that something else is wrong. Those that cannot be reached are left out as long as
 /// any other is there: they refuse at once, look idle and would draw all calls.
-fn usable(serving: Vec<Candidate>) -> Vec<Candidate> {
-    let serving = reachable(serving);
+fn without_ejected(serving: Vec<Candidate>) -> Vec<Candidate> {
+    let serving = without_unreachable(serving);
     let ejected = serving
         .iter()
         .filter(|candidate| candidate.availability == Availability::Ejected)
@@ -273,7 +277,7 @@
         .collect()
 }
 
-fn reachable(serving: Vec<Candidate>) -> Vec<Candidate> {
+fn without_unreachable(serving: Vec<Candidate>) -> Vec<Candidate> {
     let is_usable = |candidate: &Candidate| {
         !candidate.is_unreachable || candidate.availability == Availability::Probe
     };
--- a/crates/rillgap-core/src/routing/target_state.rs
+++ b/crates/rillgap-core/src/routing/target_state.rs
@@ -9,11 +9,11 @@
 use crate::time::{Instant, micros};
 
 /// Weight of a new latency in the moving mean.
-const LATENCY_WEIGHT: f64 = 0.1;
+const LATENCY_EWMA_WEIGHT: f64 = 0.1;
 /// Time after which a report says nothing any more.
-const REPORT_LIFE: Duration = Duration::from_millis(500);
+const REPORT_TTL: Duration = Duration::from_millis(500);
 /// Limit assumed for a back end that has not reported.
-const UNKNOWN_LIMIT: f64 = 8.0;
+const DEFAULT_LIMIT: f64 = 8.0;
 
 /// A load report with the time at which it came.
 #[derive(Clone, Copy, Debug)]
@@ -55,13 +55,13 @@
     pub fn utilization(&self, now: Instant) -> f64 {
         let own = f64::from(self.outstanding);
         let load = match self.report {
-            Some(report) if now.saturating_since(report.at) < REPORT_LIFE => {
+            Some(report) if now.saturating_since(report.at) < REPORT_TTL => {
                 (report.load + own - f64::from(report.outstanding)).max(own)
             }
             _ => own,
         };
-        let limit = self.report.map_or(UNKNOWN_LIMIT, |report| report.limit);
-        load / limit.max(1.0) / self.health.ramp(now)
+        let limit = self.report.map_or(DEFAULT_LIMIT, |report| report.limit);
+        load / limit.max(1.0) / self.health.slow_start_fraction(now)
     }
 
     /// Returns the mean latency in microseconds, zero if unknown.
@@ -70,32 +70,32 @@
     }
 
     /// Tells that a call was sent.
-    pub fn started(&mut self, now: Instant) {
+    pub fn on_started(&mut self, now: Instant) {
         self.outstanding += 1;
-        self.health.started(now);
+        self.health.on_started(now);
     }
 
     /// Tells that a call has ended.
-    pub fn finished(&mut self, now: Instant, latency: Duration, result: TargetResult) {
+    pub fn on_finished(&mut self, now: Instant, latency: Duration, result: TargetResult) {
         self.outstanding = self.outstanding.saturating_sub(1);
         match result {
             TargetResult::Answered => {
-                self.health.succeeded(now);
-                self.take_latency(latency);
+                self.health.on_success(now);
+                self.record_latency(latency);
             }
-            TargetResult::Refused => self.health.succeeded(now),
-            TargetResult::Unreachable => self.health.unreachable(now),
+            TargetResult::Refused => self.health.on_success(now),
+            TargetResult::Unreachable => self.health.on_unreachable(now),
             TargetResult::Failed => {
-                self.health.failed(now);
+                self.health.on_failure(now);
                 if micros(latency) as f64 > self.latency_micros {
-                    self.take_latency(latency);
+                    self.record_latency(latency);
                 }
             }
         }
     }
 
     /// Takes in a load report.
-    pub fn observe(&mut self, now: Instant, load: &LoadReport) {
+    pub fn on_load_report(&mut self, now: Instant, load: &LoadReport) {
         self.report = Some(Report {
             at: now,
             load: f64::from(load.running + load.queued),
@@ -104,12 +104,12 @@
         });
     }
 
-    fn take_latency(&mut self, latency: Duration) {
+    fn record_latency(&mut self, latency: Duration) {
         let sample = micros(latency) as f64;
         if self.latency_micros == 0.0 {
             self.latency_micros = sample;
         } else {
-            self.latency_micros += LATENCY_WEIGHT * (sample - self.latency_micros);
+            self.latency_micros += LATENCY_EWMA_WEIGHT * (sample - self.latency_micros);
         }
     }
 }
--- a/crates/rillgap-core/tests/call_path.rs
+++ b/crates/rillgap-core/tests/call_path.rs
@@ -14,7 +14,10 @@
 use support::{Cluster, policy};
 
 fn code(cluster: &Cluster, inbound: InboundId) -> Option<ResultCode> {
-    cluster.told(inbound).refusal.map(|refusal| refusal.code)
+    cluster
+        .response(inbound)
+        .refusal
+        .map(|refusal| refusal.code)
 }
 
 fn node_of(cluster: &Cluster, position: usize) -> String {
@@ -39,10 +42,10 @@
     let mut cluster = Cluster::new(&policy());
     let inbound = cluster.call("GET", "/page", None);
     cluster.answer(0, "page");
-    let told = cluster.told(inbound);
-    expect_that!(told.status, some(eq(200)));
-    expect_that!(told.body, eq(b"page"));
-    expect_true!(told.whole);
+    let response = cluster.response(inbound);
+    expect_that!(response.status, some(eq(200)));
+    expect_that!(response.body, eq(b"page"));
+    expect_true!(response.whole);
 }
 
 #[gtest]
@@ -51,12 +54,12 @@
     let inbound = cluster.call("GET", "/page", None);
     let token = cluster.calls[0].1.token;
     let node = node_of(&cluster, 0);
-    let child = cluster.child(&node, Some(token), "/fare");
+    let child = cluster.child_call(&node, Some(token), "/fare");
     expect_that!(node_of(&cluster, 1), eq("node-deep-1"));
     cluster.answer(1, "fare");
-    expect_true!(cluster.told(child).whole);
+    expect_true!(cluster.response(child).whole);
     cluster.answer(0, "page");
-    expect_true!(cluster.told(inbound).whole);
+    expect_true!(cluster.response(inbound).whole);
 }
 
 #[gtest]
@@ -65,10 +68,10 @@
     cluster.call("GET", "/page", None);
     let token = cluster.calls[0].1.token;
     let node = node_of(&cluster, 0);
-    let missing = cluster.child(&node, None, "/fare");
-    let unknown = cluster.child(&node, Some(CallToken(7)), "/fare");
+    let missing = cluster.child_call(&node, None, "/fare");
+    let unknown = cluster.child_call(&node, Some(CallToken(7)), "/fare");
     cluster.answer(0, "page");
-    let stale = cluster.child(&node, Some(token), "/fare");
+    let stale = cluster.child_call(&node, Some(token), "/fare");
     for inbound in [missing, unknown, stale] {
         expect_that!(code(&cluster, inbound), some(eq(ResultCode::TokenInvalid)));
     }
@@ -84,7 +87,7 @@
     let token = cluster.calls[0].1.token;
     let node = node_of(&cluster, 0);
     let children: Vec<InboundId> = (0..20)
-        .map(|n| cluster.child(&node, Some(token), &format!("/fare?try={n}")))
+        .map(|n| cluster.child_call(&node, Some(token), &format!("/fare?try={n}")))
         .collect();
     let refused =
         |inbound: &&InboundId| code(&cluster, **inbound) == Some(ResultCode::RetryBudgetSpent);
@@ -101,7 +104,7 @@
     let token = cluster.calls[0].1.token;
     let node = node_of(&cluster, 0);
     let children: Vec<InboundId> = (0..bound + 5)
-        .map(|n| cluster.child(&node, Some(token), &format!("/fare/{n}")))
+        .map(|n| cluster.child_call(&node, Some(token), &format!("/fare/{n}")))
         .collect();
     let refused =
         |inbound: &&InboundId| code(&cluster, **inbound) == Some(ResultCode::CallBoundExceeded);
@@ -118,7 +121,7 @@
     cluster.event(&first, Event::BackEndFailed { attempt, failure });
     expect_that!(node_of(&cluster, 0), not(eq(&first)));
     cluster.answer(0, "page");
-    expect_true!(cluster.told(inbound).whole);
+    expect_true!(cluster.response(inbound).whole);
 }
 
 #[gtest]
@@ -136,8 +139,8 @@
     cluster.event(&node, Event::BackEndHead { attempt, head });
     cluster.event(&node, Event::BackEndBody { attempt, chunk });
     cluster.event(&node, Event::BackEndFailed { attempt, failure });
-    expect_true!(cluster.told(inbound).broken);
-    expect_false!(cluster.told(inbound).whole);
+    expect_true!(cluster.response(inbound).broken);
+    expect_false!(cluster.response(inbound).whole);
 }
 
 #[gtest]
@@ -157,7 +160,7 @@
     let key = fresh_key(&cluster);
     let with = cluster.call("POST", "/bookings", Some(key));
     cluster.answer(0, "booked");
-    expect_true!(cluster.told(with).whole);
+    expect_true!(cluster.response(with).whole);
 }
 
 #[gtest]
@@ -202,7 +205,7 @@
     cluster.event("node-front-1", Event::Stop);
     let later = cluster.call("GET", "/page", None);
     cluster.answer(0, "page");
-    expect_true!(cluster.told(running).whole);
+    expect_true!(cluster.response(running).whole);
     expect_that!(code(&cluster, later), some(eq(ResultCode::NodeStopping)));
 }
 
@@ -224,6 +227,6 @@
         let attempt = cluster.calls.remove(0).1.attempt;
         cluster.event(&node, Event::BackEndFailed { attempt, failure });
     }
-    let told = code(&cluster, inbound).map(ResultCode::outcome);
-    expect_that!(told, some(eq(Outcome::Unknown)));
+    let outcome = code(&cluster, inbound).map(ResultCode::outcome);
+    expect_that!(outcome, some(eq(Outcome::Unknown)));
 }
--- a/crates/rillgap-core/tests/routing_choice.rs
+++ b/crates/rillgap-core/tests/routing_choice.rs
@@ -23,14 +23,14 @@
 }
 
 /// `takst` with `per_zone` back ends in each of three zones; this node is in `hall-a`.
-struct World {
+struct Deployment {
     policy: Policy,
     view: View,
     zone: ZoneName,
     service: ServiceName,
 }
 
-impl World {
+impl Deployment {
     fn new(per_zone: usize) -> Self {
         let service = ServiceName::new("takst");
         let mut policy = Policy::default();
@@ -81,12 +81,12 @@
     }
 
     /// Sends `calls` one after another and counts them by back end.
-    fn spread(&self, router: &mut Router, now: Instant, calls: u32) -> BTreeMap<String, u32> {
+    fn count_picks(&self, router: &mut Router, now: Instant, calls: u32) -> BTreeMap<String, u32> {
         let mut counts = BTreeMap::new();
         for _ in 0..calls {
             let target = self.pick(router, now);
-            router.started(now, &target);
-            router.finished(now, &target, LATENCY, TargetResult::Answered);
+            router.on_started(now, &target);
+            router.on_finished(now, &target, LATENCY, TargetResult::Answered);
             *counts.entry(target.back_end.0).or_default() += 1;
         }
         counts
@@ -95,8 +95,8 @@
     fn fail(&self, router: &mut Router, now: Instant, back_end: &str, times: u32) {
         let target = self.target(back_end);
         for _ in 0..times {
-            router.started(now, &target);
-            router.finished(now, &target, LATENCY, TargetResult::Failed);
+            router.on_started(now, &target);
+            router.on_finished(now, &target, LATENCY, TargetResult::Failed);
         }
     }
 
@@ -122,9 +122,9 @@
 
 #[gtest]
 fn own_zone_is_preferred_while_it_has_room() {
-    let world = World::new(2);
+    let deployment = Deployment::new(2);
     let mut router = Router::new(7);
-    let counts = world.spread(&mut router, at(0), 200);
+    let counts = deployment.count_picks(&mut router, at(0), 200);
     let own: u32 = counts
         .iter()
         .filter(|(name, _)| name.starts_with("hall-a"))
@@ -137,16 +137,21 @@
 
 #[gtest]
 fn load_spills_over_when_the_own_zone_is_full() {
-    let world = World::new(1);
+    let deployment = Deployment::new(1);
     let mut router = Router::new(7);
-    world.spread(&mut router, at(0), 1);
+    deployment.count_picks(&mut router, at(0), 1);
     for zone in ["hall-b-0", "hall-c-0"] {
-        router.started(at(0), &world.target(zone));
-        router.finished(at(0), &world.target(zone), LATENCY, TargetResult::Answered);
-        router.observe(at(0), &BackEndName::new(zone), &report(2, 10));
+        router.on_started(at(0), &deployment.target(zone));
+        router.on_finished(
+            at(0),
+            &deployment.target(zone),
+            LATENCY,
+            TargetResult::Answered,
+        );
+        router.on_load_report(at(0), &BackEndName::new(zone), &report(2, 10));
     }
-    router.observe(at(0), &BackEndName::new("hall-a-0"), &report(10, 10));
-    let counts = world.spread(&mut router, at(1), 100);
+    router.on_load_report(at(0), &BackEndName::new("hall-a-0"), &report(10, 10));
+    let counts = deployment.count_picks(&mut router, at(1), 100);
     expect_that!(counts.get("hall-a-0"), none());
     expect_that!(counts["hall-b-0"], gt(20));
     expect_that!(counts["hall-c-0"], gt(20));
@@ -154,47 +159,54 @@
 
 #[gtest]
 fn leaving_back_end_is_never_chosen() {
-    let mut world = World::new(1);
-    world.policy.back_ends[0].state = BackEndState::Leaving;
-    let counts = world.spread(&mut Router::new(7), at(0), 100);
+    let mut deployment = Deployment::new(1);
+    deployment.policy.back_ends[0].state = BackEndState::Leaving;
+    let counts = deployment.count_picks(&mut Router::new(7), at(0), 100);
     expect_that!(counts.get("hall-a-0"), none());
 }
 
 #[gtest]
 fn failing_back_end_is_left_out_and_probed() {
-    let world = World::new(1);
+    let deployment = Deployment::new(1);
     let mut router = Router::new(7);
-    world.fail(&mut router, at(0), "hall-a-0", 5);
-    expect_that!(world.spread(&mut router, at(1), 50).get("hall-a-0"), none());
-    let probe = world.pick(&mut router, at(300));
+    deployment.fail(&mut router, at(0), "hall-a-0", 5);
+    expect_that!(
+        deployment
+            .count_picks(&mut router, at(1), 50)
+            .get("hall-a-0"),
+        none()
+    );
+    let probe = deployment.pick(&mut router, at(300));
     expect_that!(probe.back_end.as_str(), eq("hall-a-0"));
-    router.started(at(300), &probe);
-    let meanwhile = world.pick(&mut router, at(301));
+    router.on_started(at(300), &probe);
+    let meanwhile = deployment.pick(&mut router, at(301));
     expect_that!(meanwhile.back_end.as_str(), not(eq("hall-a-0")));
-    router.finished(at(310), &probe, LATENCY, TargetResult::Answered);
+    router.on_finished(at(310), &probe, LATENCY, TargetResult::Answered);
     expect_that!(
-        world.spread(&mut router, at(311), 50).get("hall-a-0"),
+        deployment
+            .count_picks(&mut router, at(311), 50)
+            .get("hall-a-0"),
         some(gt(&0))
     );
 }
 
 #[gtest]
 fn failures_everywhere_leave_nobody_out() {
-    let world = World::new(1);
+    let deployment = Deployment::new(1);
     let mut router = Router::new(7);
     for zone in ZONES {
-        world.fail(&mut router, at(0), &format!("{zone}-0"), 5);
+        deployment.fail(&mut router, at(0), &format!("{zone}-0"), 5);
     }
-    world.pick(&mut router, at(1));
+    deployment.pick(&mut router, at(1));
 }
 
 #[gtest]
 fn same_seed_makes_the_same_choices() {
-    let world = World::new(3);
+    let deployment = Deployment::new(3);
     let choices = |seed| {
         let mut router = Router::new(seed);
         (0..50)
-            .map(|now| world.pick(&mut router, at(now)).back_end.0)
+            .map(|now| deployment.pick(&mut router, at(now)).back_end.0)
             .collect::<Vec<_>>()
     };
     expect_that!(choices(3), eq(&choices(3)));
--- a/crates/rillgap-core/tests/support/mod.rs
+++ b/crates/rillgap-core/tests/support/mod.rs
@@ -20,7 +20,7 @@
 
 /// What a caller was told.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct Response {
     pub refusal: Option<Refusal>,
     pub status: Option<u16>,
     pub body: Vec<u8>,
@@ -33,7 +33,7 @@
     pub now: Now,
     pub nodes: BTreeMap<NodeId, Node>,
     pub calls: Vec<(NodeId, BackEndRequest)>,
-    pub told: BTreeMap<InboundId, Told>,
+    pub responses: BTreeMap<InboundId, Response>,
     next_inbound: u64,
     queue: VecDeque<(NodeId, Event)>,
 }
@@ -110,7 +110,7 @@
             now,
             nodes: BTreeMap::new(),
             calls: Vec::new(),
-            told: BTreeMap::new(),
+            responses: BTreeMap::new(),
             next_inbound: 0,
             queue: VecDeque::new(),
         };
@@ -145,7 +145,7 @@
     }
 
     /// Sends a request of the back end beside `node` to the service `deep`.
-    pub fn child(&mut self, node: &str, token: Option<CallToken>, path: &str) -> InboundId {
+    pub fn child_call(&mut self, node: &str, token: Option<CallToken>, path: &str) -> InboundId {
         self.request(
             node,
             Origin::LocalBackEnd { token },
@@ -224,8 +224,10 @@
     }
 
     /// Returns what the caller of a request was told.
-    pub fn told(&self, inbound: InboundId) -> &Told {
-        self.told.get(&inbound).unwrap_or(const { &Told::NOTHING })
+    pub fn response(&self, inbound: InboundId) -> &Response {
+        self.responses
+            .get(&inbound)
+            .unwrap_or(const { &Response::NOTHING })
     }
 
     fn run(&mut self) {
@@ -234,12 +236,12 @@
             let node = self.nodes.get_mut(&id).expect("a known node");
             node.handle(self.now, event, &mut actions);
             for action in actions {
-                self.carry_out(id, action);
+                self.apply_action(id, action);
             }
         }
     }
 
-    fn carry_out(&mut self, from: NodeId, action: Action) {
+    fn apply_action(&mut self, from: NodeId, action: Action) {
         match action {
             Action::Send { to, message, .. } => {
                 let incarnation = Incarnation(1);
@@ -257,26 +259,30 @@
                 self.calls.retain(|(_, request)| request.attempt != attempt);
             }
             Action::Refuse { inbound, refusal } => {
-                self.told.entry(inbound).or_default().refusal = Some(refusal);
+                self.responses.entry(inbound).or_default().refusal = Some(refusal);
             }
             Action::AnswerHead { inbound, head } => {
-                self.told.entry(inbound).or_default().status = Some(head.status);
+                self.responses.entry(inbound).or_default().status = Some(head.status);
             }
             Action::AnswerBody { inbound, chunk } => {
-                self.told
+                self.responses
                     .entry(inbound)
                     .or_default()
                     .body
                     .extend_from_slice(&chunk);
             }
-            Action::AnswerEnd { inbound } => self.told.entry(inbound).or_default().whole = true,
-            Action::AnswerAbort { inbound } => self.told.entry(inbound).or_default().broken = true,
+            Action::AnswerEnd { inbound } => {
+                self.responses.entry(inbound).or_default().whole = true
+            }
+            Action::AnswerAbort { inbound } => {
+                self.responses.entry(inbound).or_default().broken = true
+            }
             _ => {}
         }
     }
 }
 
-impl Told {
+impl Response {
     const NOTHING: Self = Self {
         refusal: None,
         status: None,
