--- a/crates/rillgap-core/src/call/attempt_runner/admission.rs
+++ b/crates/rillgap-core/src/call/attempt_runner/admission.rs
@@ -120,7 +120,7 @@
             entry,
             deadline,
             phase: Phase::Queued,
-            pool: RetryPool::new(dispatch.share),
+            pool: RetryPool::new(dispatch.extra_attempts),
             children: Children::default(),
             recorder: AnswerRecorder::new(dispatch.key.is_some()),
             dispatch,
--- a/crates/rillgap-core/src/call/retry.rs
+++ b/crates/rillgap-core/src/call/retry.rs
@@ -3,7 +3,7 @@
 use crate::code::ResultCode;
 
 /// Most attempts of one call that are moved to another back end without charge.
-pub const MOST_REROUTES: u8 = 3;
+pub const MAX_REROUTES: u8 = 3;
 
 /// Whether and at whose cost another attempt may be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,7 +11,7 @@
     /// Another attempt would fare no better.
     Never,
     /// The attempt met a node that takes nothing and cost no back end any work: it is moved
-    /// without charge, at most [`MOST_REROUTES`] times.
+    /// without charge, at most [`MAX_REROUTES`] times.
     Reroute,
     /// Another attempt is charged to the chain's pool and to the service's retry budget.
     Budgeted,
--- a/crates/rillgap-core/src/call/sender/attempts.rs
+++ b/crates/rillgap-core/src/call/sender/attempts.rs
@@ -149,7 +149,7 @@
             back_end: target.back_end.clone(),
             class: call.class,
             remaining_micros: micros(call.deadline.saturating_since(now.instant)),
-            share: lent,
+            extra_attempts: lent,
             head: call.head.clone(),
             body: call.body.to_vec(),
         };
@@ -207,7 +207,7 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return false;
         };
-        if call.reroutes >= retry::MOST_REROUTES {
+        if call.reroutes >= retry::MAX_REROUTES {
             return false;
         }
         call.reroutes += 1;
--- a/crates/rillgap-core/src/claim/settings.rs
+++ b/crates/rillgap-core/src/claim/settings.rs
@@ -51,7 +51,7 @@
 
 /// Attempts that a key has beyond its first and the extra ones of the policy: those that met a
 /// node that takes nothing are moved without charge.
-pub const UNCHARGED_ATTEMPTS: usize = crate::call::retry::MOST_REROUTES as usize;
+pub const UNCHARGED_ATTEMPTS: usize = crate::call::retry::MAX_REROUTES as usize;
 
 /// Bounds of the policy that concern claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/rillgap-core/src/message.rs
+++ b/crates/rillgap-core/src/message.rs
@@ -54,7 +54,7 @@
     /// Microseconds until the deadline, at the time of sending.
     pub remaining_micros: u64,
     /// Extra attempts that this part of the chain may spend.
-    pub share: u8,
+    pub extra_attempts: u8,
     /// Method, target and headers.
     pub head: RequestHead,
     /// Whole body.
--- a/crates/rillgap-lab/src/sim/drive.rs
+++ b/crates/rillgap-lab/src/sim/drive.rs
@@ -308,7 +308,11 @@
     match message {
         PeerMessage::Call(CallMessage::Dispatch(dispatch)) => format!(
             "dispatch {:?} {} {} share {} key {:?}",
-            dispatch.attempt, dispatch.back_end, dispatch.head.path, dispatch.share, dispatch.key
+            dispatch.attempt,
+            dispatch.back_end,
+            dispatch.head.path,
+            dispatch.extra_attempts,
+            dispatch.key
         ),
         PeerMessage::Call(CallMessage::AnswerBody {
             attempt, sequence, ..
