--- a/crates/rillgap-core/examples/claim_cost.rs
+++ b/crates/rillgap-core/examples/claim_cost.rs
@@ -1,4 +1,4 @@
-//! Measures what choosing a replica group and voting on a claim cost in processor time.
+//! Measures the processor time of selecting a replica group and of voting on a claim.
 //!
 //! `cargo run --release -p rillgap-core --example claim_cost`
 #![allow(
--- a/crates/rillgap-core/examples/fingerprint_cost.rs
+++ b/crates/rillgap-core/examples/fingerprint_cost.rs
@@ -1,4 +1,4 @@
-//! Measures what the fingerprint of a request costs in processor time, by the length of its body.
+//! Measures the processor time of computing the fingerprint of a request, by length of the body.
 //!
 //! `cargo run --release -p rillgap-core --example fingerprint_cost`
 #![allow(
@@ -11,10 +11,10 @@
 use rillgap_core::fingerprint::fingerprint;
 
 const ROUNDS: u32 = 20_000;
-const BODIES: [usize; 4] = [0, 300, 4_096, 65_536];
+const BODY_LENGTHS: [usize; 4] = [0, 300, 4_096, 65_536];
 
 fn main() {
-    for length in BODIES {
+    for length in BODY_LENGTHS {
         let body = vec![b'b'; length];
         let parts: [&[u8]; 5] = [b"r-6xipdid", b"GET", b"/nolo400/917f8b?page=3", b"", &body];
         let begun = std::time::Instant::now();
--- a/crates/rillgap-core/src/action.rs
+++ b/crates/rillgap-core/src/action.rs
@@ -1,4 +1,4 @@
-//! Actions that a node asks its driver to carry out.
+//! Actions that a node requests from its driver.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,34 +12,34 @@
 use crate::request::{AnswerHead, Refusal, RequestHead};
 use crate::store::{StoreRequest, StoreRequestId};
 
-/// Where actions are collected.
+/// List to which a node appends its actions.
 pub type Outbox = Vec<Action>;
 
 /// A request for the local back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackEndRequest {
-    /// Attempt that it serves.
+    /// Attempt to which the request belongs.
     pub attempt: AttemptId,
-    /// Back end that shall run it.
+    /// Back end that is to run the request.
     pub back_end: BackEndName,
-    /// Token that the back end returns with its own calls.
+    /// Token that the back end must send with the calls that it makes for this request.
     pub token: CallToken,
     /// Time until the deadline.
     pub timeout: Duration,
     /// Method, target and headers.
     pub head: RequestHead,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Something that the driver shall do.
+/// An operation for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Refuse an inbound request, at once.
+    /// Refuse an inbound request.
     Refuse {
         /// The request.
         inbound: InboundId,
-        /// What the caller is told.
+        /// Refusal to send to the caller.
         refusal: Refusal,
     },
     /// Begin the answer to an inbound request.
@@ -56,12 +56,12 @@
         /// Next part of the body.
         chunk: Bytes,
     },
-    /// End the answer to an inbound request: it is whole.
+    /// End the answer to an inbound request: it is complete.
     AnswerEnd {
         /// The request.
         inbound: InboundId,
     },
-    /// Break off the answer to an inbound request, so that its caller sees a broken transfer.
+    /// Abort the answer to an inbound request, so that its caller sees a broken transfer.
     AnswerAbort {
         /// The request.
         inbound: InboundId,
@@ -75,9 +75,9 @@
     },
     /// Read more of the local back end's answer.
     ReadBackEnd {
-        /// Attempt whose answer is meant.
+        /// Attempt whose answer is to be read.
         attempt: AttemptId,
-        /// Bytes that may be read in addition.
+        /// Bytes that may be read in addition to earlier grants.
         bytes: u32,
     },
     /// Send a message to a peer; connect first if there is no link.
@@ -91,14 +91,14 @@
     },
     /// Send a request to the platform.
     Store {
-        /// Identifies the reply.
+        /// Identifier that the reply carries.
         request: StoreRequestId,
-        /// What is asked.
+        /// The request.
         body: StoreRequest,
     },
-    /// Give up a request to the platform: its reply is of no use any more.
+    /// Cancel a request to the platform: its reply is no longer needed.
     CancelStore {
-        /// Request.
+        /// Request to cancel.
         request: StoreRequestId,
     },
     /// Reply to an operator.
@@ -108,13 +108,13 @@
         /// The reply.
         reply: OperatorReply,
     },
-    /// Report something worth logging or counting.
+    /// Record an observation in logs or metrics.
     Observe(Observation),
-    /// Nothing is in flight any more after a stop was asked for: end the process.
+    /// End the process: a stop was requested and nothing is in flight any more.
     Exit,
 }
 
-/// Something worth logging or counting.
+/// An occurrence that is recorded in logs or metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
     /// An inbound request was answered in full.
@@ -124,12 +124,12 @@
     },
     /// An inbound request was refused.
     Refused {
-        /// Why.
+        /// Refusal that was sent.
         refusal: Refusal,
     },
     /// An extra attempt was made.
     Retried,
-    /// The node began or ceased to serve requests.
+    /// The node started (true) or stopped (false) serving requests.
     Serving(bool),
     /// A policy came into force.
     PolicyInForce(crate::id::PolicyVersion),
--- a/crates/rillgap-core/src/call/answer_recorder.rs
+++ b/crates/rillgap-core/src/call/answer_recorder.rs
@@ -1,12 +1,12 @@
-//! Records a keyed attempt's answer, so that repeats of its key can be given the same.
+//! Records the answer of a keyed attempt, so that retries with the same key get the same answer.
 
 use crate::claim::RememberedAnswer;
 use crate::request::AnswerHead;
 
-/// Longest body that is recorded, in bytes.
+/// Maximum size of a recorded body, in bytes.
 pub const MAX_REMEMBERED_BODY_BYTES: usize = 2 * 1024;
 
-/// Collects an answer while it passes through, up to [`MAX_REMEMBERED_BODY_BYTES`].
+/// Records an answer while it is forwarded, up to [`MAX_REMEMBERED_BODY_BYTES`].
 #[derive(Debug)]
 pub struct AnswerRecorder {
     answer: Option<RememberedAnswer>,
@@ -14,7 +14,7 @@
 }
 
 impl AnswerRecorder {
-    /// Creates a recorder; without `recording` it keeps nothing.
+    /// Creates a recorder, which records nothing if `recording` is false.
     pub const fn new(recording: bool) -> Self {
         Self {
             answer: None,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Records a part of the body, or gives up if the answer becomes too long.
+    /// Records a part of the body; discards the recorded answer if the body becomes too long.
     pub fn record_body(&mut self, chunk: &[u8]) {
         let Some(answer) = &mut self.answer else {
             return;
@@ -44,7 +44,7 @@
         answer.body.extend_from_slice(chunk);
     }
 
-    /// Returns the whole answer, or `None` if it was too long.
+    /// Returns the recorded answer, or `None` if it was too long or not to be recorded.
     pub fn into_answer(self) -> Option<RememberedAnswer> {
         self.answer
     }
--- a/crates/rillgap-core/src/call/attempt_runner/admission.rs
+++ b/crates/rillgap-core/src/call/attempt_runner/admission.rs
@@ -1,4 +1,4 @@
-//! Takes attempts in and starts them at the back end.
+//! Admits dispatched attempts and starts them at the local back end.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 use crate::time::{Instant, Now};
 
 impl AttemptRunner {
-    /// Takes in an attempt that an entry node dispatched.
+    /// Starts, queues or refuses an attempt that an entry node dispatched.
     pub fn on_dispatch(
         &mut self,
         now: Now,
@@ -85,7 +85,8 @@
         self.refusal_while_closed(now, ports)
     }
 
-    /// Returns why the local back end takes nothing new at the moment, if so.
+    /// Returns the code with which new attempts are refused while the local back end takes none;
+    /// `None` if it takes new attempts.
     pub(super) fn refusal_while_closed(
         &self,
         now: Now,
--- a/crates/rillgap-core/src/call/attempt_runner/answers.rs
+++ b/crates/rillgap-core/src/call/attempt_runner/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the back end, on their way to the entry node.
+//! Forwards answers of the local back end to the entry node.
 
 use bytes::Bytes;
 
@@ -14,14 +14,14 @@
 use crate::time::Now;
 
 impl AttemptRunner {
-    /// Continues the answer of an attempt: its reader has room for more.
+    /// Reads more of an attempt's answer after the entry node has granted credit.
     pub fn on_credit(&mut self, attempt: AttemptId, bytes: u32, ports: &mut Ports<'_, '_>) {
         if self.attempts.contains_key(&attempt) {
             ports.emit(Action::ReadBackEnd { attempt, bytes });
         }
     }
 
-    /// Passes on the head of the back end's answer.
+    /// Forwards the head of the back end's answer.
     pub fn on_head(&mut self, attempt: AttemptId, head: AnswerHead, ports: &mut Ports<'_, '_>) {
         let load = self.admission.load();
         let Some(local) = self.attempts.get_mut(&attempt) else {
@@ -38,7 +38,7 @@
         );
     }
 
-    /// Passes on a part of the back end's answer.
+    /// Forwards a part of the back end's answer.
     pub fn on_body(&mut self, attempt: AttemptId, chunk: Bytes, ports: &mut Ports<'_, '_>) {
         let Some(local) = self.attempts.get_mut(&attempt) else {
             return;
@@ -60,7 +60,7 @@
         );
     }
 
-    /// Ends the back end's answer: it is whole.
+    /// Completes an attempt whose answer has been read to its end.
     pub fn on_end(&mut self, now: Now, attempt: AttemptId, ports: &mut Ports<'_, '_>) {
         let Some((local, load)) = self.finish(now, attempt, Completion::Answered) else {
             return;
@@ -84,7 +84,7 @@
         );
     }
 
-    /// Ends an attempt whose answer broke off.
+    /// Ends an attempt for which the back end gave no complete answer.
     pub fn on_failed(
         &mut self,
         now: Now,
--- a/crates/rillgap-core/src/call/attempt_runner/completion.rs
+++ b/crates/rillgap-core/src/call/attempt_runner/completion.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts: refusals, failures, cancellation.
+//! Ends attempts: refusals, failures, cancellation and passed deadlines.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 use crate::time::Now;
 
 impl AttemptRunner {
-    /// Ends an attempt that nobody waits for any more.
+    /// Cancels an attempt whose answer is no longer needed.
     ///
-    /// A keyed attempt that was started runs on: its key can never run again, so its
-    /// answer is kept for a repeat of the key.
+    /// A keyed attempt that was started keeps running: its key can never run again, so its
+    /// answer is stored for retries with the same key.
     pub fn on_cancel(&mut self, now: Now, attempt: AttemptId, ports: &mut Ports<'_, '_>) {
         let Some(local) = self.attempts.get(&attempt) else {
             return;
@@ -26,13 +26,13 @@
                 self.cancel_queued(now, attempt, ResultCode::Cancelled, ports);
             }
             Phase::Running { .. } if local.dispatch.key.is_some() => {}
-            // A baseline without cancellation works on for nobody.
+            // The baseline without cancellation lets abandoned attempts run to their end.
             Phase::Running { .. } if !self.cancels_abandoned_work => {}
             Phase::Running { .. } => self.abort(now, attempt, ports),
         }
     }
 
-    /// Ends what the entry node at the other end of a lost link had dispatched.
+    /// Cancels the attempts that were dispatched over a lost link.
     pub fn on_peer_lost(&mut self, now: Now, peer: NodeId, ports: &mut Ports<'_, '_>) {
         let orphans: Vec<AttemptId> = self
             .attempts
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A back end that is leaving gets nothing new, and queued attempts would be new to it.
+    /// Refuses queued attempts while the back end takes nothing new: none of them has reached it.
     pub(super) fn refuse_queued_while_closed(&mut self, now: Now, ports: &mut Ports<'_, '_>) {
         if self.attempts.is_empty() {
             return;
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Takes an attempt out of all tables and frees its place at the back end; returns it
-    /// with the load to carry on its answer.
+    /// Removes an attempt from all tables and frees its slot at the back end; returns it with the
+    /// load report to send with its answer.
     pub(super) fn finish(
         &mut self,
         now: Now,
@@ -82,7 +82,7 @@
                 self.ended.push(attempt);
                 now.instant.saturating_since(started_at)
             }
-            // The guard refused it after admission had already given it a place.
+            // The guard refused the attempt after admission had granted it a slot.
             Phase::Queued => Duration::ZERO,
         };
         let load = self
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Takes an attempt out of admission's queue and refuses it.
+    /// Removes an attempt from the admission queue and refuses it.
     pub(super) fn cancel_queued(
         &mut self,
         now: Now,
@@ -162,7 +162,7 @@
         self.refuse_queued(now, attempt, refusal_for(code), ports);
     }
 
-    /// Refuses an attempt that admission has already taken out of its queue.
+    /// Refuses an attempt that admission has already removed from its queue.
     pub(super) fn refuse_queued(
         &mut self,
         now: Now,
@@ -176,7 +176,8 @@
         }
     }
 
-    /// Tells the entry node that an attempt has not run; a keyed one is barred for good.
+    /// Sends the entry node the refusal of an attempt that has not run. A keyed attempt is barred
+    /// first, so that it can never start later.
     pub(super) fn refuse(
         &mut self,
         now: Now,
--- a/crates/rillgap-core/src/call/attempt_runner/mod.rs
+++ b/crates/rillgap-core/src/call/attempt_runner/mod.rs
@@ -1,4 +1,4 @@
-//! The node beside a back end: runs attempts that entry nodes dispatch.
+//! Runs the attempts that entry nodes dispatch to the local back end.
 
 use std::collections::BTreeMap;
 
@@ -23,10 +23,10 @@
 mod answers;
 mod completion;
 
-/// Bytes of an answer's body that may be on the way to its reader at any time.
+/// Flow-control window: bytes of an answer's body that may be in flight to its reader.
 pub const ANSWER_WINDOW_BYTES: u32 = 64 * 1024;
 
-/// Mixed into the node's seed, so that tokens share no random numbers with other parts.
+/// XORed with the node's seed, so that tokens come from a random sequence of their own.
 const TOKEN_SEED_SALT: u64 = 0x746f_6b65_6e73;
 
 #[derive(Debug)]
@@ -51,22 +51,22 @@
     recorder: AnswerRecorder,
 }
 
-/// What a back end's own call inherits from the request that it serves.
+/// An attempt at the local back end, with the state that calls made for it inherit or use up.
 #[derive(Debug)]
 pub struct Parent<'a> {
-    /// The attempt that is being served.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// Its root request and class.
+    /// Its dispatch message, with root request and class.
     pub dispatch: &'a Dispatch,
-    /// Its deadline.
+    /// Its deadline, which also limits the deadlines of its calls.
     pub deadline: Instant,
-    /// Its extra attempts.
+    /// Extra attempts that it holds; retries of its calls are charged to them.
     pub pool: &'a mut RetryPool,
     /// The calls made for it so far.
     pub children: &'a mut Children,
 }
 
-/// Attempts at the local back end.
+/// Queued and running attempts at the local back end.
 #[derive(Debug)]
 pub struct AttemptRunner {
     attempts: BTreeMap<AttemptId, LocalAttempt>,
@@ -82,7 +82,7 @@
 }
 
 impl AttemptRunner {
-    /// Creates the runner of a fresh node.
+    /// Creates a runner without attempts.
     pub fn new(settings: &NodeSettings) -> Self {
         Self {
             attempts: BTreeMap::new(),
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Returns the guard against second starts.
+    /// Returns the guard that prevents a second start of a keyed request.
     pub fn guard_mut(&mut self) -> &mut DispatchGuard {
         &mut self.guard
     }
@@ -113,7 +113,7 @@
         self.attempts.len()
     }
 
-    /// Takes no new attempts from now on.
+    /// Refuses new attempts from now on.
     pub fn begin_stop(&mut self) {
         self.stopping = true;
     }
@@ -126,7 +126,7 @@
             .min()
     }
 
-    /// Records what the back end says of itself.
+    /// Records whether the back end has announced that it is leaving.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.announced_leaving = leaving;
     }
@@ -136,23 +136,24 @@
         self.admission.load()
     }
 
-    /// Takes in the load that the answer to a call of a running attempt carried.
+    /// Records the load report that came with the answer to a call of a running attempt.
     pub fn record_nested_load(&mut self, attempt: AttemptId, load: &LoadReport) {
         self.admission.record_nested_load(attempt, load);
     }
 
-    /// Takes the attempts that ended since the last call, whose own calls nobody needs now.
+    /// Removes and returns the attempts that have ended since the last invocation. The calls made
+    /// for them are no longer needed.
     pub fn take_ended(&mut self) -> Vec<AttemptId> {
         std::mem::take(&mut self.ended)
     }
 
-    /// Returns the running attempt that a back end's token names.
+    /// Returns the running attempt with this token.
     pub fn parent(&mut self, token: CallToken) -> Option<Parent<'_>> {
         let attempt = *self.tokens.get(&token)?;
         self.parent_by_attempt(attempt)
     }
 
-    /// Returns a running attempt.
+    /// Returns a queued or running attempt.
     pub fn parent_by_attempt(&mut self, attempt: AttemptId) -> Option<Parent<'_>> {
         let local = self.attempts.get_mut(&attempt)?;
         Some(Parent {
@@ -164,7 +165,8 @@
         })
     }
 
-    /// Does what is due: passed deadlines, queue decisions, refusals while leaving.
+    /// Processes passed deadlines and queue decisions, and refuses queued attempts while the back
+    /// end is leaving.
     pub fn poll(&mut self, now: Now, ports: &mut Ports<'_, '_>) {
         self.configure(ports);
         while let Some(attempt) = self.deadlines.pop_passed(now.instant) {
--- a/crates/rillgap-core/src/call/children.rs
+++ b/crates/rillgap-core/src/call/children.rs
@@ -1,9 +1,10 @@
 //! The calls that a back end makes while it serves one request.
 //!
-//! A back end may repeat its calls as it likes. What it says about them is not trusted: a
-//! call is recognised by its content, the first of a content is free, and every further
-//! one is charged to the pool of the request that is being served. A back end that varies
-//! the content of its repeats meets the bound on distinct calls.
+//! A back end may retry its calls at will, and its statements about them are not trusted: a
+//! call is identified by its content, the fingerprint of what it asks for. The first call of a
+//! content is free, and each further one is charged to the retry pool of the request that is
+//! being served. A back end that varies the content of its retries reaches the limit of
+//! distinct calls.
 
 use std::collections::BTreeMap;
 
@@ -24,13 +25,13 @@
 }
 
 impl Children {
-    /// Admits a call and charges it, if it repeats an earlier one, to `pool`.
+    /// Admits a call; a retry of an earlier call is charged to `pool`.
     ///
     /// # Errors
     ///
     /// Returns [`ResultCode::CallBoundExceeded`] for too many distinct calls,
     /// [`ResultCode::RetryBudgetSpent`] if the pool is empty, and
-    /// [`ResultCode::InProgress`] if the call must not be repeated and may have run.
+    /// [`ResultCode::InProgress`] if the call is not repeatable and may have run.
     pub fn admit(
         &mut self,
         content: Fingerprint,
@@ -54,12 +55,12 @@
         Ok(())
     }
 
-    /// Records that a call was sent on and may run.
+    /// Records that a call was dispatched and may run.
     pub fn mark_sent(&mut self, content: Fingerprint) {
         self.set_may_have_run(content, true);
     }
 
-    /// Records that a call that was sent on is proved not to have run.
+    /// Records that a dispatched call has provably not run.
     pub fn mark_not_run(&mut self, content: Fingerprint) {
         self.set_may_have_run(content, false);
     }
--- a/crates/rillgap-core/src/call/deadlines.rs
+++ b/crates/rillgap-core/src/call/deadlines.rs
@@ -1,10 +1,10 @@
-//! Deadlines of calls, in the order in which they pass.
+//! Deadlines of calls and attempts, ordered by time.
 
 use std::collections::BTreeSet;
 
 use crate::time::Instant;
 
-/// An ordered set of deadlines with the identifier of what each belongs to.
+/// A set of deadlines ordered by time, each with the identifier of its call or attempt.
 #[derive(Debug)]
 pub struct Deadlines<T> {
     entries: BTreeSet<(Instant, T)>,
@@ -24,7 +24,7 @@
         self.entries.insert((deadline, item));
     }
 
-    /// Removes a deadline, if it is there.
+    /// Removes a deadline; does nothing if it is not in the set.
     pub fn remove(&mut self, deadline: Instant, item: T) {
         self.entries.remove(&(deadline, item));
     }
@@ -34,7 +34,7 @@
         self.entries.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Takes one item whose deadline has passed.
+    /// Removes and returns the earliest item if its deadline has passed.
     pub fn pop_passed(&mut self, now: Instant) -> Option<T> {
         let (deadline, _) = self.entries.first()?;
         if *deadline > now {
--- a/crates/rillgap-core/src/call/entry.rs
+++ b/crates/rillgap-core/src/call/entry.rs
@@ -1,4 +1,4 @@
-//! Takes requests in from callers and from the local back end, and checks them.
+//! Validates requests of callers and of the local back end.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use crate::request::{InboundRequest, Origin, Refusal, RetryAfter};
 use crate::time::Now;
 
-/// Takes in a request, or refuses it at once.
+/// Validates a request and starts its first attempt, or refuses it.
 pub fn accept(
     now: Now,
     inbound: InboundId,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Refuses an inbound request, at once.
+/// Refuses an inbound request and reports the refusal for logs and metrics.
 pub fn refuse(inbound: InboundId, refusal: Refusal, ports: &mut Ports<'_, '_>) {
     ports.emit(Action::Refuse { inbound, refusal });
     ports.emit(Action::Observe(Observation::Refused { refusal }));
@@ -129,10 +129,10 @@
     Ok(())
 }
 
-/// Returns the policy if this node takes requests of callers at the moment.
+/// Returns the policy if the node currently accepts requests of callers.
 ///
-/// A keyed request that is turned away here says that its outcome is unknown, because an
-/// earlier attempt of the same key may have run and nobody was asked.
+/// A keyed request that is refused here gets the outcome unknown: an earlier attempt of the same
+/// key may have run, and no claim replica was queried.
 fn ready_policy(
     now: Now,
     sender: &Sender,
@@ -178,8 +178,9 @@
     Ok(Some(KeyedAttempt { key, fingerprint }))
 }
 
-/// Recognises a call among its siblings; the query is left out, so that a back end that
-/// numbers its repeats there gains nothing.
+/// Returns the content of a call, by which its retries are recognized: the fingerprint of
+/// service, method, path and body. The query string is left out, so that a back end cannot
+/// disguise a retry as a new call by a counter in the query.
 fn call_content(request: &InboundRequest) -> Fingerprint {
     let path = request.head.path.split('?').next().unwrap_or_default();
     request_fingerprint(request, path)
--- a/crates/rillgap-core/src/call/mod.rs
+++ b/crates/rillgap-core/src/call/mod.rs
@@ -1,9 +1,9 @@
-//! The data path: calls of callers and of the local back end, and attempts at the back end.
+//! The data path: requests of callers and of the local back end, and attempts at that back end.
 //!
-//! A call enters through [`entry`], is sent on by [`sender`] to the [`runner`] of the node
-//! beside a back end, and its answer comes back the same way. The calls that a back end
-//! makes enter its own node and take the same path; they are charged to the request that
-//! the back end is serving.
+//! A request enters through [`entry`]. [`sender`] sends it to the [`attempt_runner`] of the node
+//! beside a back end, and the answer returns along the same path. Requests that a back end makes
+//! (calls) enter through its own node in the same way; their retries are charged to the request
+//! that the back end is serving.
 
 use std::collections::VecDeque;
 
@@ -39,7 +39,7 @@
 }
 
 impl CallPath {
-    /// Creates the data path of a fresh node.
+    /// Creates a data path without requests in flight.
     pub fn new(settings: &NodeSettings) -> Self {
         Self {
             sender: Sender::new(settings),
@@ -72,7 +72,7 @@
                 sender.on_peer_lost(now, peer, runner, ports);
                 runner.on_peer_lost(now, peer, ports);
             }
-            // These belong to other subsystems of the node.
+            // Handled by other subsystems of the node.
             Event::Peer { .. }
             | Event::Store { .. }
             | Event::Operator { .. }
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Does what is due: settled claims, deadlines, queue decisions, messages to itself.
+    /// Processes claim results, passed deadlines, queue decisions and messages of the node to
+    /// itself.
     pub fn poll(&mut self, now: Now, context: &mut Context<'_>) {
         loop {
             self.poll_once(now, context);
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Stops taking new requests; what is in flight goes on.
+    /// Refuses new requests from now on; those in flight are finished.
     pub fn begin_stop(&mut self, _now: Now, _context: &mut Context<'_>) {
         self.sender.begin_stop();
         self.runner.begin_stop();
@@ -187,7 +188,7 @@
         self.runner.load()
     }
 
-    /// Returns the guard beside the back end.
+    /// Returns the guard that prevents a second start of a keyed request at the local back end.
     pub fn guard_mut(&mut self) -> &mut DispatchGuard {
         self.runner.guard_mut()
     }
--- a/crates/rillgap-core/src/call/outgoing.rs
+++ b/crates/rillgap-core/src/call/outgoing.rs
@@ -1,4 +1,4 @@
-//! One call that this node took from a caller or from its back end and sends on.
+//! State of a call that this node received from a caller or its back end and forwards.
 
 use bytes::Bytes;
 
@@ -12,56 +12,56 @@
 use crate::routing::Target;
 use crate::time::Instant;
 
-/// The request of a local attempt that made this call.
+/// The local attempt for which a call was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParentLink {
     /// Attempt at the local back end.
     pub attempt: AttemptId,
-    /// Content by which the call is recognised among its siblings.
+    /// Content of the call, by which its retries are recognized.
     pub content: Fingerprint,
 }
 
-/// How far the current attempt has come.
+/// Progress of the current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Its claim has been asked for.
+    /// Its claim was requested and is pending.
     Claiming,
-    /// It was dispatched; no answer yet.
+    /// It was dispatched and has no answer yet.
     Waiting,
-    /// Its answer is being passed on; this many parts so far.
+    /// Its answer is being forwarded to the caller.
     Answering {
-        /// Parts of the body passed on.
+        /// Parts of the body forwarded so far.
         parts: u32,
     },
-    /// The caller was answered or is gone; the fate of a keyed attempt is still awaited.
+    /// The caller was answered or has disconnected; the outcome of a keyed attempt is awaited.
     Orphaned,
 }
 
 /// The current attempt of a call.
 #[derive(Clone, Debug)]
 pub struct CurrentAttempt {
-    /// Identifies it.
+    /// Identifier of the attempt.
     pub id: AttemptId,
     /// Back end that runs it.
     pub target: Target,
-    /// When it was begun.
+    /// Time at which the attempt was started.
     pub begun_at: Instant,
-    /// Extra attempts lent to it.
+    /// Extra attempts lent to it from the retry pool of the call.
     pub lent: u8,
-    /// How far it has come.
+    /// Progress of the attempt.
     pub phase: Phase,
 }
 
-/// One call on its way to a back end.
+/// A call that is being forwarded to a back end.
 #[derive(Debug)]
 pub struct OutgoingCall {
-    /// Identifies the call.
+    /// Identifier of the call.
     pub id: CallId,
-    /// Request that is to be answered.
+    /// Inbound request that is answered with the result of the call.
     pub inbound: InboundId,
-    /// Root request that it serves.
+    /// Root request of its chain.
     pub root: RootId,
-    /// Request of the local back end that made it, if it is not a root.
+    /// Local attempt for which it was made; `None` for a root request.
     pub parent: Option<ParentLink>,
     /// Service that is addressed.
     pub service: ServiceName,
@@ -71,32 +71,33 @@
     pub class: Class,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Key, for roots that may run at most once.
+    /// Key and fingerprint, for root requests that may run at most once.
     pub keyed: Option<KeyedAttempt>,
     /// Method, target and headers.
     pub head: RequestHead,
     /// Whole body.
     pub body: Bytes,
-    /// When it arrived.
+    /// Time at which the request arrived.
     pub arrived: Instant,
-    /// When it must be answered.
+    /// Time by which the request must be answered.
     pub deadline: Instant,
-    /// Back ends that were tried.
+    /// Back ends of the attempts so far; they are not selected again.
     pub tried: Vec<BackEndName>,
-    /// Attempts made so far that were sent to another back end without charge.
+    /// Retries made so far that were not charged to a retry budget.
     pub reroutes: u8,
     /// Number of the next attempt.
     pub next_attempt: u16,
-    /// Attempt that is under way.
+    /// Current attempt; `None` before the first one.
     pub attempt: Option<CurrentAttempt>,
-    /// Failure of an earlier attempt that may have run.
+    /// Failure of the last earlier attempt that may have run; `None` if there was none.
     pub earlier_failure: Option<Refusal>,
 }
 
 impl OutgoingCall {
-    /// Returns what the caller is told instead of `refusal` of the last attempt.
+    /// Returns the refusal to send to the caller when the last attempt ended with `refusal`.
     ///
-    /// That attempt may not have run, and an earlier one of the same call may have.
+    /// If that attempt has not run but an earlier one may have, this is the earlier failure,
+    /// because the outcome of the call is unknown.
     pub fn reported_refusal(&self, refusal: Refusal) -> Refusal {
         if refusal.code.outcome() == Outcome::NotRun {
             self.earlier_failure.unwrap_or(refusal)
@@ -105,19 +106,19 @@
         }
     }
 
-    /// Returns the phase of the attempt that is under way.
+    /// Returns the phase of the current attempt.
     pub fn phase(&self) -> Option<Phase> {
         self.attempt.as_ref().map(|attempt| attempt.phase)
     }
 
-    /// Returns whether `attempt` is the one that is under way.
+    /// Returns whether `attempt` is the current one.
     pub fn is_current(&self, attempt: AttemptId) -> bool {
         self.attempt
             .as_ref()
             .is_some_and(|current| current.id == attempt)
     }
 
-    /// Returns whether a claim has been granted to the attempt that is under way.
+    /// Returns whether a claim has been granted to the current attempt.
     pub fn holds_claim(&self) -> bool {
         let dispatched = !matches!(self.phase(), None | Some(Phase::Claiming));
         self.keyed.is_some() && dispatched
--- a/crates/rillgap-core/src/call/ports.rs
+++ b/crates/rillgap-core/src/call/ports.rs
@@ -1,4 +1,4 @@
-//! Where the data path sends its messages.
+//! Output of the data path: messages to peers and to the node itself, and actions.
 
 use std::collections::VecDeque;
 
@@ -7,19 +7,20 @@
 use crate::message::{CallMessage, PeerMessage};
 use crate::node::Context;
 
-/// The node's subsystems together with the way to peers and to the node itself.
+/// The node's other subsystems, and the outputs of the data path.
 #[derive(Debug)]
 pub struct Ports<'a, 'b> {
-    /// Subsystems that the data path consults.
+    /// Other subsystems, and the actions for the driver.
     pub context: &'a mut Context<'b>,
-    /// Messages of this node to itself, handled before the event ends.
+    /// Messages of this node to itself, handled before the current event is finished.
     pub loopback: &'a mut VecDeque<CallMessage>,
 }
 
 impl Ports<'_, '_> {
     /// Sends a message to a node, which may be this one.
     ///
-    /// A receiver that is in no view that is still remembered has no address; the message is lost.
+    /// The message is dropped if the receiver is in none of the stored views: its address is
+    /// unknown then.
     pub fn send(&mut self, to: NodeId, message: CallMessage) {
         if to == self.context.settings.id() {
             self.loopback.push_back(message);
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Asks the driver for something.
+    /// Appends an action for the driver.
     pub fn emit(&mut self, action: Action) {
         self.context.out.push(action);
     }
--- a/crates/rillgap-core/src/call/retry.rs
+++ b/crates/rillgap-core/src/call/retry.rs
@@ -1,23 +1,23 @@
-//! Which refusals and failures are worth another attempt.
+//! Classifies refusals and failures by whether they may be retried.
 
 use crate::code::ResultCode;
 
-/// Most attempts of one call that are moved to another back end without charge.
+/// Maximum retries of one call that are not charged to a retry budget.
 pub const MAX_REROUTES: u8 = 3;
 
-/// Whether and at whose cost another attempt may be made.
+/// Whether an attempt may be retried, and which budgets the retry is charged to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
-    /// Another attempt would fare no better.
+    /// No retry, because it would end in the same way.
     Never,
-    /// The attempt met a node that takes nothing and cost no back end any work: it is moved
-    /// without charge, at most [`MAX_REROUTES`] times.
+    /// The node takes no attempts and no back end did any work: the retry at another back end
+    /// is not charged, up to [`MAX_REROUTES`] times.
     Reroute,
-    /// Another attempt is charged to the chain's pool and to the service's retry budget.
+    /// The retry is charged to the chain's retry pool and to the service's retry budget.
     Budgeted,
 }
 
-/// Returns whether another attempt may follow one that ended with `code`.
+/// Returns how an attempt that ended with `code` may be retried.
 pub const fn kind(code: ResultCode) -> Retry {
     match code {
         ResultCode::NodeStopping
--- a/crates/rillgap-core/src/call/retry_pool.rs
+++ b/crates/rillgap-core/src/call/retry_pool.rs
@@ -1,9 +1,9 @@
-//! The budget of extra attempts that one call of a chain may spend.
+//! The budget of extra attempts (retries) that one call of a chain may spend.
 //!
-//! A root request starts with a fixed number of extra attempts. Every call of its chain
-//! holds a part of that number, lends a lent to the calls it makes and takes back what
-//! their answers return unspent. What is lent is never available twice and a lost answer
-//! returns nothing, so the sum over the chain never exceeds the number at the root.
+//! A root request starts with a fixed number of extra attempts. Each call of its chain holds a
+//! part of that number: it lends some to the attempts that it makes, and gets back those that
+//! their answers return as unspent. Lent attempts are subtracted from the lender's pool and a
+//! lost answer returns none, so the sum over the chain never exceeds the number at the root.
 
 /// Extra attempts held by one call.
 #[derive(Debug)]
@@ -22,21 +22,21 @@
         self.available
     }
 
-    /// Takes half of the pool, rounded up, to lend it to an attempt.
+    /// Removes half of the pool, rounded up, and returns it as the part to lend to an attempt.
     pub fn lend(&mut self) -> u8 {
         let lent = self.available.div_ceil(2);
         self.available -= lent;
         lent
     }
 
-    /// Takes back what an attempt that was lent `lent` returns as `unspent`.
+    /// Adds the `unspent` ones of `lent` extra attempts to the pool again.
     ///
     /// A peer cannot return more than it was lent.
     pub fn restore(&mut self, lent: u8, unspent: u8) {
         self.available = self.available.saturating_add(unspent.min(lent));
     }
 
-    /// Lowers the pool to `max`, if it holds more.
+    /// Reduces the pool to at most `max` extra attempts.
     pub fn limit(&mut self, max: u8) {
         self.available = self.available.min(max);
     }
--- a/crates/rillgap-core/src/call/sender/answers.rs
+++ b/crates/rillgap-core/src/call/sender/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of attempts, on their way back to the caller.
+//! Forwards answers of attempts to the caller.
 
 use bytes::Bytes;
 
@@ -17,7 +17,7 @@
 use crate::time::Now;
 
 impl Sender {
-    /// Passes on the head of an answer.
+    /// Forwards the head of an answer.
     pub fn on_head(
         &mut self,
         now: Now,
@@ -42,7 +42,7 @@
         ports.emit(Action::AnswerHead { inbound, head });
     }
 
-    /// Passes on a part of an answer; a gap breaks the answer off.
+    /// Forwards a part of an answer's body; a gap in the sequence aborts the answer.
     pub fn on_body(
         &mut self,
         now: Now,
@@ -63,12 +63,12 @@
                     chunk: Bytes::from(chunk),
                 });
             }
-            Some(Phase::Answering { .. }) => self.break_off(now, attempt, ports),
+            Some(Phase::Answering { .. }) => self.abort_answer(now, attempt, ports),
             _ => {}
         }
     }
 
-    /// Ends an answer that is whole; one with a part missing is broken off.
+    /// Completes an answer; one with a missing part is aborted.
     pub fn on_end(
         &mut self,
         now: Now,
@@ -84,7 +84,7 @@
             return;
         };
         if phase != (Phase::Answering { parts }) && phase != Phase::Orphaned {
-            self.break_off(now, attempt, ports);
+            self.abort_answer(now, attempt, ports);
             return;
         }
         self.restore(attempt, unspent, runner);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Handles an attempt that may have run and brought no whole answer.
+    /// Handles an attempt that may have run and gave no complete answer.
     pub fn on_failed(
         &mut self,
         now: Now,
@@ -137,7 +137,7 @@
                 self.abandon_claim(now, attempt, ports);
                 self.refuse(attempt.call, refusal, runner, ports);
             }
-            Some(Phase::Answering { .. }) => self.break_off(now, attempt, ports),
+            Some(Phase::Answering { .. }) => self.abort_answer(now, attempt, ports),
             _ => {
                 self.abandon_claim(now, attempt, ports);
                 self.remove(attempt.call);
@@ -171,7 +171,7 @@
         self.retry(now, attempt, refusal, runner, ports);
     }
 
-    /// Tells the node beside the back end that the caller took in a part of the answer.
+    /// Sends the node beside the back end credit for the bytes that the caller has consumed.
     pub fn on_consumed(&mut self, inbound: InboundId, bytes: u32, ports: &mut Ports<'_, '_>) {
         let call = self
             .by_inbound
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Fails the attempts whose answers were lost with a link.
+    /// Fails the attempts whose answers were expected over a lost link.
     pub fn on_peer_lost(
         &mut self,
         now: Now,
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Breaks the transfer to the caller off; it must not look whole.
-    pub(super) fn break_off(&mut self, now: Now, attempt: AttemptId, ports: &mut Ports<'_, '_>) {
+    /// Aborts the transfer to the caller, so that the answer does not look complete.
+    pub(super) fn abort_answer(&mut self, now: Now, attempt: AttemptId, ports: &mut Ports<'_, '_>) {
         let Some(call) = self.calls.get(&attempt.call) else {
             return;
         };
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Tells routing how the attempt under way of a call ended.
+    /// Reports the result of a call's current attempt to the router.
     pub(super) fn report_attempt_end(
         &mut self,
         now: Now,
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Tells routing how the last attempt of a call that was removed ended.
+    /// Reports the result of the last attempt of a removed call to the router.
     pub(super) fn report_removed_call(
         &mut self,
         now: Now,
@@ -275,8 +275,10 @@
     }
 }
 
-/// Returns what a refusal says about the target. A back end that cannot be reached refuses at once
-/// and looks idle: it must be left out like one that fails, or it draws all calls.
+/// Returns the result that a refusal counts as for its target.
+///
+/// Attempts at an unreachable back end are refused immediately, so it looks idle: it must be
+/// ejected like a failing one, or it attracts all calls.
 fn target_result(refusal: Refusal) -> TargetResult {
     match refusal.code {
         ResultCode::BackEndUnreachable => TargetResult::Unreachable,
--- a/crates/rillgap-core/src/call/sender/attempts.rs
+++ b/crates/rillgap-core/src/call/sender/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: choice of the back end, dispatch and retries.
+//! Attempts: selection of the back end, dispatch and retries.
 
 use super::{Sender, refusal_for};
 use crate::action::{Action, Observation};
@@ -16,7 +16,10 @@
 use crate::time::{Now, micros};
 
 impl Sender {
-    /// Begins the next attempt, as a retry of `refused` if that is given.
+    /// Starts the next attempt of a call.
+    ///
+    /// `refused` is the keyed attempt whose claim the new one takes over, `None` if there is none.
+    /// `otherwise` is the reason of the refusal if no back end is available.
     pub(super) fn begin_attempt(
         &mut self,
         now: Now,
@@ -74,9 +77,10 @@
         }
     }
 
-    /// Refuses a call for which no back end is left.
+    /// Refuses a call for which no back end is available.
     ///
-    /// A keyed call that never held a claim does not know what became of its key.
+    /// For a keyed call that has never held a claim the outcome is unknown, because the state of
+    /// its key was not checked.
     pub(super) fn refuse_untargeted(
         &mut self,
         now: Now,
@@ -162,8 +166,8 @@
         ports.send(target.node, CallMessage::Dispatch(Box::new(dispatch)));
     }
 
-    /// Returns whether the target has left the view since it was chosen, so that nothing can be
-    /// sent to it.
+    /// Returns whether the target's node has left the view since it was selected, so that its
+    /// address is unknown.
     fn is_unreachable(&self, attempt: AttemptId, ports: &Ports<'_, '_>) -> bool {
         let current = self
             .calls
@@ -176,7 +180,8 @@
         })
     }
 
-    /// Tries another back end if bounds, budgets and deadline allow, or refuses the call.
+    /// Starts another attempt if the refusal permits a retry and the budgets allow it; refuses the
+    /// call otherwise.
     pub(super) fn retry(
         &mut self,
         now: Now,
--- a/crates/rillgap-core/src/call/sender/budget.rs
+++ b/crates/rillgap-core/src/call/sender/budget.rs
@@ -1,11 +1,11 @@
-//! Extra attempts: what a call spends, lends and takes back.
+//! Accounting of extra attempts: those that a call spends, lends and gets back.
 
 use super::Sender;
 use crate::call::attempt_runner::AttemptRunner;
 use crate::call::retry_pool::RetryPool;
 use crate::id::{AttemptId, CallId};
 
-/// Attempts of one call where a baseline does not bound the chain.
+/// Maximum attempts of one call in a baseline that does not limit the retries of a chain.
 const MAX_BASELINE_ATTEMPTS: u16 = 3;
 
 impl Sender {
@@ -23,7 +23,8 @@
                 .unwrap_or(false)
     }
 
-    /// Works on the pool of a call: its own for a root, its parent's for others.
+    /// Applies `work` to the retry pool of a call: its own for a root request, its parent's for
+    /// other calls.
     pub(super) fn with_pool<T>(
         &mut self,
         id: CallId,
--- a/crates/rillgap-core/src/call/sender/claims.rs
+++ b/crates/rillgap-core/src/call/sender/claims.rs
@@ -15,7 +15,7 @@
 use crate::time::Now;
 
 impl Sender {
-    /// Handles what became of a claim.
+    /// Handles the result of a claim request.
     pub fn on_claim(
         &mut self,
         now: Now,
@@ -28,7 +28,7 @@
             call.is_current(event.attempt) && call.phase() == Some(Phase::Claiming)
         });
         if !waiting {
-            // The caller is gone or was answered while the claim was being asked for.
+            // The caller disconnected or was answered while the claim was pending.
             if matches!(event.result, ClaimResult::Granted { .. }) {
                 let membership = &*ports.context.membership;
                 ports
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Admits a keyed call that now holds its claim, and dispatches it.
+    /// Admits a keyed call whose claim was granted, and dispatches it.
     pub(super) fn on_granted(
         &mut self,
         now: Now,
@@ -130,10 +130,10 @@
             .is_some_and(|call| call.keyed.is_some())
     }
 
-    /// Refuses a call whose attempt has not run, and gives its claim back if it has one.
+    /// Refuses a call whose attempt has not run, and releases its claim if it has one.
     ///
-    /// Only a claim that is still held proves that no other attempt of the key has run; a
-    /// holder that was frozen past its deadline must say that the outcome is unknown.
+    /// Only a claim that is still held proves that no other attempt of the key has run. A
+    /// holder whose process was paused past its deadline must report the outcome as unknown.
     pub(super) fn refuse_and_release(
         &mut self,
         now: Now,
@@ -145,12 +145,12 @@
         let context = &*ports.context;
         let holds = context.claims.holds(now, attempt, &*context.membership);
         let unproved = self.is_keyed(attempt) && !holds;
-        let told = if unproved && refusal.code.outcome() == Outcome::NotRun {
+        let reported = if unproved && refusal.code.outcome() == Outcome::NotRun {
             refusal_for(ResultCode::InProgress)
         } else {
             refusal
         };
         self.release_claim(now, attempt, ports);
-        self.refuse(attempt.call, told, runner, ports);
+        self.refuse(attempt.call, reported, runner, ports);
     }
 }
--- a/crates/rillgap-core/src/call/sender/completion.rs
+++ b/crates/rillgap-core/src/call/sender/completion.rs
@@ -1,4 +1,4 @@
-//! Ends of calls: refusals, deadlines, callers that went away.
+//! Ends calls: refusals, passed deadlines and callers that disconnected.
 
 use std::time::Duration;
 
@@ -16,18 +16,18 @@
 use crate::routing::TargetResult;
 use crate::time::Now;
 
-/// How long the fate of a keyed attempt is awaited after its caller was answered.
+/// Time for which the outcome of a keyed attempt is awaited after its caller was answered.
 const ORPHAN_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Sender {
-    /// Cancels a call whose caller went away.
+    /// Cancels a call whose caller has disconnected.
     pub fn on_caller_gone(&mut self, now: Now, inbound: InboundId, ports: &mut Ports<'_, '_>) {
         if let Some(id) = self.by_inbound.get(&inbound).copied() {
             self.cancel(now, id, ports);
         }
     }
 
-    /// Cancels the calls that a local attempt had made, because it has ended.
+    /// Cancels the calls that were made for a local attempt that has ended.
     pub fn cancel_children(&mut self, now: Now, parent: AttemptId, ports: &mut Ports<'_, '_>) {
         let children: Vec<CallId> = self
             .by_parent
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Answers the calls whose deadline has passed.
+    /// Ends the calls whose deadline has passed.
     pub fn expire(&mut self, now: Now, runner: &mut AttemptRunner, ports: &mut Ports<'_, '_>) {
         while let Some(id) = self.deadlines.pop_passed(now.instant) {
             self.expire_call(now, id, runner, ports);
@@ -98,10 +98,10 @@
         }
     }
 
-    /// Cancels the attempt under way. The caller has been answered or is gone.
+    /// Cancels the current attempt of a call whose caller has been answered or has disconnected.
     ///
-    /// A keyed attempt is kept until its fate is known, because a claim may be given back
-    /// only with proof that it has not run.
+    /// A keyed attempt is kept until its outcome is known, because a claim may be released only
+    /// with proof that the attempt has not run.
     pub(super) fn cancel(&mut self, now: Now, id: CallId, ports: &mut Ports<'_, '_>) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
--- a/crates/rillgap-core/src/call/sender/mod.rs
+++ b/crates/rillgap-core/src/call/sender/mod.rs
@@ -1,4 +1,4 @@
-//! Sends calls on to back ends: attempts, claims, answers, retries and deadlines.
+//! Forwards calls to back ends: attempts, claims, answers, retries and deadlines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,13 +25,13 @@
 mod claims;
 mod completion;
 
-/// Mixed into the node's seed, so that identifiers share no random numbers with other parts.
+/// XORed with the node's seed, so that identifiers come from a random sequence of their own.
 const IDENTIFIER_SEED_SALT: u64 = 0x726f_6f74_7321;
 
-/// Mixed into the node's seed, so that routing shares no random numbers with other parts.
+/// XORed with the node's seed, so that routing has a random sequence of its own.
 const ROUTER_SEED_SALT: u64 = 0x726f_7574_6572;
 
-/// What the end of an answer states about the whole of it.
+/// Totals that are sent with the end of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerTrailer {
     /// Number of parts of the body.
@@ -40,7 +40,7 @@
     pub unspent: u8,
 }
 
-/// Calls that this node sends on.
+/// Calls in flight that this node forwards to back ends.
 #[derive(Debug)]
 pub struct Sender {
     /// Admission of root requests.
@@ -59,7 +59,7 @@
 }
 
 impl Sender {
-    /// Creates the sender of a fresh node.
+    /// Creates a sender without calls.
     pub fn new(settings: &NodeSettings) -> Self {
         Self {
             entry_admission: EntryAdmission::new(settings.admission),
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Returns whether no call is under way.
+    /// Returns whether no call is in flight.
     pub fn is_idle(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Returns the number of calls under way.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> usize {
         self.calls.len()
     }
@@ -92,12 +92,12 @@
         self.stopping
     }
 
-    /// Returns whether a baseline is run that does not bound the attempts of a chain.
+    /// Returns whether the settings select a baseline that does not limit the retries of a chain.
     pub const fn is_unbounded(&self) -> bool {
         self.has_unbounded_chain
     }
 
-    /// Takes no new root requests from now on.
+    /// Refuses new root requests from now on.
     pub const fn begin_stop(&mut self) {
         self.stopping = true;
     }
@@ -107,12 +107,12 @@
         self.deadlines.next()
     }
 
-    /// Draws a random identifier.
+    /// Generates a random identifier.
     pub fn draw_identifier(&mut self) -> u128 {
         u128::from(self.random.next_u64()) << 64 | u128::from(self.random.next_u64())
     }
 
-    /// Draws the identifier of a new call.
+    /// Returns the identifier for a new call.
     pub fn next_call_id(&mut self, settings: &NodeSettings) -> CallId {
         self.next_sequence += 1;
         CallId {
@@ -122,12 +122,12 @@
         }
     }
 
-    /// Gives a root call its extra attempts.
+    /// Registers the retry pool of a root request.
     pub fn open_pool(&mut self, call: CallId, pool: RetryPool) {
         self.pools.insert(call, pool);
     }
 
-    /// Begins a call that was admitted.
+    /// Registers an admitted call and starts its first attempt.
     pub fn begin(
         &mut self,
         now: Now,
--- a/crates/rillgap-core/src/event.rs
+++ b/crates/rillgap-core/src/event.rs
@@ -1,4 +1,4 @@
-//! Events that a driver feeds into a node.
+//! Events that a driver passes to a node.
 
 use bytes::Bytes;
 
@@ -8,41 +8,42 @@
 use crate::request::{AnswerHead, InboundRequest};
 use crate::store::{StoreReply, StoreRequestId};
 
-/// Identifies one inbound request at this node, drawn by the driver and never reused in a run.
+/// Identifier of an inbound request at this node, assigned by the driver and not reused within
+/// an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InboundId(pub u64);
 
-/// Why an attempt at the local back end broke off.
+/// Reason for which an attempt at the local back end got no complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackEndFailure {
     /// No connection was made, so nothing was sent.
     NotConnected,
-    /// The back end refused the request before running it, by its published convention.
+    /// The back end refused the request without running it, marked as its conventions define.
     Shed,
     /// The connection was lost, or the body ended early, after the request was sent.
     Broken,
 }
 
-/// Something that happened outside the node.
+/// An input of the node's state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A whole request arrived.
+    /// A complete request was received.
     Inbound {
-        /// Identifies it in later events and actions.
+        /// Identifier of the request in later events and actions.
         inbound: InboundId,
         /// The request.
         request: InboundRequest,
     },
-    /// The caller of an inbound request went away.
+    /// The caller of an inbound request disconnected.
     InboundGone {
         /// The request.
         inbound: InboundId,
     },
-    /// The caller took in a part of the answer's body.
+    /// The caller consumed a part of the answer's body.
     InboundConsumed {
         /// The request.
         inbound: InboundId,
-        /// Bytes taken in.
+        /// Number of bytes consumed.
         bytes: u32,
     },
     /// The local back end's answer begins.
@@ -52,35 +53,35 @@
         /// Status and headers.
         head: AnswerHead,
     },
-    /// A part of the local back end's answer.
+    /// A part of the local back end's answer was received.
     BackEndBody {
         /// Attempt that is answered.
         attempt: AttemptId,
         /// The part.
         chunk: Bytes,
     },
-    /// The local back end's answer is whole.
+    /// The local back end's answer is complete.
     BackEndEnd {
         /// Attempt that is answered.
         attempt: AttemptId,
     },
-    /// The local back end's answer broke off.
+    /// The local back end gave no complete answer.
     BackEndFailed {
         /// Attempt that failed.
         attempt: AttemptId,
-        /// Why.
+        /// Reason of the failure.
         failure: BackEndFailure,
     },
-    /// The local back end says of itself that it is leaving (or serving again).
+    /// The local back end announced that it is leaving or serving again.
     BackEndAnnounced {
-        /// Whether it is leaving.
+        /// True if it is leaving, false if it is serving.
         leaving: bool,
     },
-    /// A message of a peer.
+    /// A message of a peer was received.
     Peer {
         /// Sender.
         from: NodeId,
-        /// Run of the sender.
+        /// Incarnation of the sender.
         incarnation: Incarnation,
         /// The message.
         message: PeerMessage,
@@ -97,15 +98,15 @@
         /// The reply.
         reply: StoreReply,
     },
-    /// An operator asks for something.
+    /// A request of an operator was received.
     Operator {
-        /// Identifies the request in the reply.
+        /// Identifier that the reply carries.
         request: OperatorRequestId,
-        /// What is asked.
+        /// The request.
         body: OperatorRequest,
     },
-    /// The time that [`crate::node::Node::next_wake`] named has come.
+    /// The time returned by [`crate::node::Node::next_wake`] has been reached.
     Wake,
-    /// The process was asked to stop.
+    /// The process was requested to stop.
     Stop,
 }
--- a/crates/rillgap-core/src/fingerprint.rs
+++ b/crates/rillgap-core/src/fingerprint.rs
@@ -1,17 +1,18 @@
-//! One digest of what a request asks for.
+//! Digest of the content of a request.
 //!
-//! It tells whether two requests are the same work although their identifiers differ. Decisions on other
-//! callers' requests hang on it, so nobody can make a request that has the fingerprint of another one, and
-//! it stands in logs and messages in place of what it is made of.
+//! It shows whether two requests ask for the same although their identifiers differ. Decisions on
+//! the requests of other callers depend on it, so it must be infeasible to construct a request with
+//! the fingerprint of another one. Logs and messages contain it in place of the content.
 
 use sha2::{Digest, Sha256};
 
 use crate::id::Fingerprint;
 
-/// Bytes of the digest that are kept. Two among a million requests are alike with a chance of 10^-27.
+/// Bytes of the digest that are kept. The probability that any two of a million requests have the
+/// same fingerprint is about 10^-27.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// Returns the fingerprint of the parts of a request, in this order.
+/// Returns the fingerprint of the parts of a request; their order matters.
 pub fn fingerprint(parts: &[&[u8]]) -> Fingerprint {
     let mut hasher = Sha256::new();
     for part in parts {
--- a/crates/rillgap-core/src/message.rs
+++ b/crates/rillgap-core/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes. One variant for each subsystem; encoded by `bitcode`.
+//! Messages between nodes, with one variant for each subsystem; encoded by `bitcode`.
 
 use bitcode::{Decode, Encode};
 
@@ -21,43 +21,43 @@
     Claim(ClaimMessage),
     /// Membership: heartbeats, digests and views.
     Membership(MembershipMessage),
-    /// Spread of the policy.
+    /// Distribution of the policy.
     Configuration(ConfigurationMessage),
 }
 
 /// The key under which an attempt runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct KeyedAttempt {
-    /// Key of the caller.
+    /// Idempotency key of the caller.
     pub key: IdempotencyKey,
     /// Digest of the request that first used the key.
     pub fingerprint: Fingerprint,
 }
 
-/// An attempt, on its way to the node beside a back end.
+/// An attempt that is sent to the node beside a back end.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Dispatch {
-    /// Identifies the attempt in all later messages.
+    /// Identifier of the attempt in all later messages.
     pub attempt: AttemptId,
-    /// Root request that it serves.
+    /// Root request of the chain.
     pub root: RootId,
     /// Key, for requests that may run at most once.
     pub key: Option<KeyedAttempt>,
-    /// Run of the receiving node for which the attempt is meant.
+    /// Incarnation of the receiving node; another one refuses the attempt.
     pub incarnation: Incarnation,
-    /// Service that is addressed.
+    /// Service to which the request is addressed.
     pub service: ServiceName,
-    /// Back end that shall run it.
+    /// Back end that is to run the attempt.
     pub back_end: BackEndName,
     /// Class, inherited from the root.
     pub class: Class,
-    /// Microseconds until the deadline, at the time of sending.
+    /// Microseconds from sending to the deadline.
     pub remaining_micros: u64,
     /// Extra attempts that this part of the chain may spend.
     pub extra_attempts: u8,
     /// Method, target and headers.
     pub head: RequestHead,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
@@ -84,7 +84,7 @@
         /// The part.
         chunk: Vec<u8>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     AnswerEnd {
         /// Attempt that is answered.
         attempt: AttemptId,
@@ -95,7 +95,7 @@
         /// Load of the answering node.
         load: LoadReport,
     },
-    /// The attempt was started and has failed; nothing more comes.
+    /// The attempt was started and has failed; no further messages follow.
     AnswerFailed {
         /// Attempt that failed.
         attempt: AttemptId,
@@ -115,14 +115,14 @@
         /// Load of the answering node.
         load: LoadReport,
     },
-    /// The receiver of an answer has room for more of its body.
+    /// The receiver of an answer has consumed a part of its body and can receive more.
     Credit {
-        /// Attempt whose answer is meant.
+        /// Attempt to whose answer the credit applies.
         attempt: AttemptId,
         /// Bytes that were consumed.
         bytes: u32,
     },
-    /// Nobody waits for the attempt any more. Answered by `Refused` if it was still queued.
+    /// The result of the attempt is no longer needed. Answered by `Refused` if it was still queued.
     Cancel {
         /// Attempt that is cancelled.
         attempt: AttemptId,
--- a/crates/rillgap-core/src/node.rs
+++ b/crates/rillgap-core/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: the subsystems joined into a single state machine.
+//! One node: combines the subsystems into a single state machine.
 
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
 use crate::time::{Instant, Now};
 use crate::view::View;
 
-/// Time for which a node that has left the view still refuses what peers send it: long enough
-/// for the new view to reach them.
+/// Time for which a node that has left the view still refuses messages of peers: long enough for
+/// the new view to reach them.
 const EXIT_DELAY: Duration = Duration::from_secs(1);
 
-/// A peer that a fresh node asks first.
+/// A peer that a node contacts at its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeedPeer {
     /// Configured name of the peer.
@@ -39,7 +39,7 @@
     pub service: ServiceName,
 }
 
-/// What a node is told at its start.
+/// Settings of a node, fixed at its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
     /// Configured name.
@@ -48,26 +48,26 @@
     pub zone: ZoneName,
     /// Region of that zone.
     pub region: RegionName,
-    /// This run; must differ from every earlier run of the name.
+    /// Incarnation of the node; must differ from all earlier ones of the same name.
     pub incarnation: Incarnation,
     /// Seed of the node's random numbers.
     pub random_seed: u64,
     /// Address of the node's mesh listener.
     pub mesh_address: std::net::SocketAddr,
-    /// Back end beside the node, if there is one.
+    /// Local back end; `None` for a node that only receives requests of callers.
     pub back_end: Option<LocalBackEnd>,
-    /// Peers to ask first.
+    /// Peers to contact at the start.
     pub seeds: Vec<SeedPeer>,
-    /// View to start from, where no store is used (benchmarks and unit tests).
+    /// Initial view if no store is used (benchmarks and unit tests); `None` otherwise.
     pub initial_view: Option<View>,
-    /// Policy to start from, where no store is used (benchmarks and unit tests).
+    /// Initial policy if no store is used (benchmarks and unit tests); `None` otherwise.
     pub initial_policy: Option<Policy>,
-    /// Overload control; anything but the default is a baseline for experiments.
+    /// Overload control; all values but the default are baselines for experiments.
     pub admission: AdmissionSettings,
 }
 
 impl NodeSettings {
-    /// Creates settings with nothing but a name: no back end, no seeds, seed zero.
+    /// Creates settings with a name and defaults: no back end, no seed peers, random seed zero.
     pub fn new(name: NodeName) -> Self {
         Self {
             name,
@@ -90,16 +90,16 @@
     }
 }
 
-/// The subsystems that the data path consults.
+/// The subsystems that the data path uses.
 #[derive(Debug)]
 pub struct Context<'a> {
-    /// What the node was told at its start.
+    /// Settings of the node.
     pub settings: &'a NodeSettings,
-    /// Membership.
+    /// Membership: the view, addresses of members, and whether the node may serve.
     pub membership: &'a mut Membership,
-    /// Policy.
+    /// Configuration: the policy in force.
     pub configuration: &'a Configuration,
-    /// Claims.
+    /// Claims on idempotency keys.
     pub claims: &'a mut Claims,
     /// Actions for the driver.
     pub out: &'a mut Outbox,
@@ -122,7 +122,7 @@
 }
 
 impl Node {
-    /// Creates a fresh node, which remembers nothing.
+    /// Creates a node without state of an earlier incarnation.
     pub fn new(now: Now, settings: NodeSettings) -> Self {
         Self {
             membership: Membership::new(now, &settings),
@@ -141,7 +141,8 @@
 
     /// Handles one event; actions for the driver are appended to `out`.
     pub fn handle(&mut self, now: Now, event: Event, out: &mut Outbox) {
-        // A host that was frozen must notice before it acts on what had piled up meanwhile.
+        // A node whose process was paused must detect this before it handles events that were
+        // queued in the meantime.
         self.poll_control_plane(now, out);
         self.configuration.note_time(now);
         match event {
@@ -162,7 +163,7 @@
         self.poll_subsystems(now, out);
     }
 
-    /// Returns when [`Event::Wake`] is due next, if at all.
+    /// Returns when [`Event::Wake`] is due next; `None` if nothing is scheduled.
     pub fn next_wake(&self) -> Option<Instant> {
         [
             self.membership.next_wake(),
@@ -196,13 +197,13 @@
         &self.call_path
     }
 
-    /// Plants faults in the claim protocol, to prove that an observer catches them.
+    /// Injects faults into the claim protocol, to test that an observer detects their effects.
     pub fn plant_claim_faults(&mut self, faults: ClaimFaults) {
         self.claims.plant(faults);
         self.call_path.guard_mut().plant(faults);
     }
 
-    /// Returns what claims have cost since the start of the node.
+    /// Returns the counters of the claim protocol since the start of the node.
     pub const fn claim_counters(&self) -> ClaimCounters {
         self.claims.counters()
     }
@@ -293,7 +294,7 @@
         self.configuration.poll(now, &self.membership, out);
     }
 
-    /// Lets every subsystem do what is due and passes on what one has for another.
+    /// Processes due work of all subsystems and exchanges results between them.
     fn poll_subsystems(&mut self, now: Now, out: &mut Outbox) {
         self.poll_control_plane(now, out);
         self.membership
@@ -338,9 +339,9 @@
         }
     }
 
-    /// Ends a planned stop: leaves the view once nothing is in flight (peers need the address
-    /// of a member to send it their answers), refuses for a while what peers that do not know
-    /// it yet have sent on its way, then exits.
+    /// Completes a planned stop: leaves the view once nothing is in flight (peers need the address
+    /// of a member to send it their answers), then refuses messages of peers that do not have the
+    /// new view yet for [`EXIT_DELAY`], then exits.
     fn leave_when_idle(&mut self, now: Now, out: &mut Outbox) {
         if !self.stopping || self.exited || !self.call_path.is_idle() {
             return;
--- a/crates/rillgap-core/src/operator.rs
+++ b/crates/rillgap-core/src/operator.rs
@@ -4,7 +4,7 @@
 use crate::id::{BackEndName, ChangeId, NodeName, PolicyVersion, ViewVersion, ZoneName};
 use crate::policy::{BackEndState, Policy};
 
-/// Identifies one operator request at this node, drawn by the driver.
+/// Identifier of an operator request at this node, assigned by the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperatorRequestId(pub u64);
 
@@ -17,56 +17,56 @@
     ApplyPolicy {
         /// New policy; its version is set by the system.
         policy: Policy,
-        /// Version that must still be in force; `None` for whichever is.
+        /// Version that must still be in force; `None` accepts any.
         expected: Option<PolicyVersion>,
-        /// Identifies the change, so that a repeat of the call does not apply it twice.
+        /// Identifier of the change, so that a retry of the request does not apply it twice.
         change: ChangeId,
     },
-    /// Moves a back end into or out of service.
+    /// Puts a back end into service or takes it out of service.
     SetBackEndState {
         /// Back end to change.
         back_end: BackEndName,
         /// New state.
         state: BackEndState,
-        /// Identifies the change.
+        /// Identifier of the change.
         change: ChangeId,
     },
-    /// Tells how far a change has spread.
+    /// Returns the progress of the distribution of a change.
     GetChange {
         /// Change to report on.
         change: ChangeId,
     },
-    /// Tells members, versions and load as this node sees them.
+    /// Returns the versions and members that this node has recorded.
     GetStatus,
-    /// Stops this node as planned, cutting nothing in flight.
+    /// Stops this node after the requests in flight are finished.
     StopNode,
 }
 
-/// How far a change of policy has come.
+/// Progress of a change of the policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeState {
-    /// In force on every machine of the view.
+    /// In force on all nodes of the view.
     Accepted,
-    /// Stored, not yet confirmed by these machines (at most [`MAX_NAMED_NODES`] are named).
+    /// Stored, but not yet confirmed by all nodes.
     Pending {
-        /// Number of machines that have not confirmed.
+        /// Number of nodes that have not confirmed the change.
         missing: u32,
-        /// Names of some of them.
+        /// Names of these nodes, at most [`MAX_NAMED_NODES`].
         nodes: Vec<NodeName>,
     },
 }
 
-/// Most nodes that a reply names.
+/// Maximum number of nodes that a reply names.
 pub const MAX_NAMED_NODES: usize = 32;
 
-/// Status of one member as this node sees it.
+/// Status of one member, as recorded by this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberStatus {
     /// Name of the node.
     pub node: NodeName,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Whether it is heard from.
+    /// Whether this node receives messages from it.
     pub reachable: bool,
     /// Policy version that it last confirmed.
     pub policy: PolicyVersion,
@@ -81,7 +81,7 @@
     Change {
         /// Version that the change made.
         version: PolicyVersion,
-        /// How far it has come.
+        /// Progress of the change.
         state: ChangeState,
     },
     /// Status of the deployment.
@@ -99,11 +99,11 @@
     Stopping,
     /// The request failed.
     Failed {
-        /// Numbered reason.
+        /// Result code.
         code: ResultCode,
         /// Version in force, for conflicts.
         version: PolicyVersion,
-        /// What exactly is wrong, for people.
+        /// Description of the failure for operators.
         detail: String,
     },
 }
--- a/crates/rillgap-core/src/policy/index.rs
+++ b/crates/rillgap-core/src/policy/index.rs
@@ -1,4 +1,4 @@
-//! A policy with indexes for the look-ups of the data path.
+//! A policy with indexes for lookups in the data path.
 
 use std::collections::BTreeMap;
 use std::ops::Deref;
@@ -6,16 +6,16 @@
 use super::{BackEndPolicy, Policy, RoutePolicy, ServicePolicy};
 use crate::id::{BackEndName, ServiceName};
 
-/// Positions of what belongs to one service.
+/// Positions of the entries of one service in the lists of the policy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ServiceIndex {
     service: Option<usize>,
-    /// Routes, the longest path first, and for one path the longest method first.
+    /// Routes by decreasing length of the path, then by decreasing length of the method.
     routes: Vec<usize>,
     back_ends: Vec<usize>,
 }
 
-/// A policy that is looked up for every call; built once for each version.
+/// A policy with indexes by service and back end, built once for each version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IndexedPolicy {
     policy: Policy,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Returns the positions of the routes, the first to match first.
+/// Returns the positions of the routes, those with the highest precedence first.
 fn routes_by_precedence(policy: &Policy) -> Vec<usize> {
     let mut positions: Vec<usize> = (0..policy.routes.len()).collect();
     positions.sort_by_key(|&position| {
--- a/crates/rillgap-core/src/policy/mod.rs
+++ b/crates/rillgap-core/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The policy that operators put in force: services, routes, back ends and bounds.
+//! The policy that operators configure: services, routes, back ends and bounds.
 
 mod index;
 mod validate;
@@ -17,7 +17,7 @@
 
 /// Priority class of a request; lower classes are shed first.
 ///
-/// The class is fixed by policy at the entry and inherited by every call of the chain.
+/// The route of the root request determines it; all calls of the chain inherit it.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize,
 )]
@@ -25,11 +25,11 @@
 pub enum Class {
     /// Bulk downloads: shed first.
     Bulk,
-    /// Browsing.
+    /// Requests such as browsing: shed after bulk downloads.
     Sheddable,
-    /// Internal status queries and the like.
+    /// Requests such as internal status queries: shed after sheddable ones.
     Standard,
-    /// Bookings, loan requests and settlement exports: shed last.
+    /// Requests such as bookings, loan requests and settlement exports: shed last.
     Critical,
 }
 
@@ -50,13 +50,13 @@
     /// Version, set by the system when the change is accepted.
     #[serde(default)]
     pub version: PolicyVersion,
-    /// Change that made this version; zero for none.
+    /// Identifier of the change that created this version; zero for none.
     #[serde(default, skip)]
     pub change: u128,
-    /// Bounds over the whole call graph.
+    /// Limits that hold for the whole call graph.
     #[serde(default)]
     pub bounds: Bounds,
-    /// Services of the call graph.
+    /// Services that requests can be addressed to.
     #[serde(default, rename = "service")]
     pub services: Vec<ServicePolicy>,
     /// Routes, matched by the longest path prefix.
@@ -67,7 +67,7 @@
     pub back_ends: Vec<BackEndPolicy>,
 }
 
-/// Bounds over the whole call graph.
+/// Limits that hold for the whole call graph.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "kebab-case")]
 pub struct Bounds {
@@ -75,9 +75,9 @@
     pub extra_attempts: u8,
     /// Distinct calls that a back end may make for one inbound call, 1 to 64.
     pub calls_per_request: u8,
-    /// Longest life of an idempotency key in seconds, 10 to 86,400.
+    /// Lifetime of an idempotency key in seconds, 10 to 86,400.
     pub key_life_seconds: u32,
-    /// Retries as a share of successes per service, in percent, 0 to 100.
+    /// Retries in percent of the successful calls of a service, 0 to 100.
     pub retry_percent: u8,
 }
 
@@ -93,13 +93,13 @@
 }
 
 impl Bounds {
-    /// Returns the longest life of an idempotency key.
+    /// Returns the lifetime of an idempotency key.
     pub const fn key_life(&self) -> Duration {
         Duration::from_secs(self.key_life_seconds as u64)
     }
 }
 
-/// One service.
+/// Settings of a service, the same for all its back ends.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct ServicePolicy {
@@ -107,54 +107,56 @@
     pub name: ServiceName,
     /// Requests that one back end can run at once, 1 to 65,535.
     pub slots: u16,
-    /// Connections that one back end takes, 1 to 65,535.
+    /// Connections that one back end accepts, 1 to 65,535.
     pub connections: u16,
-    /// Longest time that a request may queue beside a back end, in milliseconds, 1 to 60,000.
+    /// Maximum time that a request may wait in the queue of a back end's node, in milliseconds,
+    /// 1 to 60,000.
     pub queue_millis: u32,
 }
 
-/// One route of a service.
+/// Settings of the requests of a service that match a method and a path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct RoutePolicy {
-    /// Service that is addressed.
+    /// Service to which the route belongs.
     pub service: ServiceName,
     /// Upper-case method; empty for any.
     #[serde(default)]
     pub method: String,
     /// Prefix of the path.
     pub path: String,
-    /// Class for requests that enter here; calls further down inherit their root's class.
+    /// Class of root requests of this route; calls inherit the class of their root.
     pub class: Class,
-    /// Whether a request may run more than once.
+    /// Whether a request may run more than once; if not, a root request needs an idempotency key.
     pub repeatable: bool,
-    /// Deadline from entry to the end of the answer, in milliseconds, 1 to 3,600,000.
+    /// Maximum time from the arrival of a request to the end of its answer, in milliseconds, 1 to
+    /// 3,600,000.
     pub deadline_millis: u32,
 }
 
 impl RoutePolicy {
-    /// Returns whether a request of the route's service takes this route.
+    /// Returns whether a request of the route's service matches method and path of the route.
     pub fn matches(&self, method: &str, path: &str) -> bool {
         (self.method.is_empty() || self.method == method) && path.starts_with(&self.path)
     }
 
-    /// Returns the deadline from entry to the end of the answer.
+    /// Returns the maximum time from the arrival of a request to the end of its answer.
     pub const fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_millis as u64)
     }
 }
 
-/// One back end and the node beside it.
+/// A back end and the node beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct BackEndPolicy {
     /// Name of the back end.
     pub name: BackEndName,
-    /// Service that it runs.
+    /// Service that the back end implements.
     pub service: ServiceName,
-    /// Node beside it.
+    /// Node beside the back end.
     pub node: NodeName,
-    /// Whether it takes new requests.
+    /// Whether the back end takes new requests.
     #[serde(default)]
     pub state: BackEndState,
 }
--- a/crates/rillgap-core/src/policy/validate.rs
+++ b/crates/rillgap-core/src/policy/validate.rs
@@ -1,4 +1,4 @@
-//! Validation of a policy before it is accepted.
+//! Validates a policy before it is accepted.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -9,16 +9,16 @@
 use super::{BackEndPolicy, Bounds, Policy, RoutePolicy, ServicePolicy};
 use crate::id::{NodeName, ServiceName};
 
-/// Most services, routes or back ends that a policy may hold of each.
+/// Maximum number of services, of routes and of back ends in a policy.
 pub const MAX_ENTRIES: usize = 20_000;
 
-/// Longest name of a service, back end or node, in bytes.
+/// Maximum length of the name of a service, back end or node, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// Longest path prefix of a route, in bytes.
+/// Maximum length of the path prefix of a route, in bytes.
 pub const MAX_PATH_BYTES: usize = 1_024;
 
-/// Longest method of a route, in bytes.
+/// Maximum length of the method of a route, in bytes.
 pub const MAX_METHOD_BYTES: usize = 16;
 
 const EXTRA_ATTEMPTS_RANGE: RangeInclusive<u64> = 0..=32;
@@ -30,17 +30,17 @@
 const QUEUE_MILLIS_RANGE: RangeInclusive<u64> = 1..=60_000;
 const DEADLINE_MILLIS_RANGE: RangeInclusive<u64> = 1..=3_600_000;
 
-/// Most violations that are collected from one policy.
+/// Maximum number of violations that are reported for one policy.
 const MAX_VIOLATIONS: usize = 20;
 
-/// One value that the policy must not have.
+/// One invalid value of a policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Where it stands, such as `service[takst].slots`.
+    /// Path of the value in the policy, such as `service[takst].slots`.
     pub key: String,
-    /// The value, as written.
+    /// The invalid value.
     pub value: String,
-    /// Which values are allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -55,11 +55,11 @@
     }
 }
 
-/// A policy that must not come into force.
+/// The violations for which a policy is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}", join_violations(violations))]
 pub struct InvalidPolicy {
-    /// What is wrong, in the order of the policy; at least one, at most twenty.
+    /// The violations in the order of the policy; at least one, at most twenty.
     pub violations: Vec<Violation>,
 }
 
@@ -69,7 +69,9 @@
 }
 
 impl Policy {
-    /// Checks names, ranges and references.
+    /// Checks names, ranges and references between the entries.
+    ///
+    /// Entries are not checked if the bounds are invalid or a list has too many entries.
     pub fn validate(&self) -> Result<(), InvalidPolicy> {
         let mut validator = Validator::default();
         validator.bounds(&self.bounds);
--- a/crates/rillgap-core/src/request.rs
+++ b/crates/rillgap-core/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as the state machines see them, independent of any HTTP library.
+//! Requests and answers in the form that the state machines use, independent of any HTTP library.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     pub method: String,
     /// Path with query.
     pub path: String,
-    /// Headers that are forwarded; hop-by-hop headers are already removed.
+    /// Forwarded headers; hop-by-hop headers are already removed.
     pub headers: Vec<Header>,
 }
 
@@ -33,49 +33,50 @@
 pub struct AnswerHead {
     /// HTTP status.
     pub status: u16,
-    /// Headers that are returned; hop-by-hop headers are already removed.
+    /// Returned headers; hop-by-hop headers are already removed.
     pub headers: Vec<Header>,
 }
 
-/// Where an inbound request came from.
+/// Sender of an inbound request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// A caller outside the call graph.
     Caller,
-    /// The node's own back end, with the token of the inbound call it is serving.
+    /// The local back end, with the token of the request that it is serving.
     LocalBackEnd {
         /// Token as sent; `None` if it was missing or unreadable.
         token: Option<CallToken>,
     },
 }
 
-/// A whole request as received from a caller or from the local back end.
+/// A complete request, received from a caller or from the local back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InboundRequest {
-    /// Where it came from.
+    /// Sender of the request.
     pub origin: Origin,
-    /// Service that is addressed.
+    /// Service to which the request is addressed.
     pub service: ServiceName,
     /// Method, target and forwarded headers.
     pub head: RequestHead,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Key of the caller, if one was sent.
+    /// Idempotency key, if the caller sent one.
     pub key: Option<IdempotencyKey>,
-    /// Time the caller still waits, if it said so; it can shorten the policy's deadline only.
+    /// Timeout stated by the caller; it can only shorten the deadline of the policy. `None` if
+    /// none was stated.
     pub timeout: Option<Duration>,
 }
 
-/// A refusal or failure, as told to a caller.
+/// A refusal or failure, as reported to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Refusal {
-    /// Numbered reason, which also states the outcome.
+    /// Result code, which also determines the outcome.
     pub code: ResultCode,
-    /// When the caller may come back.
+    /// Time after which the caller may retry.
     pub retry_after: RetryAfter,
 }
 
-/// Time after which a caller may come back, in milliseconds.
+/// Time after which a caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct RetryAfter {
     /// Milliseconds from now.
@@ -83,6 +84,6 @@
 }
 
 impl RetryAfter {
-    /// Default for refusals that say nothing about load.
+    /// Default for refusals that do not depend on load.
     pub const DEFAULT: Self = Self { millis: 1_000 };
 }
--- a/crates/rillgap-core/src/routing/health.rs
+++ b/crates/rillgap-core/src/routing/health.rs
@@ -1,20 +1,20 @@
-//! Outlier ejection: a back end that keeps failing is left out and probed again.
+//! Outlier ejection: a back end with repeated failures is excluded for a time and then probed.
 
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// Failures in a row after which a back end is left out.
+/// Consecutive failures after which a back end is ejected.
 const MAX_CONSECUTIVE_FAILURES: u32 = 5;
-/// Time for which a back end is left out at first.
+/// Time of the first ejection; it doubles with each further one, up to [`MAX_EJECTION_TIME`].
 const MIN_EJECTION_TIME: Duration = Duration::from_millis(250);
-/// Longest time for which a back end is left out before it is probed.
+/// Maximum time for which a back end is ejected before it is probed.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(2);
-/// Time after which a probe without a result is taken for lost.
+/// Time after which a probe without a result counts as lost.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time in which a returning back end comes back to its full share.
+/// Time in which the slow start of a back end raises its load to the full amount.
 const SLOW_START_TIME: Duration = Duration::from_secs(1);
-/// Share that a returning back end gets at first.
+/// Fraction of its load that a back end gets at the beginning of its slow start.
 const MIN_SLOW_START_FRACTION: f64 = 0.1;
 
 /// Whether a back end may be chosen.
@@ -22,13 +22,13 @@
 pub(super) enum Availability {
     /// It may be chosen.
     Available,
-    /// It was left out for long enough; one call may try it.
+    /// Its ejection has ended; one call may probe it.
     Probe,
-    /// It is left out.
+    /// It must not be chosen.
     Ejected,
 }
 
-/// Health of one back end as its callers see it.
+/// Health of one back end, from the results of this node's calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Health {
     failures: u32,
@@ -40,7 +40,7 @@
 }
 
 impl Health {
-    /// Creates the health of a back end that has just come into service.
+    /// Creates the health of a back end whose slow start begins at `now`.
     pub fn slow_starting(now: Instant) -> Self {
         Self {
             slow_start_at: Some(now),
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Returns the share of its load that the back end may take, from [`MIN_SLOW_START_FRACTION`] to one.
+    /// Returns the fraction of its load that the back end may take, from
+    /// [`MIN_SLOW_START_FRACTION`] to one.
     pub fn slow_start_fraction(&self, now: Instant) -> f64 {
         let Some(slow_start_at) = self.slow_start_at else {
             return 1.0;
@@ -68,14 +69,14 @@
             .clamp(MIN_SLOW_START_FRACTION, 1.0)
     }
 
-    /// Tells that a call was sent; on an ejected back end it is the probe.
+    /// Records that a call was sent; at an ejected back end it is the probe.
     pub fn on_started(&mut self, now: Instant) {
         if self.ejected_until.is_some() {
             self.probe_until = Some(now + PROBE_TIMEOUT);
         }
     }
 
-    /// Tells that the back end answered, be it with a refusal.
+    /// Records that the back end answered, possibly with a refusal.
     pub fn on_success(&mut self, now: Instant) {
         self.failures = 0;
         self.is_unreachable = false;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Tells that a call failed.
+    /// Records that a call failed.
     pub fn on_failure(&mut self, now: Instant) {
         self.failures = self.failures.saturating_add(1);
         let probing = self.ejected_until.is_some();
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Tells that the back end cannot be reached: one refused connection is proof enough.
+    /// Records that the back end cannot be reached and ejects it: one refused connection suffices.
     pub fn on_unreachable(&mut self, now: Instant) {
         self.is_unreachable = true;
         self.eject(now);
--- a/crates/rillgap-core/src/routing/mod.rs
+++ b/crates/rillgap-core/src/routing/mod.rs
@@ -1,8 +1,8 @@
-//! Routing: which back end of a service gets a call.
+//! Routing: selects the back end of a service for each call.
 //!
 //! [`Router`] compares two back ends drawn at random by their load (power of two choices),
-//! prefers its own zone while that has room, leaves out back ends that keep failing, and
-//! brings returning ones back slowly. `docs/design/routing.md` weighs the ways.
+//! prefers its own zone while that has capacity, ejects back ends with repeated failures, and
+//! gives new and recovered ones a slow start. `docs/design/routing.md` compares the alternatives.
 
 mod health;
 mod router;
@@ -21,28 +21,28 @@
 pub struct Target {
     /// Node beside the back end.
     pub node: NodeId,
-    /// Run of that node.
+    /// Incarnation of that node.
     pub incarnation: Incarnation,
     /// Mesh address of that node.
     pub address: SocketAddr,
-    /// The back end.
+    /// Name of the back end.
     pub back_end: BackEndName,
 }
 
-/// How a call to a target ended, as routing sees it.
+/// Result of a call to a target, as far as it matters to routing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetResult {
-    /// Answered whole.
+    /// Answered completely.
     Answered,
     /// Refused before it ran.
     Refused,
-    /// Failed, lost or too late.
+    /// Failed, lost or past its deadline.
     Failed,
     /// The node beside the back end could not reach it; nothing ran.
     Unreachable,
 }
 
-/// What routing may choose from.
+/// Inputs of a selection: a candidate is a back end of the policy whose node is in the view.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidates<'a> {
     /// Policy in force.
--- a/crates/rillgap-core/src/routing/router.rs
+++ b/crates/rillgap-core/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! Choice of a back end.
+//! Selection of a back end.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,16 +15,19 @@
 use crate::time::Instant;
 use crate::view::Member;
 
-/// Load of the own zone, as a share of its limit, from which other zones are considered.
+/// Utilization of the own zone's candidate from which other zones are considered; they also are
+/// if its cost reaches twice this value.
 const SPILLOVER_UTILIZATION: f64 = 0.7;
-/// Load that a back end of another zone must be below the own zone's best to be chosen.
+/// Difference by which the cost of a back end in another zone must be below that of the own zone.
 const CROSS_ZONE_MARGIN: f64 = 0.1;
-/// Bounds of a back end's latency relative to the fastest, as a factor on its load.
+/// Range of the latency factor: a back end's latency relative to the fastest, multiplied with its
+/// utilization to get its cost.
 const LATENCY_FACTOR_RANGE: (f64, f64) = (1.0, 8.0);
-/// Time after the router's first choice from which a new back end counts as returning.
+/// Time after the router's first selection. Back ends that appear later begin with a slow start;
+/// earlier ones do not, because all of them are new to a router that has just started.
 const WARM_UP_TIME: Duration = Duration::from_secs(5);
 
-/// A candidate with what routing weighs.
+/// A candidate with the values that the selection compares.
 #[derive(Clone, Debug)]
 struct Candidate {
     target: Target,
@@ -35,7 +38,7 @@
     utilization: f64,
 }
 
-/// Chooses back ends by power of two choices over their load.
+/// Selects back ends by power of two choices over their load.
 #[derive(Clone, Debug)]
 pub struct Router {
     random: ChaCha8Rng,
@@ -50,7 +53,7 @@
 }
 
 impl Router {
-    /// Creates a router whose random draws follow from `seed`.
+    /// Creates a router whose random numbers are determined by `seed`.
     pub fn new(seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Chooses a serving back end of `service` that is not in `excluded`, or `None`.
+    /// Selects a serving back end of `service` that is not in `excluded`; `None` if there is none.
     pub fn pick(
         &mut self,
         now: Instant,
@@ -74,12 +77,12 @@
         self.choose(usable)
     }
 
-    /// Tells that an attempt was sent to a target.
+    /// Records that an attempt was sent to a target.
     pub fn on_started(&mut self, now: Instant, target: &Target) {
         self.state(target).on_started(now);
     }
 
-    /// Tells that an attempt at a target has ended after `latency`.
+    /// Records that an attempt at a target has ended after `latency`.
     pub fn on_finished(
         &mut self,
         now: Instant,
@@ -90,7 +93,7 @@
         self.state(target).on_finished(now, latency, result);
     }
 
-    /// Takes in the load that an answer of a target carried.
+    /// Records the load report that came with an answer of a target.
     pub fn on_load_report(&mut self, now: Instant, back_end: &BackEndName, load: &LoadReport) {
         if let Some(state) = self.targets.get_mut(back_end) {
             state.on_load_report(now, load);
@@ -115,7 +118,7 @@
         let mut serving = Vec::new();
         for back_end in candidates.policy.back_ends_of(service) {
             if back_end.state == BackEndState::Leaving {
-                // Forgotten, so that it comes back slowly when it returns into service.
+                // Without a stored state, it begins with a slow start when it serves again.
                 self.targets.remove(&back_end.name);
                 continue;
             }
@@ -138,7 +141,7 @@
         serving
     }
 
-    /// Returns the state of a back end; a new run of its node begins afresh.
+    /// Returns the state of a back end; a new incarnation of its node begins with a new state.
     fn refresh(
         &mut self,
         now: Instant,
@@ -237,7 +240,7 @@
     }
 }
 
-/// Raises the cost of back ends that answer slower than the fastest.
+/// Raises the cost of back ends with a higher latency than the fastest.
 fn apply_latency_factor(
     candidates: &mut [Candidate],
     targets: &BTreeMap<BackEndName, TargetState>,
@@ -259,9 +262,9 @@
     }
 }
 
-/// Leaves out ejected back ends, unless that would leave out more than half of them: then it is
-/// more likely that something else is wrong. Those that cannot be reached are left out as long as
-/// any other is there: they refuse at once, look idle and would draw all calls.
+/// Removes ejected back ends, unless they are more than half of all: then the cause is probably
+/// not the back ends. Unreachable ones are removed while there is any other: calls to them are
+/// refused immediately, so they look idle and would attract all calls.
 fn without_ejected(serving: Vec<Candidate>) -> Vec<Candidate> {
     let serving = without_unreachable(serving);
     let ejected = serving
--- a/crates/rillgap-core/src/routing/target_state.rs
+++ b/crates/rillgap-core/src/routing/target_state.rs
@@ -1,4 +1,4 @@
-//! What a router knows of one back end.
+//! State that a router keeps for one back end: health, load and latency.
 
 use std::time::Duration;
 
@@ -8,30 +8,30 @@
 use crate::id::Incarnation;
 use crate::time::{Instant, micros};
 
-/// Weight of a new latency in the moving mean.
+/// Weight of a new sample in the exponentially weighted moving average of the latency.
 const LATENCY_EWMA_WEIGHT: f64 = 0.1;
-/// Time after which a report says nothing any more.
+/// Time after which the load of a report is ignored; its limit stays in use.
 const REPORT_TTL: Duration = Duration::from_millis(500);
-/// Limit assumed for a back end that has not reported.
+/// Concurrency limit assumed for a back end that has not reported one.
 const DEFAULT_LIMIT: f64 = 8.0;
 
-/// A load report with the time at which it came.
+/// A load report with the time at which it was received.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     at: Instant,
     /// Running and queued requests.
     load: f64,
     limit: f64,
-    /// Calls outstanding from this node when the report came.
+    /// Calls of this node that were outstanding when the report was received.
     outstanding: u32,
 }
 
 /// State of one back end.
 #[derive(Clone, Debug)]
 pub(super) struct TargetState {
-    /// Run of the node beside the back end.
+    /// Incarnation of the node beside the back end.
     pub incarnation: Incarnation,
-    /// Health.
+    /// Health, from the results of calls.
     pub health: Health,
     outstanding: u32,
     latency_micros: f64,
@@ -50,8 +50,9 @@
         }
     }
 
-    /// Returns the load as a share of the limit, as far as it is known: what was reported,
-    /// changed by what this node has sent and got back since.
+    /// Returns the estimated load as a fraction of the limit: the reported load, plus the calls
+    /// that this node has sent since the report, minus those that have ended since. Without a
+    /// recent report, and at least, the load is the number of this node's outstanding calls.
     pub fn utilization(&self, now: Instant) -> f64 {
         let own = f64::from(self.outstanding);
         let load = match self.report {
@@ -64,18 +65,18 @@
         load / limit.max(1.0) / self.health.slow_start_fraction(now)
     }
 
-    /// Returns the mean latency in microseconds, zero if unknown.
+    /// Returns the average latency in microseconds, zero if unknown.
     pub fn latency_micros(&self) -> f64 {
         self.latency_micros
     }
 
-    /// Tells that a call was sent.
+    /// Records that a call was sent.
     pub fn on_started(&mut self, now: Instant) {
         self.outstanding += 1;
         self.health.on_started(now);
     }
 
-    /// Tells that a call has ended.
+    /// Records that a call has ended.
     pub fn on_finished(&mut self, now: Instant, latency: Duration, result: TargetResult) {
         self.outstanding = self.outstanding.saturating_sub(1);
         match result {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Takes in a load report.
+    /// Records a load report.
     pub fn on_load_report(&mut self, now: Instant, load: &LoadReport) {
         self.report = Some(Report {
             at: now,
--- a/crates/rillgap-core/src/store.rs
+++ b/crates/rillgap-core/src/store.rs
@@ -2,7 +2,7 @@
 
 use crate::id::NodeName;
 
-/// Identifies one request to the platform, drawn by the node.
+/// Identifier of a request to the platform, assigned by the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreRequestId(pub u64);
 
@@ -17,7 +17,7 @@
 /// A request to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// Reads an object; with `after`, waits until its index is larger or the wait ends.
+    /// Reads an object; with `after`, waits until its index is larger or the wait times out.
     Read {
         /// Object to read.
         key: StoreKey,
@@ -40,7 +40,7 @@
     },
 }
 
-/// An object as read.
+/// An object as returned by a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreObject {
     /// Index of its last change.
@@ -54,14 +54,14 @@
 pub struct Machine {
     /// Name of the node that runs on it.
     pub node: NodeName,
-    /// Whether it is leaving.
+    /// Whether the platform has announced that the machine will be taken out of service.
     pub leaving: bool,
 }
 
 /// A reply of the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReply {
-    /// The object as read.
+    /// The object that was read.
     Object(StoreObject),
     /// The write took effect; this is the new index.
     Written(ModifyIndex),
@@ -74,6 +74,6 @@
         /// Its entries.
         machines: Vec<Machine>,
     },
-    /// No usable answer came; a write may or may not have taken effect.
+    /// No usable reply was received; a write may or may not have taken effect.
     Failed,
 }
--- a/crates/rillgap-core/src/view.rs
+++ b/crates/rillgap-core/src/view.rs
@@ -1,4 +1,4 @@
-//! The agreed membership view: which nodes there are, where, and in which run.
+//! The membership view: the nodes of the deployment with their places and incarnations.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
     pub zone: ZoneName,
     /// Region of that zone.
     pub region: RegionName,
-    /// Run that joined.
+    /// Incarnation that joined.
     pub incarnation: Incarnation,
     /// Address of its mesh listener.
     pub mesh_address: SocketAddr,
@@ -29,12 +29,12 @@
     }
 }
 
-/// The agreed set of members, changed only by compare-and-set in the platform's store.
+/// The set of members, changed only by compare-and-set in the platform's store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct View {
     /// Version; a later view replaces an earlier one.
     pub version: ViewVersion,
-    /// Members in the order of their identifiers; successive views share them.
+    /// Members in the order of their identifiers; successive views share unchanged ones.
     pub members: Vec<Arc<Member>>,
 }
 
--- a/crates/rillgap-core/tests/call_path.rs
+++ b/crates/rillgap-core/tests/call_path.rs
@@ -1,4 +1,4 @@
-//! The data path over nodes joined in memory.
+//! Tests of the data path with nodes connected in memory.
 
 mod support;
 
@@ -38,14 +38,14 @@
 }
 
 #[gtest]
-fn an_answer_comes_home_whole() {
+fn a_complete_answer_reaches_the_caller() {
     let mut cluster = Cluster::new(&policy());
     let inbound = cluster.call("GET", "/page", None);
     cluster.answer(0, "page");
     let response = cluster.response(inbound);
     expect_that!(response.status, some(eq(200)));
     expect_that!(response.body, eq(b"page"));
-    expect_true!(response.whole);
+    expect_true!(response.is_complete);
 }
 
 #[gtest]
@@ -57,13 +57,13 @@
     let child = cluster.child_call(&node, Some(token), "/fare");
     expect_that!(node_of(&cluster, 1), eq("node-deep-1"));
     cluster.answer(1, "fare");
-    expect_true!(cluster.response(child).whole);
+    expect_true!(cluster.response(child).is_complete);
     cluster.answer(0, "page");
-    expect_true!(cluster.response(inbound).whole);
+    expect_true!(cluster.response(inbound).is_complete);
 }
 
 #[gtest]
-fn a_call_without_a_token_of_a_running_request_is_refused_before_it_runs() {
+fn a_call_without_the_token_of_a_running_request_is_refused_and_not_run() {
     let mut cluster = Cluster::new(&policy());
     cluster.call("GET", "/page", None);
     let token = cluster.calls[0].1.token;
@@ -79,7 +79,7 @@
 }
 
 #[gtest]
-fn repeats_of_a_back_end_are_charged_to_the_request_it_serves() {
+fn retries_of_a_back_end_are_charged_to_the_request_that_it_serves() {
     let policy = policy();
     let bound = usize::from(policy.bounds.extra_attempts);
     let mut cluster = Cluster::new(&policy);
@@ -112,7 +112,7 @@
 }
 
 #[gtest]
-fn a_request_that_was_not_run_moves_to_another_back_end() {
+fn a_request_that_was_not_run_is_retried_at_another_back_end() {
     let mut cluster = Cluster::new(&policy());
     let inbound = cluster.call("GET", "/page", None);
     let first = node_of(&cluster, 0);
@@ -121,11 +121,11 @@
     cluster.event(&first, Event::BackEndFailed { attempt, failure });
     expect_that!(node_of(&cluster, 0), not(eq(&first)));
     cluster.answer(0, "page");
-    expect_true!(cluster.response(inbound).whole);
+    expect_true!(cluster.response(inbound).is_complete);
 }
 
 #[gtest]
-fn a_body_that_breaks_off_never_looks_whole() {
+fn an_interrupted_body_is_not_reported_as_complete() {
     let mut cluster = Cluster::new(&policy());
     let inbound = cluster.call("GET", "/page", None);
     let node = node_of(&cluster, 0);
@@ -139,12 +139,12 @@
     cluster.event(&node, Event::BackEndHead { attempt, head });
     cluster.event(&node, Event::BackEndBody { attempt, chunk });
     cluster.event(&node, Event::BackEndFailed { attempt, failure });
-    expect_true!(cluster.response(inbound).broken);
-    expect_false!(cluster.response(inbound).whole);
+    expect_true!(cluster.response(inbound).is_aborted);
+    expect_false!(cluster.response(inbound).is_complete);
 }
 
 #[gtest]
-fn a_deadline_is_answered_at_once_and_the_work_is_cancelled() {
+fn a_passed_deadline_is_answered_and_the_work_is_cancelled() {
     let mut cluster = Cluster::new(&policy());
     let inbound = cluster.call("GET", "/page", None);
     cluster.advance(Duration::from_millis(1_010));
@@ -153,18 +153,18 @@
 }
 
 #[gtest]
-fn a_request_that_must_not_run_twice_needs_a_key() {
+fn a_request_that_is_not_repeatable_needs_a_key() {
     let mut cluster = Cluster::new(&policy());
     let without = cluster.call("POST", "/bookings", None);
     expect_that!(code(&cluster, without), some(eq(ResultCode::KeyRequired)));
     let key = fresh_key(&cluster);
     let with = cluster.call("POST", "/bookings", Some(key));
     cluster.answer(0, "booked");
-    expect_true!(cluster.response(with).whole);
+    expect_true!(cluster.response(with).is_complete);
 }
 
 #[gtest]
-fn a_keyed_request_that_broke_is_not_run_again() {
+fn a_keyed_request_that_was_interrupted_is_not_run_again() {
     let mut cluster = Cluster::new(&policy());
     let key = fresh_key(&cluster);
     let inbound = cluster.call("POST", "/bookings", Some(key));
@@ -177,7 +177,7 @@
 }
 
 #[gtest]
-fn a_leaving_back_end_gets_nothing_new() {
+fn a_leaving_back_end_gets_no_new_requests() {
     let mut policy = single_front();
     policy.back_ends[0].state = BackEndState::Leaving;
     let mut cluster = Cluster::new(&policy);
@@ -187,7 +187,7 @@
 }
 
 #[gtest]
-fn a_back_end_that_says_it_is_leaving_gets_nothing_new() {
+fn a_back_end_that_announced_leaving_gets_no_new_requests() {
     let mut cluster = Cluster::new(&single_front());
     cluster.event("node-front-1", Event::BackEndAnnounced { leaving: true });
     let inbound = cluster.call("GET", "/page", None);
@@ -199,13 +199,13 @@
 }
 
 #[gtest]
-fn a_planned_stop_finishes_what_is_in_flight() {
+fn a_planned_stop_finishes_the_requests_in_flight() {
     let mut cluster = Cluster::new(&single_front());
     let running = cluster.call("GET", "/page", None);
     cluster.event("node-front-1", Event::Stop);
     let later = cluster.call("GET", "/page", None);
     cluster.answer(0, "page");
-    expect_true!(cluster.response(running).whole);
+    expect_true!(cluster.response(running).is_complete);
     expect_that!(code(&cluster, later), some(eq(ResultCode::NodeStopping)));
 }
 
@@ -219,7 +219,7 @@
 }
 
 #[gtest]
-fn a_refused_retry_is_not_told_as_not_run_after_an_attempt_that_may_have_run() {
+fn a_refused_retry_is_not_reported_as_not_run_after_an_attempt_that_may_have_run() {
     let mut cluster = Cluster::new(&policy());
     let inbound = cluster.call("GET", "/page", None);
     for failure in [BackEndFailure::Broken, BackEndFailure::NotConnected] {
--- a/crates/rillgap-core/tests/policy.rs
+++ b/crates/rillgap-core/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Validation of policies and matching of routes.
+//! Tests of the validation of policies and the matching of routes.
 
 use googletest::prelude::*;
 use proptest::prelude::{ProptestConfig, any, prop, prop_assert, prop_assert_eq, proptest};
--- a/crates/rillgap-core/tests/routing_choice.rs
+++ b/crates/rillgap-core/tests/routing_choice.rs
@@ -1,4 +1,4 @@
-//! Choice of a back end.
+//! Tests of the selection of a back end.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,7 +22,7 @@
     Instant::from_micros(millis * 1_000)
 }
 
-/// `takst` with `per_zone` back ends in each of three zones; this node is in `hall-a`.
+/// The service `takst` with back ends in three zones; the routing node is in `hall-a`.
 struct Deployment {
     policy: Policy,
     view: View,
@@ -80,7 +80,7 @@
             .expect("a back end")
     }
 
-    /// Sends `calls` one after another and counts them by back end.
+    /// Sends `calls` calls one after another and counts them by back end.
     fn count_picks(&self, router: &mut Router, now: Instant, calls: u32) -> BTreeMap<String, u32> {
         let mut counts = BTreeMap::new();
         for _ in 0..calls {
@@ -121,7 +121,7 @@
 }
 
 #[gtest]
-fn own_zone_is_preferred_while_it_has_room() {
+fn own_zone_is_preferred_while_it_has_capacity() {
     let deployment = Deployment::new(2);
     let mut router = Router::new(7);
     let counts = deployment.count_picks(&mut router, at(0), 200);
@@ -166,7 +166,7 @@
 }
 
 #[gtest]
-fn failing_back_end_is_left_out_and_probed() {
+fn failing_back_end_is_ejected_and_probed() {
     let deployment = Deployment::new(1);
     let mut router = Router::new(7);
     deployment.fail(&mut router, at(0), "hall-a-0", 5);
@@ -191,7 +191,7 @@
 }
 
 #[gtest]
-fn failures_everywhere_leave_nobody_out() {
+fn failures_of_all_back_ends_eject_none() {
     let deployment = Deployment::new(1);
     let mut router = Router::new(7);
     for zone in ZONES {
--- a/crates/rillgap-core/tests/support/mod.rs
+++ b/crates/rillgap-core/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A few nodes joined in memory: messages arrive at once and in order, time moves by hand.
+//! Nodes connected in memory: messages are delivered immediately and in order, and tests advance
+//! the time.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -18,17 +19,17 @@
 use rillgap_core::time::{Instant, Now, WallTime};
 use rillgap_core::view::{Member, View};
 
-/// What a caller was told.
+/// Response that a caller has received.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Response {
     pub refusal: Option<Refusal>,
     pub status: Option<u16>,
     pub body: Vec<u8>,
-    pub whole: bool,
-    pub broken: bool,
+    pub is_complete: bool,
+    pub is_aborted: bool,
 }
 
-/// Nodes `entry`, `node-front-1`, `node-front-2` and `node-deep-1`, with their back ends.
+/// The nodes `entry`, `node-front-1`, `node-front-2` and `node-deep-1` with their back ends.
 pub struct Cluster {
     pub now: Now,
     pub nodes: BTreeMap<NodeId, Node>,
@@ -184,13 +185,13 @@
         inbound
     }
 
-    /// Feeds an event to a node and runs until nothing moves any more.
+    /// Passes an event to a node and processes all events that result from it.
     pub fn event(&mut self, node: &str, event: Event) {
         self.queue.push_back((NodeId::from_name(node), event));
         self.run();
     }
 
-    /// Moves time forward in steps of ten milliseconds, waking every node at each.
+    /// Advances the time in steps of ten milliseconds and wakes all nodes after each step.
     pub fn advance(&mut self, duration: Duration) {
         const STEP: Duration = Duration::from_millis(10);
         let end = self.now.instant + duration;
@@ -223,11 +224,11 @@
         self.run();
     }
 
-    /// Returns what the caller of a request was told.
+    /// Returns the response that the caller of a request has received.
     pub fn response(&self, inbound: InboundId) -> &Response {
         self.responses
             .get(&inbound)
-            .unwrap_or(const { &Response::NOTHING })
+            .unwrap_or(const { &Response::EMPTY })
     }
 
     fn run(&mut self) {
@@ -272,10 +273,10 @@
                     .extend_from_slice(&chunk);
             }
             Action::AnswerEnd { inbound } => {
-                self.responses.entry(inbound).or_default().whole = true
+                self.responses.entry(inbound).or_default().is_complete = true
             }
             Action::AnswerAbort { inbound } => {
-                self.responses.entry(inbound).or_default().broken = true
+                self.responses.entry(inbound).or_default().is_aborted = true
             }
             _ => {}
         }
@@ -283,11 +284,11 @@
 }
 
 impl Response {
-    const NOTHING: Self = Self {
+    const EMPTY: Self = Self {
         refusal: None,
         status: None,
         body: Vec::new(),
-        whole: false,
-        broken: false,
+        is_complete: false,
+        is_aborted: false,
     };
 }
