--- a/crates/rillgap-core/src/call/entry.rs
+++ b/crates/rillgap-core/src/call/entry.rs
@@ -131,8 +131,8 @@
 
 /// Returns the policy if the node currently accepts requests of callers.
 ///
-/// A keyed request that is refused here gets the outcome unknown: an earlier attempt of the same
-/// key may have run, and no claim replica was queried.
+/// A keyed request is refused here with an unknown outcome: an earlier attempt of the same key
+/// may have run, and no claim replica was queried.
 fn ready_policy(
     now: Now,
     sender: &Sender,
--- a/crates/rillgap-core/src/call/outgoing.rs
+++ b/crates/rillgap-core/src/call/outgoing.rs
@@ -75,7 +75,7 @@
     pub keyed: Option<KeyedAttempt>,
     /// Method, target and headers.
     pub head: RequestHead,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
     /// Time at which the request arrived.
     pub arrived: Instant,
--- a/crates/rillgap-core/src/call/sender/attempts.rs
+++ b/crates/rillgap-core/src/call/sender/attempts.rs
@@ -19,18 +19,18 @@
     /// Starts the next attempt of a call.
     ///
     /// `refused` is the keyed attempt whose claim the new one takes over, `None` if there is none.
-    /// `otherwise` is the reason of the refusal if no back end is available.
+    /// `fallback_code` is the reason of the refusal if no back end is available.
     pub(super) fn begin_attempt(
         &mut self,
         now: Now,
         id: CallId,
         refused: Option<AttemptId>,
-        otherwise: ResultCode,
+        fallback_code: ResultCode,
         runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let Some(target) = self.pick(now, id, ports) else {
-            self.refuse_untargeted(now, id, refused, otherwise, runner, ports);
+            self.refuse_untargeted(now, id, refused, fallback_code, runner, ports);
             return;
         };
         let Some(call) = self.calls.get_mut(&id) else {
@@ -86,19 +86,19 @@
         now: Now,
         id: CallId,
         refused: Option<AttemptId>,
-        otherwise: ResultCode,
+        fallback_code: ResultCode,
         runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         if let Some(attempt) = refused {
-            self.refuse_and_release(now, attempt, refusal_for(otherwise), runner, ports);
+            self.refuse_and_release(now, attempt, refusal_for(fallback_code), runner, ports);
             return;
         }
         let keyed = self.calls.get(&id).is_some_and(|call| call.keyed.is_some());
         let code = if keyed {
             ResultCode::KeyUnchecked
         } else {
-            otherwise
+            fallback_code
         };
         self.refuse(id, refusal_for(code), runner, ports);
     }
--- a/crates/rillgap-core/src/fingerprint.rs
+++ b/crates/rillgap-core/src/fingerprint.rs
@@ -1,6 +1,6 @@
 //! Digest of the content of a request.
 //!
-//! It shows whether two requests ask for the same although their identifiers differ. Decisions on
+//! Equal fingerprints mean equal content, although the request identifiers differ. Decisions on
 //! the requests of other callers depend on it, so it must be infeasible to construct a request with
 //! the fingerprint of another one. Logs and messages contain it in place of the content.
 
--- a/crates/rillgap-core/src/message.rs
+++ b/crates/rillgap-core/src/message.rs
@@ -64,7 +64,7 @@
 /// Messages of the data path.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum CallMessage {
-    /// Asks the node beside a back end to run an attempt.
+    /// Dispatches an attempt to the node beside a back end.
     Dispatch(Box<Dispatch>),
     /// The back end's answer begins.
     AnswerHead {
--- a/crates/rillgap-core/src/operator.rs
+++ b/crates/rillgap-core/src/operator.rs
@@ -66,7 +66,7 @@
     pub node: NodeName,
     /// Zone of the node.
     pub zone: ZoneName,
-    /// Whether this node receives messages from it.
+    /// Whether the member counts as reachable: neither it nor its zone is suspected to have failed.
     pub reachable: bool,
     /// Policy version that it last confirmed.
     pub policy: PolicyVersion,
--- a/crates/rillgap-core/src/policy/mod.rs
+++ b/crates/rillgap-core/src/policy/mod.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// The whole policy of one deployment.
+/// The complete policy of a deployment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
--- a/crates/rillgap-core/src/routing/mod.rs
+++ b/crates/rillgap-core/src/routing/mod.rs
@@ -29,7 +29,7 @@
     pub back_end: BackEndName,
 }
 
-/// Result of a call to a target, as far as it matters to routing.
+/// Result of a call to a target, as it is used by routing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetResult {
     /// Answered completely.
--- a/crates/rillgap-core/src/view.rs
+++ b/crates/rillgap-core/src/view.rs
@@ -1,4 +1,4 @@
-//! The membership view: the nodes of the deployment with their places and incarnations.
+//! The membership view: the nodes of the deployment with their zones and incarnations.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
