--- a/crates/rillgap-core/src/call/sender/answers.rs
+++ b/crates/rillgap-core/src/call/sender/answers.rs
@@ -1,11 +1,11 @@
-//! Answers of attempts, on their way back to the caller.
+//! Forwards answers of attempts to the caller.
 
 use bytes::Bytes;
 
-use super::{AnswerTrailer, Sender, plain};
+use super::{AnswerTrailer, Sender, refusal_for};
 use crate::action::{Action, Observation};
 use crate::admission::LoadReport;
-use crate::call::gate::Gate;
+use crate::call::attempt_runner::AttemptRunner;
 use crate::call::outgoing::{OutgoingCall, Phase};
 use crate::call::ports::Ports;
 use crate::code::ResultCode;
@@ -17,17 +17,17 @@
 use crate::time::Now;
 
 impl Sender {
-    /// Passes on the head of an answer.
+    /// Forwards the head of an answer.
     pub fn on_head(
         &mut self,
         now: Now,
         attempt: AttemptId,
         head: AnswerHead,
         load: &LoadReport,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
-        self.observe_load(now, attempt, load, gate);
+        self.observe_load(now, attempt, load, runner);
         let Some(call) = self.current(attempt) else {
             return;
         };
@@ -39,10 +39,10 @@
             return;
         }
         current.phase = Phase::Answering { parts: 0 };
-        ports.act(Action::AnswerHead { inbound, head });
+        ports.emit(Action::AnswerHead { inbound, head });
     }
 
-    /// Passes on a part of an answer; a gap breaks the answer off.
+    /// Forwards a part of an answer's body; a gap in the sequence aborts the answer.
     pub fn on_body(
         &mut self,
         now: Now,
@@ -58,40 +58,40 @@
         match call.attempt.as_mut().map(|current| &mut current.phase) {
             Some(Phase::Answering { parts }) if *parts == sequence => {
                 *parts += 1;
-                ports.act(Action::AnswerBody {
+                ports.emit(Action::AnswerBody {
                     inbound,
                     chunk: Bytes::from(chunk),
                 });
             }
-            Some(Phase::Answering { .. }) => self.break_off(now, attempt, ports),
+            Some(Phase::Answering { .. }) => self.abort_answer(now, attempt, ports),
             _ => {}
         }
     }
 
-    /// Ends an answer that is whole; one with a part missing is broken off.
+    /// Completes an answer; one with a missing part is aborted.
     pub fn on_end(
         &mut self,
         now: Now,
         attempt: AttemptId,
         end: AnswerTrailer,
         load: &LoadReport,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let AnswerTrailer { parts, unspent } = end;
-        self.observe_load(now, attempt, load, gate);
+        self.observe_load(now, attempt, load, runner);
         let Some(phase) = self.current(attempt).and_then(|call| call.phase()) else {
             return;
         };
         if phase != (Phase::Answering { parts }) && phase != Phase::Orphaned {
-            self.break_off(now, attempt, ports);
+            self.abort_answer(now, attempt, ports);
             return;
         }
-        self.restore(attempt, unspent, gate);
+        self.restore(attempt, unspent, runner);
         let Some(call) = self.remove(attempt.call) else {
             return;
         };
-        self.settle_target(now, &call, TargetResult::Answered);
+        self.report_removed_call(now, &call, TargetResult::Answered);
         self.retry_budget.record_success(&call.service);
         if call.parent.is_none() {
             self.entry_admission
@@ -105,21 +105,21 @@
         }
         if phase != Phase::Orphaned {
             let latency = now.instant.saturating_since(call.arrived);
-            ports.act(Action::AnswerEnd {
+            ports.emit(Action::AnswerEnd {
                 inbound: call.inbound,
             });
-            ports.act(Action::Observe(Observation::Answered { latency }));
+            ports.emit(Action::Observe(Observation::Answered { latency }));
         }
     }
 
-    /// Handles an attempt that may have run and brought no whole answer.
+    /// Handles an attempt that may have run and gave no complete answer.
     pub fn on_failed(
         &mut self,
         now: Now,
         attempt: AttemptId,
         refusal: Refusal,
         unspent: u8,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let Some(call) = self.current(attempt) else {
@@ -127,17 +127,17 @@
         };
         let (phase, repeatable) = (call.phase(), call.repeatable);
         call.earlier_failure = Some(refusal);
-        self.restore(attempt, unspent, gate);
-        self.end_target(now, attempt, TargetResult::Failed);
+        self.restore(attempt, unspent, runner);
+        self.report_attempt_end(now, attempt, TargetResult::Failed);
         match phase {
             Some(Phase::Waiting) if repeatable => {
-                self.retry(now, attempt, refusal, gate, ports);
+                self.retry(now, attempt, refusal, runner, ports);
             }
             Some(Phase::Waiting) => {
                 self.abandon_claim(now, attempt, ports);
-                self.refuse(attempt.call, refusal, gate, ports);
+                self.refuse(attempt.call, refusal, runner, ports);
             }
-            Some(Phase::Answering { .. }) => self.break_off(now, attempt, ports),
+            Some(Phase::Answering { .. }) => self.abort_answer(now, attempt, ports),
             _ => {
                 self.abandon_claim(now, attempt, ports);
                 self.remove(attempt.call);
@@ -152,26 +152,26 @@
         attempt: AttemptId,
         refusal: Refusal,
         load: &LoadReport,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
-        self.observe_load(now, attempt, load, gate);
+        self.observe_load(now, attempt, load, runner);
         let Some(call) = self.current(attempt) else {
             return;
         };
         let phase = call.phase();
-        self.restore(attempt, u8::MAX, gate);
-        self.end_target(now, attempt, result_of_refusal(refusal));
+        self.restore(attempt, u8::MAX, runner);
+        self.report_attempt_end(now, attempt, target_result(refusal));
         if phase == Some(Phase::Orphaned) {
             self.release_claim(now, attempt, ports);
             self.remove(attempt.call);
             return;
         }
-        self.mark_child_not_run(attempt.call, gate);
-        self.retry(now, attempt, refusal, gate, ports);
+        self.mark_child_not_run(attempt.call, runner);
+        self.retry(now, attempt, refusal, runner, ports);
     }
 
-    /// Tells the node beside the back end that the caller took in a part of the answer.
+    /// Sends the node beside the back end credit for the bytes that the caller has consumed.
     pub fn on_consumed(&mut self, inbound: InboundId, bytes: u32, ports: &mut Ports<'_, '_>) {
         let call = self
             .by_inbound
@@ -186,12 +186,12 @@
         }
     }
 
-    /// Fails the attempts whose answers were lost with a link.
+    /// Fails the attempts whose answers were expected over a lost link.
     pub fn on_peer_lost(
         &mut self,
         now: Now,
         peer: NodeId,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let lost: Vec<AttemptId> = self
@@ -202,18 +202,18 @@
             .map(|attempt| attempt.id)
             .collect();
         for attempt in lost {
-            let refusal = plain(ResultCode::AnswerLost);
-            self.on_failed(now, attempt, refusal, 0, gate, ports);
+            let refusal = refusal_for(ResultCode::AnswerLost);
+            self.on_failed(now, attempt, refusal, 0, runner, ports);
         }
     }
 
-    /// Breaks the transfer to the caller off; it must not look whole.
-    pub(super) fn break_off(&mut self, now: Now, attempt: AttemptId, ports: &mut Ports<'_, '_>) {
+    /// Aborts the transfer to the caller, so that the answer does not look complete.
+    pub(super) fn abort_answer(&mut self, now: Now, attempt: AttemptId, ports: &mut Ports<'_, '_>) {
         let Some(call) = self.calls.get(&attempt.call) else {
             return;
         };
         let inbound = call.inbound;
-        ports.act(Action::AnswerAbort { inbound });
+        ports.emit(Action::AnswerAbort { inbound });
         self.abandon_claim(now, attempt, ports);
         self.remove(attempt.call);
     }
@@ -223,7 +223,7 @@
         now: Now,
         attempt: AttemptId,
         load: &LoadReport,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
     ) {
         let Some(call) = self.calls.get(&attempt.call) else {
             return;
@@ -231,24 +231,34 @@
         self.entry_admission
             .record_levels(now.instant, &call.service, load);
         if let Some(link) = call.parent {
-            gate.record_nested_load(link.attempt, load);
+            runner.record_nested_load(link.attempt, load);
         }
         if let Some(current) = &call.attempt {
             self.router
-                .observe(now.instant, &current.target.back_end, load);
+                .on_load_report(now.instant, &current.target.back_end, load);
         }
     }
 
-    /// Tells routing how the attempt under way of a call ended.
-    pub(super) fn end_target(&mut self, now: Now, attempt: AttemptId, result: TargetResult) {
+    /// Reports the result of a call's current attempt to the router.
+    pub(super) fn report_attempt_end(
+        &mut self,
+        now: Now,
+        attempt: AttemptId,
+        result: TargetResult,
+    ) {
         if let Some(call) = self.calls.get(&attempt.call) {
-            report_end(&mut self.router, now, call, result);
+            report_to_router(&mut self.router, now, call, result);
         }
     }
 
-    /// Tells routing how the last attempt of a call that was removed ended.
-    pub(super) fn settle_target(&mut self, now: Now, call: &OutgoingCall, result: TargetResult) {
-        report_end(&mut self.router, now, call, result);
+    /// Reports the result of the last attempt of a removed call to the router.
+    pub(super) fn report_removed_call(
+        &mut self,
+        now: Now,
+        call: &OutgoingCall,
+        result: TargetResult,
+    ) {
+        report_to_router(&mut self.router, now, call, result);
     }
 
     pub(super) fn current(&mut self, attempt: AttemptId) -> Option<&mut OutgoingCall> {
@@ -258,16 +268,18 @@
     }
 }
 
-fn report_end(router: &mut Router, now: Now, call: &OutgoingCall, result: TargetResult) {
+fn report_to_router(router: &mut Router, now: Now, call: &OutgoingCall, result: TargetResult) {
     if let Some(current) = &call.attempt {
         let latency = now.instant.saturating_since(current.begun_at);
-        router.finished(now.instant, &current.target, latency, result);
+        router.on_finished(now.instant, &current.target, latency, result);
     }
 }
 
-/// Returns what a refusal says about the target. A back end that cannot be reached refuses at once
-/// and looks idle: it must be left out like one that fails, or it draws all calls.
-fn result_of_refusal(refusal: Refusal) -> TargetResult {
+/// Returns the result that a refusal counts as for its target.
+///
+/// Attempts at an unreachable back end are refused immediately, so it looks idle: it must be
+/// ejected like a failing one, or it attracts all calls.
+fn target_result(refusal: Refusal) -> TargetResult {
     match refusal.code {
         ResultCode::BackEndUnreachable => TargetResult::Unreachable,
         _ => TargetResult::Refused,
--- a/crates/rillgap-core/src/routing/router.rs
+++ b/crates/rillgap-core/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! Choice of a back end.
+//! Selection of a back end.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,32 +15,35 @@
 use crate::time::Instant;
 use crate::view::Member;
 
-/// Load of the own zone, as a share of its limit, from which other zones are considered.
-const SPILL_UTILIZATION: f64 = 0.7;
-/// Load that a back end of another zone must be below the own zone's best to be chosen.
-const ZONE_ADVANTAGE: f64 = 0.1;
-/// Bounds of a back end's latency relative to the fastest, as a factor on its load.
-const LATENCY_FACTOR: (f64, f64) = (1.0, 8.0);
-/// Time after the router's first choice from which a new back end counts as returning.
-const SETTLED: Duration = Duration::from_secs(5);
+/// Utilization of the own zone's candidate from which other zones are considered; they also are
+/// if its cost reaches twice this value.
+const SPILLOVER_UTILIZATION: f64 = 0.7;
+/// Difference by which the cost of a back end in another zone must be below that of the own zone.
+const CROSS_ZONE_MARGIN: f64 = 0.1;
+/// Range of the latency factor: a back end's latency relative to the fastest, multiplied with its
+/// utilization to get its cost.
+const LATENCY_FACTOR_RANGE: (f64, f64) = (1.0, 8.0);
+/// Time after the router's first selection. Back ends that appear later begin with a slow start;
+/// earlier ones do not, because all of them are new to a router that has just started.
+const WARM_UP_TIME: Duration = Duration::from_secs(5);
 
-/// A candidate with what routing weighs.
+/// A candidate with the values that the selection compares.
 #[derive(Clone, Debug)]
 struct Candidate {
     target: Target,
-    local: bool,
+    in_own_zone: bool,
     availability: Availability,
     is_unreachable: bool,
     cost: f64,
     utilization: f64,
 }
 
-/// Chooses back ends by power of two choices over their load.
+/// Selects back ends by power of two choices over their load.
 #[derive(Clone, Debug)]
 pub struct Router {
     random: ChaCha8Rng,
     targets: BTreeMap<BackEndName, TargetState>,
-    first_choice: Option<Instant>,
+    first_pick_at: Option<Instant>,
 }
 
 impl Default for Router {
@@ -50,16 +53,16 @@
 }
 
 impl Router {
-    /// Creates a router whose random draws follow from `seed`.
+    /// Creates a router whose random numbers are determined by `seed`.
     pub fn new(seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             targets: BTreeMap::new(),
-            first_choice: None,
+            first_pick_at: None,
         }
     }
 
-    /// Chooses a serving back end of `service` that is not in `excluded`, or `None`.
+    /// Selects a serving back end of `service` that is not in `excluded`; `None` if there is none.
     pub fn pick(
         &mut self,
         now: Instant,
@@ -67,33 +70,33 @@
         service: &ServiceName,
         excluded: &[BackEndName],
     ) -> Option<Target> {
-        let first_choice = *self.first_choice.get_or_insert(now);
-        let settled = now.saturating_since(first_choice) >= SETTLED;
-        let serving = self.serving(now, candidates, service, excluded, settled);
-        let usable = usable(serving);
+        let first_pick_at = *self.first_pick_at.get_or_insert(now);
+        let is_warmed_up = now.saturating_since(first_pick_at) >= WARM_UP_TIME;
+        let serving = self.serving(now, candidates, service, excluded, is_warmed_up);
+        let usable = without_ejected(serving);
         self.choose(usable)
     }
 
-    /// Tells that an attempt was sent to a target.
-    pub fn started(&mut self, now: Instant, target: &Target) {
-        self.state(target).started(now);
+    /// Records that an attempt was sent to a target.
+    pub fn on_started(&mut self, now: Instant, target: &Target) {
+        self.state(target).on_started(now);
     }
 
-    /// Tells that an attempt at a target has ended after `latency`.
-    pub fn finished(
+    /// Records that an attempt at a target has ended after `latency`.
+    pub fn on_finished(
         &mut self,
         now: Instant,
         target: &Target,
         latency: Duration,
         result: TargetResult,
     ) {
-        self.state(target).finished(now, latency, result);
+        self.state(target).on_finished(now, latency, result);
     }
 
-    /// Takes in the load that an answer of a target carried.
-    pub fn observe(&mut self, now: Instant, back_end: &BackEndName, load: &LoadReport) {
+    /// Records the load report that came with an answer of a target.
+    pub fn on_load_report(&mut self, now: Instant, back_end: &BackEndName, load: &LoadReport) {
         if let Some(state) = self.targets.get_mut(back_end) {
-            state.observe(now, load);
+            state.on_load_report(now, load);
         }
     }
 
@@ -110,12 +113,12 @@
         candidates: Candidates<'_>,
         service: &ServiceName,
         excluded: &[BackEndName],
-        settled: bool,
+        is_warmed_up: bool,
     ) -> Vec<Candidate> {
         let mut serving = Vec::new();
         for back_end in candidates.policy.back_ends_of(service) {
             if back_end.state == BackEndState::Leaving {
-                // Forgotten, so that it comes back slowly when it returns into service.
+                // Without a stored state, it begins with a slow start when it serves again.
                 self.targets.remove(&back_end.name);
                 continue;
             }
@@ -125,7 +128,7 @@
             if excluded.contains(&back_end.name) {
                 continue;
             }
-            let state = self.refresh(now, &back_end.name, member, settled);
+            let state = self.refresh(now, &back_end.name, member, is_warmed_up);
             serving.push(candidate(
                 now,
                 &back_end.name,
@@ -134,25 +137,25 @@
                 state,
             ));
         }
-        weigh_latency(&mut serving, &self.targets);
+        apply_latency_factor(&mut serving, &self.targets);
         serving
     }
 
-    /// Returns the state of a back end; a new run of its node begins afresh.
+    /// Returns the state of a back end; a new incarnation of its node begins with a new state.
     fn refresh(
         &mut self,
         now: Instant,
         name: &BackEndName,
         member: &Member,
-        settled: bool,
+        is_warmed_up: bool,
     ) -> &TargetState {
         let known = self
             .targets
             .get(name)
             .is_some_and(|state| state.incarnation == member.incarnation);
         if !known {
-            let health = if settled {
-                Health::returning(now)
+            let health = if is_warmed_up {
+                Health::slow_starting(now)
             } else {
                 Health::default()
             };
@@ -169,18 +172,19 @@
         {
             return Some(probe.target.clone());
         }
-        let (local, remote): (Vec<_>, Vec<_>) =
-            usable.into_iter().partition(|candidate| candidate.local);
+        let (local, remote): (Vec<_>, Vec<_>) = usable
+            .into_iter()
+            .partition(|candidate| candidate.in_own_zone);
         let local = self.better_of_two(&local);
         if let Some(local) = &local
-            && local.utilization < SPILL_UTILIZATION
-            && local.cost < SPILL_UTILIZATION * 2.0
+            && local.utilization < SPILLOVER_UTILIZATION
+            && local.cost < SPILLOVER_UTILIZATION * 2.0
         {
             return Some(local.target.clone());
         }
         let remote = self.better_of_two(&remote);
         match (local, remote) {
-            (Some(local), Some(remote)) if remote.cost + ZONE_ADVANTAGE < local.cost => {
+            (Some(local), Some(remote)) if remote.cost + CROSS_ZONE_MARGIN < local.cost => {
                 Some(remote.target)
             }
             (Some(local), _) => Some(local.target),
@@ -228,7 +232,7 @@
             address: member.mesh_address,
             back_end: name.clone(),
         },
-        local: member.zone == *zone,
+        in_own_zone: member.zone == *zone,
         availability: state.health.availability(now),
         is_unreachable: state.health.is_unreachable(),
         cost: utilization,
@@ -236,8 +240,11 @@
     }
 }
 
-/// Raises the cost of back ends that answer slower than the fastest.
-fn weigh_latency(candidates: &mut [Candidate], targets: &BTreeMap<BackEndName, TargetState>) {
+/// Raises the cost of back ends with a higher latency than the fastest.
+fn apply_latency_factor(
+    candidates: &mut [Candidate],
+    targets: &BTreeMap<BackEndName, TargetState>,
+) {
     let latency = |candidate: &Candidate| {
         targets
             .get(&candidate.target.back_end)
@@ -249,17 +256,17 @@
         .filter(|latency| *latency > 0.0)
         .fold(f64::INFINITY, f64::min);
     for candidate in candidates {
-        let (least, most) = LATENCY_FACTOR;
-        let factor = (latency(candidate) / fastest).clamp(least, most);
+        let (min, max) = LATENCY_FACTOR_RANGE;
+        let factor = (latency(candidate) / fastest).clamp(min, max);
         candidate.cost *= factor;
     }
 }
 
-/// Leaves out ejected back ends, unless that would leave out more than half of them: then it is
-/// more likely that something else is wrong. Those that cannot be reached are left out as long as
-/// any other is there: they refuse at once, look idle and would draw all calls.
-fn usable(serving: Vec<Candidate>) -> Vec<Candidate> {
-    let serving = reachable(serving);
+/// Removes ejected back ends, unless they are more than half of all: then the cause is probably
+/// not the back ends. Unreachable ones are removed while there is any other: calls to them are
+/// refused immediately, so they look idle and would attract all calls.
+fn without_ejected(serving: Vec<Candidate>) -> Vec<Candidate> {
+    let serving = without_unreachable(serving);
     let ejected = serving
         .iter()
         .filter(|candidate| candidate.availability == Availability::Ejected)
@@ -273,7 +280,7 @@
         .collect()
 }
 
-fn reachable(serving: Vec<Candidate>) -> Vec<Candidate> {
+fn without_unreachable(serving: Vec<Candidate>) -> Vec<Candidate> {
     let is_usable = |candidate: &Candidate| {
         !candidate.is_unreachable || candidate.availability == Availability::Probe
     };
