--- a/crates/rillgap-core/src/configuration/acceptance.rs
+++ b/crates/rillgap-core/src/configuration/acceptance.rs
@@ -1,31 +1,31 @@
-//! Acceptance: waits until every machine of the view has confirmed a stored change.
+//! Acceptance: waits deadline every machine of the view has confirmed a stored change.
 
 use std::time::Duration;
 
-use super::scope::Scope;
+use super::context::StepContext;
 use crate::id::PolicyVersion;
 use crate::operator::{ChangeState, OperatorReply, OperatorRequestId};
 use crate::time::Instant;
 
 /// Longest wait before a change is reported as pending.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const ACCEPTANCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Pause between two looks at the confirmations.
-const PAUSE: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An operator who waits for a change to be accepted.
 #[derive(Debug)]
 struct Waiter {
     request: OperatorRequestId,
     version: PolicyVersion,
-    until: Instant,
+    deadline: Instant,
 }
 
 /// The operators who wait.
 #[derive(Debug, Default)]
 pub struct Acceptance {
     waiters: Vec<Waiter>,
-    next_look: Option<Instant>,
+    next_check: Option<Instant>,
 }
 
 impl Acceptance {
@@ -34,50 +34,50 @@
         self.waiters.push(Waiter {
             request,
             version,
-            until: now + LONGEST_WAIT,
+            deadline: now + ACCEPTANCE_TIMEOUT,
         });
-        self.next_look = Some(now);
+        self.next_check = Some(now);
     }
 
     /// Replies to those whose change is accepted or whose wait is over.
-    pub fn poll(&mut self, scope: &mut Scope<'_>) {
-        if self.next_look.is_none_or(|due| scope.now < due) {
+    pub fn poll(&mut self, context: &mut StepContext<'_>) {
+        if self.next_check.is_none_or(|due| context.now < due) {
             return;
         }
-        let now = scope.now;
+        let now = context.now;
         self.waiters.retain(|waiter| {
-            let state = state(scope, waiter.version);
-            let done = state == ChangeState::Accepted || now >= waiter.until;
+            let state = state(context, waiter.version);
+            let done = state == ChangeState::Accepted || now >= waiter.deadline;
             if done {
-                report(scope, waiter.request, waiter.version, state);
+                report(context, waiter.request, waiter.version, state);
             }
             !done
         });
-        self.next_look = (!self.waiters.is_empty()).then(|| now + PAUSE);
+        self.next_check = (!self.waiters.is_empty()).then(|| now + CHECK_INTERVAL);
     }
 
     /// Returns when [`Self::poll`] looks next.
     pub fn next_wake(&self) -> Option<Instant> {
-        self.next_look
+        self.next_check
     }
 }
 
 /// Tells an operator how far a change has come.
 pub fn report(
-    scope: &mut Scope<'_>,
+    context: &mut StepContext<'_>,
     request: OperatorRequestId,
     version: PolicyVersion,
     state: ChangeState,
 ) {
-    scope.reply(request, OperatorReply::Change { version, state });
+    context.reply(request, OperatorReply::Change { version, state });
 }
 
 /// Returns how far a version has come.
 ///
 /// A node that is out of touch may not know the latest view, so it reports none as accepted.
-pub fn state(scope: &Scope<'_>, version: PolicyVersion) -> ChangeState {
-    let unconfirmed = scope.membership.unconfirmed(version);
-    if unconfirmed.missing == 0 && scope.in_touch {
+pub fn state(context: &StepContext<'_>, version: PolicyVersion) -> ChangeState {
+    let unconfirmed = context.membership.unconfirmed(version);
+    if unconfirmed.missing == 0 && context.may_serve {
         return ChangeState::Accepted;
     }
     ChangeState::Pending {
--- a/crates/rillgap-core/src/configuration/alteration.rs
+++ b/crates/rillgap-core/src/configuration/alteration.rs
@@ -2,7 +2,7 @@
 
 use super::document::PolicyDocument;
 use super::message::BackEndChange;
-use super::spread::News;
+use super::spread::PeerUpdate;
 use crate::code::ResultCode;
 use crate::id::{BackEndName, ChangeId, PolicyVersion};
 use crate::policy::{BackEndState, Policy};
@@ -28,42 +28,42 @@
 
 /// What an alteration makes of a document.
 #[derive(Debug)]
-pub enum Planned {
+pub enum Plan {
     /// The document that follows.
     Next(Box<PolicyDocument>),
     /// The document is older than the expected version.
-    NotYet,
+    BaseOutdated,
     /// The alteration cannot be made.
     Refused(ResultCode),
 }
 
 impl Alteration {
     /// Plans the document that follows `base`.
-    pub fn plan(&self, base: &PolicyDocument, change: ChangeId) -> Planned {
+    pub fn plan(&self, base: &PolicyDocument, change: ChangeId) -> Plan {
         match self {
             Self::Policy { policy, expected } => {
                 let expected = expected.unwrap_or(base.policy.version);
                 if expected < base.policy.version {
-                    return Planned::Refused(ResultCode::VersionConflict);
+                    return Plan::Refused(ResultCode::VersionConflict);
                 }
                 if expected > base.policy.version {
-                    return Planned::NotYet;
+                    return Plan::BaseOutdated;
                 }
-                Planned::Next(Box::new(base.replaced_by((**policy).clone(), change)))
+                Plan::Next(Box::new(base.with_policy((**policy).clone(), change)))
             }
             Self::BackEnd { name, state } => base
                 .with_back_end(name, *state, change)
-                .map_or(Planned::Refused(ResultCode::TargetUnknown), |next| {
-                    Planned::Next(Box::new(next))
+                .map_or(Plan::Refused(ResultCode::TargetUnknown), |next| {
+                    Plan::Next(Box::new(next))
                 }),
         }
     }
 
     /// Returns what other nodes are told of a change that made `version`.
-    pub fn news(&self, change: ChangeId, version: PolicyVersion) -> News {
+    pub fn peer_update(&self, change: ChangeId, version: PolicyVersion) -> PeerUpdate {
         match self {
-            Self::Policy { .. } => News::Version(version),
-            Self::BackEnd { name, state } => News::BackEnd(BackEndChange {
+            Self::Policy { .. } => PeerUpdate::Version(version),
+            Self::BackEnd { name, state } => PeerUpdate::BackEnd(BackEndChange {
                 base: PolicyVersion(version.0.saturating_sub(1)),
                 change,
                 back_end: name.clone(),
--- a/crates/rillgap-core/src/configuration/changes.rs
+++ b/crates/rillgap-core/src/configuration/changes.rs
@@ -4,9 +4,9 @@
 
 use super::acceptance::Acceptance;
 use super::alteration::Alteration;
-use super::document::{Held, PolicyDocument};
-use super::scope::Scope;
-use super::write::{Write, WriteEnd, WriteStep};
+use super::context::StepContext;
+use super::document::{HeldDocument, PolicyDocument};
+use super::write::{PolicyWrite, WriteOutcome, WriteStep};
 use crate::code::ResultCode;
 use crate::id::{ChangeId, PolicyVersion};
 use crate::operator::OperatorRequestId;
@@ -14,14 +14,14 @@
 use crate::time::Instant;
 
 /// Most changes that wait for their turn.
-const MAX_WAITING: usize = 16;
+const MAX_QUEUED: usize = 16;
 
 /// Unsettled changes that are remembered.
 const MAX_UNSETTLED: usize = 64;
 
 /// A change that waits for its turn.
 #[derive(Debug)]
-struct Waiting {
+struct QueuedChange {
     change: ChangeId,
     alteration: Alteration,
     requests: Vec<OperatorRequestId>,
@@ -29,15 +29,15 @@
 
 /// The change that is on its way into the store.
 #[derive(Debug)]
-struct Active {
-    write: Write,
+struct ActiveChange {
+    write: PolicyWrite,
     round: u64,
     requests: Vec<OperatorRequestId>,
 }
 
 /// Document that a step brought to light.
 #[derive(Debug)]
-pub struct Finding {
+pub struct ObservedDocument {
     /// The document.
     pub document: PolicyDocument,
     /// The change that was just written, if this is its document.
@@ -58,8 +58,8 @@
 /// The changes under way.
 #[derive(Debug, Default)]
 pub struct Changes {
-    waiting: VecDeque<Waiting>,
-    active: Option<Active>,
+    queued: VecDeque<QueuedChange>,
+    active: Option<ActiveChange>,
     unsettled: VecDeque<ChangeId>,
 }
 
@@ -67,36 +67,38 @@
     /// Takes a change; one that is already under way is joined.
     pub fn submit(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         request: OperatorRequestId,
         change: ChangeId,
         alteration: Alteration,
-        held: &Held,
+        held: &HeldDocument,
     ) {
         if self.join(request, change) {
             return;
         }
-        if self.waiting.len() >= MAX_WAITING {
+        if self.queued.len() >= MAX_QUEUED {
             let detail = "too many changes wait at this node";
-            scope.fail(request, ResultCode::Overloaded, held.version(), detail);
+            context.fail(request, ResultCode::Overloaded, held.version(), detail);
             return;
         }
-        self.waiting.push_back(Waiting {
+        self.queued.push_back(QueuedChange {
             change,
             alteration,
             requests: vec![request],
         });
-        self.begin_next(scope);
+        self.start_next(context);
     }
 
     /// Lets an operator wait for a change that is under way; returns whether it is.
     pub fn join(&mut self, request: OperatorRequestId, change: ChangeId) -> bool {
         let active = self.active.iter_mut();
         let active = active.map(|active| (active.write.change(), &mut active.requests));
-        let waiting = self.waiting.iter_mut();
-        let waiting = waiting.map(|waiting| (waiting.change, &mut waiting.requests));
-        let same = active.chain(waiting).find(|(other, _)| *other == change);
-        same.map(|(_, requests)| requests.push(request)).is_some()
+        let queued = self.queued.iter_mut();
+        let queued = queued.map(|queued| (queued.change, &mut queued.requests));
+        let matching = active.chain(queued).find(|(other, _)| *other == change);
+        matching
+            .map(|(_, requests)| requests.push(request))
+            .is_some()
     }
 
     /// Returns whether a write of a change was sent and its effect is not known.
@@ -107,22 +109,27 @@
     /// Handles a reply of the store.
     pub fn on_reply(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         request: StoreRequestId,
         reply: &StoreReply,
-        held: &Held,
+        held: &HeldDocument,
         acceptance: &mut Acceptance,
-    ) -> Option<Finding> {
+    ) -> Option<ObservedDocument> {
         let write = &mut self.active.as_mut()?.write;
-        let step = write.on_reply(scope, request, reply, held.document())?;
-        self.take_step(scope, step, held, acceptance)
+        let step = write.on_reply(context, request, reply, held.document())?;
+        self.handle_step(context, step, held, acceptance)
     }
 
     /// Does what is due.
-    pub fn poll(&mut self, scope: &mut Scope<'_>, held: &Held, acceptance: &mut Acceptance) {
+    pub fn poll(
+        &mut self,
+        context: &mut StepContext<'_>,
+        held: &HeldDocument,
+        acceptance: &mut Acceptance,
+    ) {
         if let Some(active) = &mut self.active {
-            let step = active.write.poll(scope);
-            self.take_step(scope, step, held, acceptance);
+            let step = active.write.poll(context);
+            self.handle_step(context, step, held, acceptance);
         }
     }
 
@@ -131,26 +138,26 @@
         self.active.as_ref().map(|active| active.write.next_wake())
     }
 
-    fn begin_next(&mut self, scope: &mut Scope<'_>) {
+    fn start_next(&mut self, context: &mut StepContext<'_>) {
         if self.active.is_some() {
             return;
         }
-        if let Some(next) = self.waiting.pop_front() {
-            self.active = Some(Active {
-                write: Write::begin(scope, next.change, next.alteration),
-                round: scope.round,
+        if let Some(next) = self.queued.pop_front() {
+            self.active = Some(ActiveChange {
+                write: PolicyWrite::begin(context, next.change, next.alteration),
+                round: context.round,
                 requests: next.requests,
             });
         }
     }
 
-    fn take_step(
+    fn handle_step(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         step: WriteStep,
-        held: &Held,
+        held: &HeldDocument,
         acceptance: &mut Acceptance,
-    ) -> Option<Finding> {
+    ) -> Option<ObservedDocument> {
         let written = self
             .active
             .as_ref()
@@ -160,12 +167,12 @@
                 alteration: active.write.alteration().clone(),
                 round: active.round,
             });
-        if let Some(end) = step.end {
+        if let Some(outcome) = step.outcome {
             let read = step.document.as_ref().map(|read| read.policy.version);
             let latest = read.unwrap_or_default().max(held.version());
-            self.finish(scope, end, latest, acceptance);
+            self.finish(context, outcome, latest, acceptance);
         }
-        step.document.map(|document| Finding {
+        step.document.map(|document| ObservedDocument {
             document: *document,
             written,
         })
@@ -173,46 +180,46 @@
 
     fn finish(
         &mut self,
-        scope: &mut Scope<'_>,
-        end: WriteEnd,
+        context: &mut StepContext<'_>,
+        outcome: WriteOutcome,
         latest: PolicyVersion,
         acceptance: &mut Acceptance,
     ) {
         let Some(active) = self.active.take() else {
             return;
         };
-        match end {
-            WriteEnd::Stored(version) => {
+        match outcome {
+            WriteOutcome::Stored(version) => {
                 for request in active.requests {
-                    acceptance.wait(scope.now, request, version);
+                    acceptance.wait(context.now, request, version);
                 }
             }
-            WriteEnd::Refused { code, detail } => {
-                fail_all(scope, active.requests, code, detail, latest);
+            WriteOutcome::Refused { code, detail } => {
+                fail_all(context, active.requests, code, detail, latest);
                 if code == ResultCode::StoreUnavailable {
-                    self.refuse_waiting(scope, latest);
+                    self.refuse_queued(context, latest);
                 }
             }
-            WriteEnd::Unsettled => {
-                self.remember_unsettled(active.write.change());
+            WriteOutcome::Unsettled => {
+                self.record_unsettled(active.write.change());
                 let detail = "a write was sent and its answer was lost; it may still take effect";
                 let code = ResultCode::ChangeUnsettled;
-                fail_all(scope, active.requests, code, detail, latest);
+                fail_all(context, active.requests, code, detail, latest);
             }
         }
-        self.begin_next(scope);
+        self.start_next(context);
     }
 
     /// Refuses what waits while the store is down, so that nobody waits for one timeout each.
-    fn refuse_waiting(&mut self, scope: &mut Scope<'_>, latest: PolicyVersion) {
-        for waiting in self.waiting.drain(..) {
+    fn refuse_queued(&mut self, context: &mut StepContext<'_>, latest: PolicyVersion) {
+        for queued in self.queued.drain(..) {
             let detail = "the store does not answer; nothing was written";
             let code = ResultCode::StoreUnavailable;
-            fail_all(scope, waiting.requests, code, detail, latest);
+            fail_all(context, queued.requests, code, detail, latest);
         }
     }
 
-    fn remember_unsettled(&mut self, change: ChangeId) {
+    fn record_unsettled(&mut self, change: ChangeId) {
         if self.unsettled.len() >= MAX_UNSETTLED {
             self.unsettled.pop_front();
         }
@@ -221,13 +228,13 @@
 }
 
 fn fail_all(
-    scope: &mut Scope<'_>,
+    context: &mut StepContext<'_>,
     requests: Vec<OperatorRequestId>,
     code: ResultCode,
     detail: &str,
     latest: PolicyVersion,
 ) {
     for request in requests {
-        scope.fail(request, code, latest, detail);
+        context.fail(request, code, latest, detail);
     }
 }
--- a/crates/rillgap-core/src/configuration/scope.rs
+++ b/crates/rillgap-core/src/configuration/context.rs
@@ -22,18 +22,18 @@
 }
 
 /// Returns whether a store request is one of the configuration's.
-pub fn is_own(request: StoreRequestId) -> bool {
+pub fn is_configuration_request(request: StoreRequestId) -> bool {
     request.0 & CONFIGURATION_BIT != 0
 }
 
-/// Draws identifiers of store requests.
+/// Draws identifiers of store request_ids.
 #[derive(Debug, Default)]
-pub struct StoreRequests {
+pub struct StoreRequestIds {
     last: u64,
 }
 
-impl StoreRequests {
-    fn draw(&mut self) -> StoreRequestId {
+impl StoreRequestIds {
+    fn next_id(&mut self) -> StoreRequestId {
         self.last += 1;
         StoreRequestId(CONFIGURATION_BIT | self.last)
     }
@@ -41,22 +41,22 @@
 
 /// Surroundings of one step: time, peers and the place for actions.
 #[derive(Debug)]
-pub struct Scope<'a> {
+pub struct StepContext<'a> {
     /// Monotonic time of the step.
     pub now: Instant,
     /// Whether this node is a member of the view and in touch with others.
-    pub in_touch: bool,
+    pub may_serve: bool,
     /// Round of questions of the confirmation at the beginning of the step.
     pub round: u64,
     /// Membership.
     pub membership: &'a Membership,
-    /// Identifiers of store requests.
-    pub requests: &'a mut StoreRequests,
+    /// Identifiers of store request_ids.
+    pub request_ids: &'a mut StoreRequestIds,
     /// Actions for the driver.
     pub out: &'a mut Outbox,
 }
 
-impl Scope<'_> {
+impl StepContext<'_> {
     /// Sends a message to a member; one that is not in the view gets nothing.
     pub fn send(&mut self, to: NodeId, message: ConfigurationMessage) {
         if let Some(address) = self.membership.address(to) {
@@ -69,8 +69,8 @@
     }
 
     /// Sends a request to the store.
-    pub fn store(&mut self, body: StoreRequest) -> StoreRequestId {
-        let request = self.requests.draw();
+    pub fn send_store_request(&mut self, body: StoreRequest) -> StoreRequestId {
+        let request = self.request_ids.next_id();
         self.out.push(Action::Store { request, body });
         request
     }
--- a/crates/rillgap-core/src/configuration/document.rs
+++ b/crates/rillgap-core/src/configuration/document.rs
@@ -9,7 +9,7 @@
 use crate::policy::{BackEndState, IndexedPolicy, Policy};
 
 /// Changes that a document remembers, so that a repeat of one of them is recognised.
-pub const REMEMBERED_CHANGES: usize = 128;
+pub const MAX_REMEMBERED_CHANGES: usize = 128;
 
 /// First byte of an encoded document; another format gets another number.
 const FORMAT: u8 = 1;
@@ -28,7 +28,7 @@
 pub struct PolicyDocument {
     /// The policy, with its version and the change that made it.
     pub policy: Policy,
-    /// The last changes, the latest last; at most [`REMEMBERED_CHANGES`].
+    /// The last changes, the latest last; at most [`MAX_REMEMBERED_CHANGES`].
     pub changes: Vec<StoredChange>,
 }
 
@@ -45,11 +45,11 @@
 
 impl PolicyDocument {
     /// Returns the document that follows this one when `policy` replaces its policy.
-    pub fn replaced_by(&self, policy: Policy, change: ChangeId) -> Self {
+    pub fn with_policy(&self, policy: Policy, change: ChangeId) -> Self {
         let version = PolicyVersion(self.policy.version.0 + 1);
         let mut changes = self.changes.clone();
         changes.push(StoredChange { change, version });
-        let surplus = changes.len().saturating_sub(REMEMBERED_CHANGES);
+        let surplus = changes.len().saturating_sub(MAX_REMEMBERED_CHANGES);
         changes.drain(..surplus);
         Self {
             policy: Policy {
@@ -72,7 +72,7 @@
         let mut policy = self.policy.clone();
         let back_end = policy.back_ends.iter_mut().find(|one| one.name == *name)?;
         back_end.state = state;
-        Some(self.replaced_by(policy, change))
+        Some(self.with_policy(policy, change))
     }
 
     /// Returns the version that a change made, if the change is remembered.
@@ -103,12 +103,12 @@
 
 /// The latest document that this node has seen. It never goes back to a lower version.
 #[derive(Debug)]
-pub struct Held {
+pub struct HeldDocument {
     document: PolicyDocument,
     policy: Arc<IndexedPolicy>,
 }
 
-impl Held {
+impl HeldDocument {
     /// Holds a document.
     pub fn new(document: PolicyDocument) -> Self {
         Self {
--- a/crates/rillgap-core/src/configuration/engine.rs
+++ b/crates/rillgap-core/src/configuration/engine.rs
@@ -4,14 +4,14 @@
 
 use super::acceptance::{self, Acceptance};
 use super::alteration::Alteration;
-use super::changes::{Changes, Finding};
+use super::changes::{Changes, ObservedDocument};
 use super::confirmation::{Answer, Confirmation};
-use super::document::{Held, PolicyDocument};
-use super::fence::{Fence, FenceResult};
-use super::lookup::{Lookups, Wanted};
-use super::message::{BackEndChange, ConfigurationMessage, Standing};
-use super::scope::Scope;
-use super::spread::{self, News, Spread};
+use super::context::StepContext;
+use super::document::{HeldDocument, PolicyDocument};
+use super::linearizable_read::{LinearizableRead, LinearizableReadResult};
+use super::lookup::{LookupTarget, Lookups};
+use super::message::{BackEndChange, ConfigurationMessage, ConfirmationState};
+use super::spread::{self, PeerUpdate, Spread};
 use super::watch::Watch;
 use crate::code::ResultCode;
 use crate::id::{ChangeId, NodeId, PolicyVersion};
@@ -24,9 +24,9 @@
 /// State of the configuration at one node.
 #[derive(Debug)]
 pub struct Engine {
-    held: Held,
+    held: HeldDocument,
     confirmation: Confirmation,
-    fence: Fence,
+    linearizable_read: LinearizableRead,
     watch: Watch,
     spread: Spread,
     changes: Changes,
@@ -43,9 +43,9 @@
             changes: Vec::new(),
         };
         Self {
-            held: Held::new(document),
+            held: HeldDocument::new(document),
             confirmation: Confirmation::new(now, settings.id(), settings.incarnation, fixed),
-            fence: Fence::new(now),
+            linearizable_read: LinearizableRead::new(now),
             watch: Watch::new(now),
             spread: Spread::new(now),
             changes: Changes::default(),
@@ -79,149 +79,167 @@
     /// Handles a request of an operator.
     pub fn on_operator(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         request: OperatorRequestId,
         body: OperatorRequest,
     ) {
         match body {
-            OperatorRequest::GetPolicy => self.get_policy(scope, request),
+            OperatorRequest::GetPolicy => self.get_policy(context, request),
             OperatorRequest::ApplyPolicy {
                 policy,
                 expected,
                 change,
-            } => self.apply_policy(scope, request, policy, expected, change),
+            } => self.apply_policy(context, request, policy, expected, change),
             OperatorRequest::SetBackEndState {
                 back_end,
                 state,
                 change,
             } => {
                 let name = back_end;
-                self.alter(scope, request, change, Alteration::BackEnd { name, state });
+                self.submit_change(
+                    context,
+                    request,
+                    change,
+                    Alteration::BackEnd { name, state },
+                );
             }
-            OperatorRequest::GetChange { change } => self.get_change(scope, request, change),
-            OperatorRequest::GetStatus => self.get_status(scope, request),
-            OperatorRequest::StopNode => scope.reply(request, OperatorReply::Stopping),
+            OperatorRequest::GetChange { change } => self.get_change(context, request, change),
+            OperatorRequest::GetStatus => self.get_status(context, request),
+            OperatorRequest::StopNode => context.reply(request, OperatorReply::Stopping),
         }
     }
 
     /// Handles a message of a peer.
     pub fn on_message(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         from: NodeId,
         message: ConfigurationMessage,
     ) {
         match message {
-            ConfigurationMessage::Ask { round } => self.answer(scope, from, round),
+            ConfigurationMessage::Query { round } => self.send_answer(context, from, round),
             ConfigurationMessage::Answer {
                 round,
                 version,
-                standing,
+                state,
             } => {
                 let answer = Answer {
                     from,
                     round,
                     version,
-                    standing,
+                    state,
                 };
-                self.on_answer(scope, answer);
+                self.on_answer(context, answer);
             }
             ConfigurationMessage::Announce { version } => {
-                self.spread.fetch(scope, from, version, self.held.version());
+                self.spread
+                    .fetch(context, from, version, self.held.version());
             }
-            ConfigurationMessage::BackEnd(change) => self.on_back_end(scope, from, change),
+            ConfigurationMessage::BackEnd(change) => self.on_back_end(context, from, change),
             ConfigurationMessage::Fetch { held } => {
-                Spread::on_fetch(scope, from, held, &self.held);
+                Spread::on_fetch(context, from, held, &self.held);
             }
             ConfigurationMessage::Document(document) => {
-                let news = News::Version(document.policy.version);
-                self.adopt(scope, *document, news, Some(from));
+                let update = PeerUpdate::Version(document.policy.version);
+                self.adopt(context, *document, update, Some(from));
             }
         }
     }
 
     /// Handles a reply of the store.
-    pub fn on_store(&mut self, scope: &mut Scope<'_>, request: StoreRequestId, reply: &StoreReply) {
-        if let Some(read) = self.watch.on_reply(scope, request, reply) {
+    pub fn on_store(
+        &mut self,
+        context: &mut StepContext<'_>,
+        request: StoreRequestId,
+        reply: &StoreReply,
+    ) {
+        if let Some(read) = self.watch.on_reply(context, request, reply) {
             if let Ok(document) = read {
-                self.adopt_from_store(scope, document);
+                self.adopt_from_store(context, document);
             }
             return;
         }
-        match self.fence.on_reply(scope, request, reply) {
-            FenceResult::Latest { document, round } => {
-                self.adopt_from_store(scope, *document);
-                self.confirmation.on_current(round);
+        match self.linearizable_read.on_reply(context, request, reply) {
+            LinearizableReadResult::Latest { document, round } => {
+                self.adopt_from_store(context, *document);
+                self.confirmation.confirm_from_store(round);
+            }
+            LinearizableReadResult::Pending => {}
+            LinearizableReadResult::OtherRequest => {
+                self.on_operator_store_reply(context, request, reply)
             }
-            FenceResult::Undecided => {}
-            FenceResult::Foreign => self.on_operator_store(scope, request, reply),
         }
     }
 
     /// Does what is due.
-    pub fn poll(&mut self, scope: &mut Scope<'_>) {
-        self.confirmation.poll(scope, self.held.version());
-        self.watch.poll(scope);
-        if self.may_fence(scope) {
-            self.fence.poll(scope);
+    pub fn poll(&mut self, context: &mut StepContext<'_>) {
+        self.confirmation.poll(context, self.held.version());
+        self.watch.poll(context);
+        if self.may_read_store(context) {
+            self.linearizable_read.poll(context);
         }
-        self.spread.poll(scope, self.held.version());
-        self.changes.poll(scope, &self.held, &mut self.acceptance);
-        self.lookups.poll(scope, &self.held);
-        self.acceptance.poll(scope);
+        self.spread.poll(context, self.held.version());
+        self.changes.poll(context, &self.held, &mut self.acceptance);
+        self.lookups.poll(context, &self.held);
+        self.acceptance.poll(context);
     }
 
     /// Returns when [`Self::poll`] must be called next.
     pub fn next_wake(&self) -> Instant {
-        let steady = self.confirmation.next_wake().min(self.spread.next_wake());
-        let busy = [
+        let periodic = self.confirmation.next_wake().min(self.spread.next_wake());
+        let pending = [
             self.changes.next_wake(),
             self.lookups.next_wake(),
             self.acceptance.next_wake(),
         ];
-        busy.into_iter().flatten().fold(steady, Instant::min)
+        pending.into_iter().flatten().fold(periodic, Instant::min)
     }
 
-    fn may_fence(&self, scope: &Scope<'_>) -> bool {
-        self.confirmation.peers_exhausted() && scope.membership.is_store_reader()
+    fn may_read_store(&self, context: &StepContext<'_>) -> bool {
+        self.confirmation.peers_exhausted() && context.membership.is_store_reader()
     }
 
-    fn get_policy(&mut self, scope: &mut Scope<'_>, request: OperatorRequestId) {
+    fn get_policy(&mut self, context: &mut StepContext<'_>, request: OperatorRequestId) {
         if self.confirmation.is_confirmed() {
             let policy = self.held.document().policy.clone();
-            scope.reply(request, OperatorReply::Policy(policy));
+            context.reply(request, OperatorReply::Policy(policy));
             return;
         }
         self.lookups
-            .begin(scope, request, Wanted::Policy, &self.held);
+            .begin(context, request, LookupTarget::Policy, &self.held);
     }
 
-    fn get_change(&mut self, scope: &mut Scope<'_>, request: OperatorRequestId, change: ChangeId) {
+    fn get_change(
+        &mut self,
+        context: &mut StepContext<'_>,
+        request: OperatorRequestId,
+        change: ChangeId,
+    ) {
         if let Some(version) = self.held.document().version_of(change) {
-            let state = acceptance::state(scope, version);
-            acceptance::report(scope, request, version, state);
+            let state = acceptance::state(context, version);
+            acceptance::report(context, request, version, state);
             return;
         }
         if !self.changes.join(request, change) {
             let unsettled = self.changes.is_unsettled(change);
-            let wanted = Wanted::Change { change, unsettled };
-            self.lookups.begin(scope, request, wanted, &self.held);
+            let target = LookupTarget::Change { change, unsettled };
+            self.lookups.begin(context, request, target, &self.held);
         }
     }
 
-    fn get_status(&self, scope: &mut Scope<'_>, request: OperatorRequestId) {
+    fn get_status(&self, context: &mut StepContext<'_>, request: OperatorRequestId) {
         let status = OperatorReply::Status {
             policy: self.held.version(),
-            view: scope.membership.view().version,
-            serving: self.policy().is_some() && scope.in_touch,
-            members: scope.membership.member_status(),
+            view: context.membership.view().version,
+            serving: self.policy().is_some() && context.may_serve,
+            members: context.membership.member_status(),
         };
-        scope.reply(request, status);
+        context.reply(request, status);
     }
 
     fn apply_policy(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         request: OperatorRequestId,
         policy: Policy,
         expected: Option<PolicyVersion>,
@@ -229,68 +247,73 @@
     ) {
         if let Err(invalid) = policy.validate() {
             let code = ResultCode::PolicyInvalid;
-            scope.fail(request, code, self.held.version(), invalid.to_string());
+            context.fail(request, code, self.held.version(), invalid.to_string());
             return;
         }
         let policy = Box::new(policy);
-        self.alter(
-            scope,
+        self.submit_change(
+            context,
             request,
             change,
             Alteration::Policy { policy, expected },
         );
     }
 
-    fn alter(
+    fn submit_change(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         request: OperatorRequestId,
         change: ChangeId,
         alteration: Alteration,
     ) {
         if let Some(version) = self.held.document().version_of(change) {
-            self.acceptance.wait(scope.now, request, version);
+            self.acceptance.wait(context.now, request, version);
             return;
         }
         self.changes
-            .submit(scope, request, change, alteration, &self.held);
+            .submit(context, request, change, alteration, &self.held);
     }
 
-    fn answer(&self, scope: &mut Scope<'_>, to: NodeId, round: u64) {
+    fn send_answer(&self, context: &mut StepContext<'_>, to: NodeId, round: u64) {
         let answer = ConfigurationMessage::Answer {
             round,
             version: self.held.version(),
-            standing: self.standing(scope),
+            state: self.reported_state(context),
         };
-        scope.send(to, answer);
+        context.send(to, answer);
     }
 
-    /// Returns the standing as others are told: one that is out of touch vouches for nothing.
-    fn standing(&self, scope: &Scope<'_>) -> Standing {
-        match self.confirmation.standing() {
-            Standing::Confirmed if !scope.in_touch => Standing::Suspect,
-            standing => standing,
+    /// Returns the state as others are told: one that is out of touch vouches for nothing.
+    fn reported_state(&self, context: &StepContext<'_>) -> ConfirmationState {
+        match self.confirmation.state() {
+            ConfirmationState::Confirmed if !context.may_serve => ConfirmationState::PossiblyStale,
+            state => state,
         }
     }
 
-    fn on_answer(&mut self, scope: &mut Scope<'_>, answer: Answer) {
+    fn on_answer(&mut self, context: &mut StepContext<'_>, answer: Answer) {
         let held = self.held.version();
-        self.confirmation.on_answer(scope, answer, held);
-        self.spread.fetch(scope, answer.from, answer.version, held);
+        self.confirmation.on_answer(context, answer, held);
+        self.spread
+            .fetch(context, answer.from, answer.version, held);
     }
 
-    fn on_back_end(&mut self, scope: &mut Scope<'_>, from: NodeId, change: BackEndChange) {
+    fn on_back_end(&mut self, context: &mut StepContext<'_>, from: NodeId, change: BackEndChange) {
         let version = change.version();
-        match spread::apply(&self.held, &change) {
-            Some(document) => self.adopt(scope, document, News::BackEnd(change), Some(from)),
-            None => self.spread.fetch(scope, from, version, self.held.version()),
+        match spread::apply_back_end_change(&self.held, &change) {
+            Some(document) => {
+                self.adopt(context, document, PeerUpdate::BackEnd(change), Some(from))
+            }
+            None => self
+                .spread
+                .fetch(context, from, version, self.held.version()),
         }
     }
 
     /// Handles a reply of the store to what operators have asked for.
-    fn on_operator_store(
+    fn on_operator_store_reply(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         request: StoreRequestId,
         reply: &StoreReply,
     ) {
@@ -298,48 +321,48 @@
         let acceptance = &mut self.acceptance;
         if let Some(document) = self
             .lookups
-            .on_reply(scope, request, reply, held, acceptance)
+            .on_reply(context, request, reply, held, acceptance)
         {
-            self.adopt_from_store(scope, document);
+            self.adopt_from_store(context, document);
             return;
         }
-        let finding = self
+        let observed = self
             .changes
-            .on_reply(scope, request, reply, held, acceptance);
-        match finding {
-            Some(Finding {
+            .on_reply(context, request, reply, held, acceptance);
+        match observed {
+            Some(ObservedDocument {
                 document,
                 written: Some(written),
             }) => {
                 let version = document.policy.version;
-                let news = written.alteration.news(written.change, version);
-                self.adopt(scope, document, news, None);
-                self.confirmation.on_current(written.round);
+                let update = written.alteration.peer_update(written.change, version);
+                self.adopt(context, document, update, None);
+                self.confirmation.confirm_from_store(written.round);
             }
-            Some(Finding {
+            Some(ObservedDocument {
                 document,
                 written: None,
-            }) => self.adopt_from_store(scope, document),
+            }) => self.adopt_from_store(context, document),
             None => {}
         }
     }
 
-    fn adopt_from_store(&mut self, scope: &mut Scope<'_>, document: PolicyDocument) {
-        let news = News::between(self.held.document(), &document);
-        self.adopt(scope, document, news, None);
+    fn adopt_from_store(&mut self, context: &mut StepContext<'_>, document: PolicyDocument) {
+        let update = PeerUpdate::between(self.held.document(), &document);
+        self.adopt(context, document, update, None);
     }
 
-    /// Takes a document in if it is later than what is held, and passes the news on.
+    /// Takes a document in if it is later than what is held, and passes the update on.
     fn adopt(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         document: PolicyDocument,
-        news: News,
+        update: PeerUpdate,
         from: Option<NodeId>,
     ) {
         if self.held.advance(document) {
-            self.spread.pass_on(scope, news, from);
-            self.confirmation.hurry(scope.now);
+            self.spread.forward(context, update, from);
+            self.confirmation.retry_now(context.now);
         }
     }
 }
--- a/crates/rillgap-core/src/configuration/fence.rs
+++ b/crates/rillgap-core/src/configuration/linearizable_read.rs
@@ -5,8 +5,8 @@
 
 use std::time::Duration;
 
+use super::context::{StepContext, policy_key};
 use super::document::PolicyDocument;
-use super::scope::{Scope, policy_key};
 use crate::store::{ModifyIndex, StoreObject, StoreReply, StoreRequest, StoreRequestId};
 use crate::time::Instant;
 
@@ -14,15 +14,15 @@
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Pause between two tries.
-const PAUSE: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a reply led to.
 #[derive(Debug)]
-pub enum FenceResult {
+pub enum LinearizableReadResult {
     /// The reply belongs to another request.
-    Foreign,
+    OtherRequest,
     /// Nothing is certain yet.
-    Undecided,
+    Pending,
     /// The latest document at some time after the question was asked.
     Latest {
         /// The document.
@@ -42,13 +42,13 @@
 
 /// The exchange with the store.
 #[derive(Debug)]
-pub struct Fence {
+pub struct LinearizableRead {
     step: Step,
     due: Instant,
     round: u64,
 }
 
-impl Fence {
+impl LinearizableRead {
     /// Creates the state in which nothing was asked.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -59,17 +59,17 @@
     }
 
     /// Begins an exchange if none is under way.
-    pub fn poll(&mut self, scope: &mut Scope<'_>) {
-        if scope.now < self.due {
+    pub fn poll(&mut self, context: &mut StepContext<'_>) {
+        if context.now < self.due {
             return;
         }
-        let request = scope.store(StoreRequest::Read {
+        let request = context.send_store_request(StoreRequest::Read {
             key: policy_key(),
             after: None,
         });
         self.step = Step::Reading(request);
-        self.round = scope.round;
-        self.due = scope.now + REPLY_TIMEOUT;
+        self.round = context.round;
+        self.due = context.now + REPLY_TIMEOUT;
     }
 
     /// Returns when [`Self::poll`] begins the next exchange.
@@ -80,66 +80,70 @@
     /// Handles a reply of the store.
     pub fn on_reply(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         request: StoreRequestId,
         reply: &StoreReply,
-    ) -> FenceResult {
+    ) -> LinearizableReadResult {
         match std::mem::replace(&mut self.step, Step::Idle) {
-            Step::Reading(expected) if expected == request => self.on_read(scope, reply),
+            Step::Reading(expected) if expected == request => self.on_read(context, reply),
             Step::Writing(expected, document) if expected == request => {
-                self.on_written(scope, document, reply)
+                self.on_written(context, document, reply)
             }
             step => {
                 self.step = step;
-                FenceResult::Foreign
+                LinearizableReadResult::OtherRequest
             }
         }
     }
 
-    fn on_read(&mut self, scope: &mut Scope<'_>, reply: &StoreReply) -> FenceResult {
-        self.due = scope.now + PAUSE;
+    fn on_read(
+        &mut self,
+        context: &mut StepContext<'_>,
+        reply: &StoreReply,
+    ) -> LinearizableReadResult {
+        self.due = context.now + RETRY_INTERVAL;
         let StoreReply::Object(StoreObject {
             index,
             value: Some(value),
         }) = reply
         else {
-            return FenceResult::Undecided;
+            return LinearizableReadResult::Pending;
         };
         if let Ok(document) = PolicyDocument::decode(Some(value)) {
-            self.write_back(scope, *index, value.clone(), document);
+            self.write_back(context, *index, value.clone(), document);
         }
-        FenceResult::Undecided
+        LinearizableReadResult::Pending
     }
 
     fn write_back(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         expected: ModifyIndex,
         value: Vec<u8>,
         document: PolicyDocument,
     ) {
-        let request = scope.store(StoreRequest::CompareAndSet {
+        let request = context.send_store_request(StoreRequest::CompareAndSet {
             key: policy_key(),
             expected,
             value,
         });
         self.step = Step::Writing(request, Box::new(document));
-        self.due = scope.now + REPLY_TIMEOUT;
+        self.due = context.now + REPLY_TIMEOUT;
     }
 
     fn on_written(
         &mut self,
-        scope: &Scope<'_>,
+        context: &StepContext<'_>,
         document: Box<PolicyDocument>,
         reply: &StoreReply,
-    ) -> FenceResult {
-        self.due = scope.now + PAUSE;
+    ) -> LinearizableReadResult {
+        self.due = context.now + RETRY_INTERVAL;
         match reply {
-            StoreReply::Written(_) => FenceResult::Latest {
+            StoreReply::Written(_) => LinearizableReadResult::Latest {
                 document,
                 round: self.round,
             },
-            _ => FenceResult::Undecided,
+            _ => LinearizableReadResult::Pending,
         }
     }
 }
--- a/crates/rillgap-core/src/configuration/lookup.rs
+++ b/crates/rillgap-core/src/configuration/lookup.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::acceptance::Acceptance;
-use super::document::{Held, PolicyDocument};
-use super::scope::{Scope, policy_key};
+use super::context::{StepContext, policy_key};
+use super::document::{HeldDocument, PolicyDocument};
 use crate::code::ResultCode;
 use crate::id::ChangeId;
 use crate::operator::{OperatorReply, OperatorRequestId};
@@ -15,11 +15,11 @@
 const MAX_LOOKUPS: usize = 64;
 
 /// Longest wait for the store.
-const TIMEOUT: Duration = Duration::from_secs(1);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What a look-up is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum LookupTarget {
     /// The policy.
     Policy,
     /// How far a change has come.
@@ -36,8 +36,8 @@
 struct Lookup {
     store_request: StoreRequestId,
     request: OperatorRequestId,
-    wanted: Wanted,
-    until: Instant,
+    target: LookupTarget,
+    deadline: Instant,
 }
 
 /// The look-ups under way.
@@ -50,63 +50,63 @@
     /// Reads the store for an operator.
     pub fn begin(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         request: OperatorRequestId,
-        wanted: Wanted,
-        held: &Held,
+        target: LookupTarget,
+        held: &HeldDocument,
     ) {
         if self.lookups.len() >= MAX_LOOKUPS {
             let detail = "too many requests wait at this node";
-            scope.fail(request, ResultCode::Overloaded, held.version(), detail);
+            context.fail(request, ResultCode::Overloaded, held.version(), detail);
             return;
         }
-        let store_request = scope.store(StoreRequest::Read {
+        let store_request = context.send_store_request(StoreRequest::Read {
             key: policy_key(),
             after: None,
         });
         self.lookups.push(Lookup {
             store_request,
             request,
-            wanted,
-            until: scope.now + TIMEOUT,
+            target,
+            deadline: context.now + REPLY_TIMEOUT,
         });
     }
 
     /// Handles a reply of the store; returns the document that was read, if the reply brought one.
     pub fn on_reply(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         request: StoreRequestId,
         reply: &StoreReply,
-        held: &Held,
+        held: &HeldDocument,
         acceptance: &mut Acceptance,
     ) -> Option<PolicyDocument> {
         let lookup = self.take(request)?;
         let StoreReply::Object(object) = reply else {
-            fail_without_store(scope, lookup.request, held);
+            fail_without_store(context, lookup.request, held);
             return None;
         };
         let Ok(document) = PolicyDocument::decode(object.value.as_deref()) else {
             let detail = "the policy object in the store cannot be read";
             let code = ResultCode::StoreProtocol;
-            scope.fail(lookup.request, code, held.version(), detail);
+            context.fail(lookup.request, code, held.version(), detail);
             return None;
         };
-        lookup.answer(scope, &document, held, acceptance);
+        lookup.answer(context, &document, held, acceptance);
         Some(document)
     }
 
     /// Gives up look-ups that the store did not answer in time.
-    pub fn poll(&mut self, scope: &mut Scope<'_>, held: &Held) {
-        let now = scope.now;
-        for lookup in self.lookups.extract_if(.., |lookup| now >= lookup.until) {
-            fail_without_store(scope, lookup.request, held);
+    pub fn poll(&mut self, context: &mut StepContext<'_>, held: &HeldDocument) {
+        let now = context.now;
+        for lookup in self.lookups.extract_if(.., |lookup| now >= lookup.deadline) {
+            fail_without_store(context, lookup.request, held);
         }
     }
 
     /// Returns when [`Self::poll`] must be called next.
     pub fn next_wake(&self) -> Option<Instant> {
-        self.lookups.iter().map(|lookup| lookup.until).min()
+        self.lookups.iter().map(|lookup| lookup.deadline).min()
     }
 
     fn take(&mut self, request: StoreRequestId) -> Option<Lookup> {
@@ -121,24 +121,24 @@
 impl Lookup {
     fn answer(
         &self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         read: &PolicyDocument,
-        held: &Held,
+        held: &HeldDocument,
         acceptance: &mut Acceptance,
     ) {
-        match self.wanted {
-            Wanted::Policy => {
-                let latest = later(read, held.document());
-                scope.reply(self.request, OperatorReply::Policy(latest.policy.clone()));
+        match self.target {
+            LookupTarget::Policy => {
+                let latest = newer(read, held.document());
+                context.reply(self.request, OperatorReply::Policy(latest.policy.clone()));
             }
-            Wanted::Change { change, unsettled } => match read.version_of(change) {
-                Some(version) => acceptance.wait(scope.now, self.request, version),
-                None => self.fail_change(scope, unsettled, held),
+            LookupTarget::Change { change, unsettled } => match read.version_of(change) {
+                Some(version) => acceptance.wait(context.now, self.request, version),
+                None => self.fail_change(context, unsettled, held),
             },
         }
     }
 
-    fn fail_change(&self, scope: &mut Scope<'_>, unsettled: bool, held: &Held) {
+    fn fail_change(&self, context: &mut StepContext<'_>, unsettled: bool, held: &HeldDocument) {
         let (code, detail) = if unsettled {
             let detail = "not stored yet; a write was sent and may still take effect";
             (ResultCode::ChangeUnsettled, detail)
@@ -146,12 +146,12 @@
             let detail = "no such change is stored; one that another node has sent may still be";
             (ResultCode::ChangeUnknown, detail)
         };
-        scope.fail(self.request, code, held.version(), detail);
+        context.fail(self.request, code, held.version(), detail);
     }
 }
 
 /// Returns the document with the higher version.
-fn later<'a>(one: &'a PolicyDocument, other: &'a PolicyDocument) -> &'a PolicyDocument {
+fn newer<'a>(one: &'a PolicyDocument, other: &'a PolicyDocument) -> &'a PolicyDocument {
     if one.policy.version > other.policy.version {
         one
     } else {
@@ -159,8 +159,12 @@
     }
 }
 
-fn fail_without_store(scope: &mut Scope<'_>, request: OperatorRequestId, held: &Held) {
+fn fail_without_store(
+    context: &mut StepContext<'_>,
+    request: OperatorRequestId,
+    held: &HeldDocument,
+) {
     let detail = "the store does not answer";
     let code = ResultCode::StoreUnavailable;
-    scope.fail(request, code, held.version(), detail);
+    context.fail(request, code, held.version(), detail);
 }
--- a/crates/rillgap-core/src/configuration/message.rs
+++ b/crates/rillgap-core/src/configuration/message.rs
@@ -8,11 +8,11 @@
 
 /// How sure a node is that it holds the policy that is in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Standing {
+pub enum ConfirmationState {
     /// It has just started and was not confirmed in this run.
-    Fresh,
+    NeverConfirmed,
     /// It was confirmed before, but may have missed a change since.
-    Suspect,
+    PossiblyStale,
     /// A peer or the store has confirmed it.
     Confirmed,
 }
@@ -41,18 +41,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ConfigurationMessage {
     /// Asks the receiver to confirm the policy version of the sender.
-    Ask {
+    Query {
         /// Round of questions; the answer repeats it.
         round: u64,
     },
-    /// Answers [`Self::Ask`].
+    /// Answers [`Self::Query`].
     Answer {
         /// Round of the question.
         round: u64,
         /// Version that the answering node holds.
         version: PolicyVersion,
         /// How sure it is of that version.
-        standing: Standing,
+        state: ConfirmationState,
     },
     /// Tells that the sender holds this version, for the receiver to fetch it.
     Announce {
--- a/crates/rillgap-core/src/configuration/mod.rs
+++ b/crates/rillgap-core/src/configuration/mod.rs
@@ -4,18 +4,18 @@
 //! compare-and-set with the identifier of the change. It spreads from node to node ([`spread`]);
 //! a few nodes also watch the store ([`watch`]). A change is accepted when every member of the
 //! view holds it ([`acceptance`]). A node serves only while its policy is confirmed
-//! ([`confirmation`], [`fence`]). No node goes back to a lower version ([`document::Held`]).
+//! ([`confirmation`], [`linearizable_read`]). No node goes back to a lower version ([`document::HeldDocument`]).
 
 pub mod acceptance;
 pub mod alteration;
 pub mod changes;
 pub mod confirmation;
+pub mod context;
 pub mod document;
 mod engine;
-pub mod fence;
+pub mod linearizable_read;
 pub mod lookup;
 pub mod message;
-pub mod scope;
 pub mod spread;
 pub mod watch;
 pub mod write;
@@ -31,15 +31,15 @@
 use crate::store::{StoreReply, StoreRequestId};
 use crate::time::{Instant, Now};
 
+use context::{StepContext, StoreRequestIds};
 use engine::Engine;
 pub use message::ConfigurationMessage;
-use scope::{Scope, StoreRequests};
 
 /// Policy at one node.
 #[derive(Debug)]
 pub struct Configuration {
     engine: Engine,
-    requests: StoreRequests,
+    request_ids: StoreRequestIds,
     /// View at the last step; another one may not name this node any more.
     view: ViewVersion,
 }
@@ -51,7 +51,7 @@
     pub fn new(now: Now, settings: &NodeSettings) -> Self {
         Self {
             engine: Engine::new(now.instant, settings),
-            requests: StoreRequests::default(),
+            request_ids: StoreRequestIds::default(),
             view: ViewVersion::default(),
         }
     }
@@ -81,8 +81,8 @@
         membership: &Membership,
         out: &mut Outbox,
     ) {
-        let (engine, mut scope) = self.split(now, membership, out);
-        engine.on_operator(&mut scope, request, body);
+        let (engine, mut context) = self.split(now, membership, out);
+        engine.on_operator(&mut context, request, body);
     }
 
     /// Handles a message of a peer.
@@ -94,8 +94,8 @@
         membership: &Membership,
         out: &mut Outbox,
     ) {
-        let (engine, mut scope) = self.split(now, membership, out);
-        engine.on_message(&mut scope, from, message);
+        let (engine, mut context) = self.split(now, membership, out);
+        engine.on_message(&mut context, from, message);
     }
 
     /// Handles a reply of the store; returns whether the request was one of configuration's.
@@ -107,11 +107,11 @@
         membership: &Membership,
         out: &mut Outbox,
     ) -> bool {
-        if !scope::is_own(request) {
+        if !context::is_configuration_request(request) {
             return false;
         }
-        let (engine, mut scope) = self.split(now, membership, out);
-        engine.on_store(&mut scope, request, reply);
+        let (engine, mut context) = self.split(now, membership, out);
+        engine.on_store(&mut context, request, reply);
         true
     }
 
@@ -122,8 +122,8 @@
             return;
         }
         self.view = view;
-        let (engine, mut scope) = self.split(now, membership, out);
-        engine.poll(&mut scope);
+        let (engine, mut context) = self.split(now, membership, out);
+        engine.poll(&mut context);
     }
 
     /// Returns when [`Self::poll`] must be called next.
@@ -136,15 +136,15 @@
         now: Now,
         membership: &'a Membership,
         out: &'a mut Outbox,
-    ) -> (&'a mut Engine, Scope<'a>) {
-        let scope = Scope {
+    ) -> (&'a mut Engine, StepContext<'a>) {
+        let context = StepContext {
             now: now.instant,
-            in_touch: membership.may_serve(now),
+            may_serve: membership.may_serve(now),
             round: self.engine.round(),
             membership,
-            requests: &mut self.requests,
+            request_ids: &mut self.request_ids,
             out,
         };
-        (&mut self.engine, scope)
+        (&mut self.engine, context)
     }
 }
--- a/crates/rillgap-core/src/configuration/spread.rs
+++ b/crates/rillgap-core/src/configuration/spread.rs
@@ -7,9 +7,9 @@
 
 use std::time::Duration;
 
-use super::document::{Held, PolicyDocument};
+use super::context::StepContext;
+use super::document::{HeldDocument, PolicyDocument};
 use super::message::{BackEndChange, ConfigurationMessage};
-use super::scope::Scope;
 use crate::id::{NodeId, PolicyVersion};
 use crate::time::Instant;
 
@@ -17,26 +17,30 @@
 const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Pause between two looks for a node that holds a later version.
-pub const REPAIR_PAUSE: Duration = Duration::from_millis(250);
+pub const REPAIR_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What is passed on to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum PeerUpdate {
     /// A small change.
     BackEnd(BackEndChange),
     /// A new policy, by its version.
     Version(PolicyVersion),
 }
 
-impl News {
+impl PeerUpdate {
     /// Returns what to tell of a document that was read from the store: the small change, if it
     /// is all that is new.
     pub fn between(held: &PolicyDocument, document: &PolicyDocument) -> Self {
-        single_change(held, document).map_or(Self::Version(document.policy.version), Self::BackEnd)
+        single_back_end_change(held, document)
+            .map_or(Self::Version(document.policy.version), Self::BackEnd)
     }
 }
 
-fn single_change(held: &PolicyDocument, document: &PolicyDocument) -> Option<BackEndChange> {
+fn single_back_end_change(
+    held: &PolicyDocument,
+    document: &PolicyDocument,
+) -> Option<BackEndChange> {
     let stored = document.changes.last()?;
     let mut pairs = held.policy.back_ends.iter().zip(&document.policy.back_ends);
     let (_, back_end) = pairs.find(|(before, after)| before != after)?;
@@ -50,11 +54,11 @@
     })
 }
 
-impl From<News> for ConfigurationMessage {
-    fn from(news: News) -> Self {
-        match news {
-            News::BackEnd(change) => Self::BackEnd(change),
-            News::Version(version) => Self::Announce { version },
+impl From<PeerUpdate> for ConfigurationMessage {
+    fn from(update: PeerUpdate) -> Self {
+        match update {
+            PeerUpdate::BackEnd(change) => Self::BackEnd(change),
+            PeerUpdate::Version(version) => Self::Announce { version },
         }
     }
 }
@@ -63,7 +67,7 @@
 #[derive(Debug)]
 struct Fetch {
     version: PolicyVersion,
-    until: Instant,
+    deadline: Instant,
 }
 
 /// The spread at one node.
@@ -82,12 +86,17 @@
         }
     }
 
-    /// Passes news on to the next nodes of the tree, except to the one that they came from.
-    pub fn pass_on(&mut self, scope: &mut Scope<'_>, news: News, from: Option<NodeId>) {
-        let message = ConfigurationMessage::from(news);
-        for to in scope.membership.spread_targets() {
+    /// Passes update on to the next nodes of the tree, except to the one that they came from.
+    pub fn forward(
+        &mut self,
+        context: &mut StepContext<'_>,
+        update: PeerUpdate,
+        from: Option<NodeId>,
+    ) {
+        let message = ConfigurationMessage::from(update);
+        for to in context.membership.spread_targets() {
             if Some(to) != from {
-                scope.send(to, message.clone());
+                context.send(to, message.clone());
             }
         }
     }
@@ -95,37 +104,42 @@
     /// Fetches a version from a node that has it, unless it is held or on its way.
     pub fn fetch(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         from: NodeId,
         version: PolicyVersion,
         held: PolicyVersion,
     ) {
-        if version <= held || self.is_fetching(scope.now, version) {
+        if version <= held || self.is_fetching(context.now, version) {
             return;
         }
         self.fetch = Some(Fetch {
             version,
-            until: scope.now + FETCH_TIMEOUT,
+            deadline: context.now + FETCH_TIMEOUT,
         });
-        scope.send(from, ConfigurationMessage::Fetch { held });
+        context.send(from, ConfigurationMessage::Fetch { held });
     }
 
     /// Sends the document to a node that asked for it, if it is later than what that node holds.
-    pub fn on_fetch(scope: &mut Scope<'_>, from: NodeId, theirs: PolicyVersion, held: &Held) {
-        if held.version() > theirs {
+    pub fn on_fetch(
+        context: &mut StepContext<'_>,
+        from: NodeId,
+        peer_version: PolicyVersion,
+        held: &HeldDocument,
+    ) {
+        if held.version() > peer_version {
             let document = Box::new(held.document().clone());
-            scope.send(from, ConfigurationMessage::Document(document));
+            context.send(from, ConfigurationMessage::Document(document));
         }
     }
 
     /// Fetches what others are known to hold and this node does not.
-    pub fn poll(&mut self, scope: &mut Scope<'_>, held: PolicyVersion) {
-        if scope.now < self.next_repair {
+    pub fn poll(&mut self, context: &mut StepContext<'_>, held: PolicyVersion) {
+        if context.now < self.next_repair {
             return;
         }
-        self.next_repair = scope.now + REPAIR_PAUSE;
-        if let Some((version, node)) = scope.membership.best_known_policy() {
-            self.fetch(scope, node, version, held);
+        self.next_repair = context.now + REPAIR_INTERVAL;
+        if let Some((version, node)) = context.membership.best_known_policy() {
+            self.fetch(context, node, version, held);
         }
     }
 
@@ -137,12 +151,15 @@
     fn is_fetching(&self, now: Instant, version: PolicyVersion) -> bool {
         self.fetch
             .as_ref()
-            .is_some_and(|fetch| fetch.version >= version && now < fetch.until)
+            .is_some_and(|fetch| fetch.version >= version && now < fetch.deadline)
     }
 }
 
 /// Returns the document that follows `held` by a change, if the change applies to it.
-pub fn apply(held: &Held, change: &BackEndChange) -> Option<PolicyDocument> {
+pub fn apply_back_end_change(
+    held: &HeldDocument,
+    change: &BackEndChange,
+) -> Option<PolicyDocument> {
     if held.version() != change.base {
         return None;
     }
--- a/crates/rillgap-core/src/configuration/watch.rs
+++ b/crates/rillgap-core/src/configuration/watch.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use super::context::{StepContext, policy_key};
 use super::document::{DocumentError, PolicyDocument};
-use super::scope::{Scope, policy_key};
 use crate::store::{ModifyIndex, StoreReply, StoreRequest, StoreRequestId};
 use crate::time::Instant;
 
@@ -12,10 +12,10 @@
 const REPLY_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Pause after a read, so that a store that answers at once is not read in a tight loop.
-const PAUSE: Duration = Duration::from_millis(200);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Longest pause while the store fails.
-const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
 /// The blocking read of a store reader.
 #[derive(Debug)]
@@ -38,20 +38,20 @@
     }
 
     /// Reads if this node is a store reader and no read is under way.
-    pub fn poll(&mut self, scope: &mut Scope<'_>) {
-        if !scope.membership.is_store_reader() {
-            self.stop(scope);
+    pub fn poll(&mut self, context: &mut StepContext<'_>) {
+        if !context.membership.is_store_reader() {
+            self.stop(context);
             return;
         }
-        if scope.now < self.due {
+        if context.now < self.due {
             return;
         }
-        let request = scope.store(StoreRequest::Read {
+        let request = context.send_store_request(StoreRequest::Read {
             key: policy_key(),
             after: self.after,
         });
         self.request = Some(request);
-        self.due = scope.now + REPLY_TIMEOUT;
+        self.due = context.now + REPLY_TIMEOUT;
     }
 
     /// Returns when [`Self::poll`] reads next.
@@ -63,7 +63,7 @@
     /// none or the reply belongs to another request.
     pub fn on_reply(
         &mut self,
-        scope: &Scope<'_>,
+        context: &StepContext<'_>,
         request: StoreRequestId,
         reply: &StoreReply,
     ) -> Option<Result<PolicyDocument, DocumentError>> {
@@ -72,27 +72,27 @@
         }
         self.request = None;
         let StoreReply::Object(object) = reply else {
-            self.back_off(scope.now);
+            self.back_off(context.now);
             return None;
         };
         self.failures = 0;
-        self.due = scope.now + PAUSE;
+        self.due = context.now + MIN_READ_INTERVAL;
         self.after = self.after.max(Some(object.index));
         Some(PolicyDocument::decode(object.value.as_deref()))
     }
 
     /// Gives up the read under way: the store bears only a few readers, and a node that no longer
     /// is one would stay one until its read is answered.
-    fn stop(&mut self, scope: &mut Scope<'_>) {
+    fn stop(&mut self, context: &mut StepContext<'_>) {
         if let Some(request) = self.request.take() {
-            scope.cancel_store(request);
-            self.due = scope.now;
+            context.cancel_store(request);
+            self.due = context.now;
         }
     }
 
     fn back_off(&mut self, now: Instant) {
-        let pause = PAUSE * (1 << self.failures.min(6));
-        self.due = now + pause.min(LONGEST_PAUSE);
+        let pause = MIN_READ_INTERVAL * (1 << self.failures.min(6));
+        self.due = now + pause.min(MAX_BACKOFF);
         self.failures = self.failures.saturating_add(1);
     }
 }
--- a/crates/rillgap-core/src/configuration/write.rs
+++ b/crates/rillgap-core/src/configuration/write.rs
@@ -7,9 +7,9 @@
 
 use std::time::Duration;
 
-use super::alteration::{Alteration, Planned};
+use super::alteration::{Alteration, Plan};
+use super::context::{StepContext, policy_key};
 use super::document::PolicyDocument;
-use super::scope::{Scope, policy_key};
 use crate::code::ResultCode;
 use crate::id::{ChangeId, PolicyVersion};
 use crate::store::{ModifyIndex, StoreObject, StoreReply, StoreRequest, StoreRequestId};
@@ -19,14 +19,14 @@
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Longest time for the whole change; then it is given up, or left unsettled.
-const LONGEST_WRITE: Duration = Duration::from_secs(3);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Pause before the object is read again.
-const PAUSE: Duration = Duration::from_millis(100);
+const REREAD_DELAY: Duration = Duration::from_millis(100);
 
-/// How a change ended.
+/// How a change with_outcome.
 #[derive(Debug)]
-pub enum WriteEnd {
+pub enum WriteOutcome {
     /// It is stored and made this version.
     Stored(PolicyVersion),
     /// It is not stored and never will be, unless it is sent again.
@@ -47,20 +47,20 @@
     pub document: Option<Box<PolicyDocument>>,
     /// Whether `document` was just written, so that nothing later can be in force.
     pub written: bool,
-    /// How the change ended, if it did.
-    pub end: Option<WriteEnd>,
+    /// How the change with_outcome, if it did.
+    pub outcome: Option<WriteOutcome>,
 }
 
 impl WriteStep {
-    fn ended(end: WriteEnd) -> Self {
+    fn with_outcome(outcome: WriteOutcome) -> Self {
         Self {
-            end: Some(end),
+            outcome: Some(outcome),
             ..Self::default()
         }
     }
 
     fn refused(code: ResultCode, detail: &'static str) -> Self {
-        Self::ended(WriteEnd::Refused { code, detail })
+        Self::with_outcome(WriteOutcome::Refused { code, detail })
     }
 }
 
@@ -68,12 +68,12 @@
 enum Phase {
     Reading(StoreRequestId),
     Writing(StoreRequestId),
-    Pausing,
+    BackingOff,
 }
 
 /// A write that was sent.
 #[derive(Debug)]
-struct Sent {
+struct SentWrite {
     expected: ModifyIndex,
     document: Box<PolicyDocument>,
     /// Whether an answer of it was lost.
@@ -82,29 +82,29 @@
 
 /// A change on its way.
 #[derive(Debug)]
-pub struct Write {
+pub struct PolicyWrite {
     change: ChangeId,
     alteration: Alteration,
     phase: Phase,
-    phase_ends: Instant,
+    phase_deadline: Instant,
     deadline: Instant,
-    sent: Option<Sent>,
-    conflicting: bool,
+    sent: Option<SentWrite>,
+    had_conflict: bool,
 }
 
-impl Write {
+impl PolicyWrite {
     /// Begins a change.
-    pub fn begin(scope: &mut Scope<'_>, change: ChangeId, alteration: Alteration) -> Self {
+    pub fn begin(context: &mut StepContext<'_>, change: ChangeId, alteration: Alteration) -> Self {
         let mut write = Self {
             change,
             alteration,
-            phase: Phase::Pausing,
-            phase_ends: scope.now,
-            deadline: scope.now + LONGEST_WRITE,
+            phase: Phase::BackingOff,
+            phase_deadline: context.now,
+            deadline: context.now + WRITE_TIMEOUT,
             sent: None,
-            conflicting: false,
+            had_conflict: false,
         };
-        write.read(scope);
+        write.read(context);
         write
     }
 
@@ -120,20 +120,20 @@
 
     /// Returns when [`Self::poll`] must be called next.
     pub fn next_wake(&self) -> Instant {
-        self.phase_ends
+        self.phase_deadline
     }
 
-    /// Does what is due: a read after a pause, or the end of a wait.
-    pub fn poll(&mut self, scope: &mut Scope<'_>) -> WriteStep {
-        if scope.now < self.phase_ends {
+    /// Does what is due: a read after a schedule_reread, or the outcome of a wait.
+    pub fn poll(&mut self, context: &mut StepContext<'_>) -> WriteStep {
+        if context.now < self.phase_deadline {
             return WriteStep::default();
         }
         match self.phase {
-            Phase::Reading(_) => self.on_read_lost(scope),
-            Phase::Writing(_) => self.on_write_lost(scope),
-            Phase::Pausing if scope.now >= self.deadline => self.give_up(),
-            Phase::Pausing => {
-                self.read(scope);
+            Phase::Reading(_) => self.on_read_lost(context),
+            Phase::Writing(_) => self.on_write_lost(context),
+            Phase::BackingOff if context.now >= self.deadline => self.on_timeout(),
+            Phase::BackingOff => {
+                self.read(context);
                 WriteStep::default()
             }
         }
@@ -142,17 +142,17 @@
     /// Handles a reply of the store, or returns `None` if it belongs to another request.
     pub fn on_reply(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         request: StoreRequestId,
         reply: &StoreReply,
         held: &PolicyDocument,
     ) -> Option<WriteStep> {
         match self.phase {
             Phase::Reading(expected) if expected == request => {
-                Some(self.on_read_reply(scope, reply, held))
+                Some(self.on_read_reply(context, reply, held))
             }
             Phase::Writing(expected) if expected == request => {
-                Some(self.on_write_reply(scope, reply))
+                Some(self.on_write_reply(context, reply))
             }
             _ => None,
         }
@@ -160,76 +160,76 @@
 
     fn on_read_reply(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         reply: &StoreReply,
         held: &PolicyDocument,
     ) -> WriteStep {
         match reply {
-            StoreReply::Object(object) => self.on_object(scope, object, held),
-            _ => self.on_read_lost(scope),
+            StoreReply::Object(object) => self.on_object(context, object, held),
+            _ => self.on_read_lost(context),
         }
     }
 
-    fn on_write_reply(&mut self, scope: &mut Scope<'_>, reply: &StoreReply) -> WriteStep {
+    fn on_write_reply(&mut self, context: &mut StepContext<'_>, reply: &StoreReply) -> WriteStep {
         match (reply, self.sent.take()) {
             (StoreReply::Written(_), Some(sent)) => WriteStep {
-                end: Some(WriteEnd::Stored(sent.document.policy.version)),
+                outcome: Some(WriteOutcome::Stored(sent.document.policy.version)),
                 document: Some(sent.document),
                 written: true,
             },
             (StoreReply::Conflict, sent) => {
                 self.sent = sent.filter(|sent| sent.uncertain);
-                self.conflicting = true;
-                self.pause(scope);
+                self.had_conflict = true;
+                self.schedule_reread(context);
                 WriteStep::default()
             }
             (_, sent) => {
                 self.sent = sent;
-                self.on_write_lost(scope)
+                self.on_write_lost(context)
             }
         }
     }
 
     fn on_object(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         object: &StoreObject,
         held: &PolicyDocument,
     ) -> WriteStep {
         let Ok(read) = PolicyDocument::decode(object.value.as_deref()) else {
             return self.on_unreadable();
         };
-        let end = self.continue_from(scope, object.index, &read, held);
+        let outcome = self.continue_from(context, object.index, &read, held);
         WriteStep {
             document: Some(Box::new(read)),
             written: false,
-            end,
+            outcome,
         }
     }
 
     fn continue_from(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         index: ModifyIndex,
         read: &PolicyDocument,
         held: &PolicyDocument,
-    ) -> Option<WriteEnd> {
+    ) -> Option<WriteOutcome> {
         let stored = read.version_of(self.change);
         if let Some(version) = stored.or_else(|| held.version_of(self.change)) {
-            return Some(WriteEnd::Stored(version));
+            return Some(WriteOutcome::Stored(version));
         }
         match self.sent.take() {
-            Some(sent) if index > sent.expected => self.plan(scope, index, read, held),
+            Some(sent) if index > sent.expected => self.plan(context, index, read, held),
             Some(sent) if index == sent.expected => {
-                self.send(scope, sent);
+                self.send(context, sent);
                 None
             }
             Some(sent) => {
                 self.sent = Some(sent);
-                self.pause(scope);
+                self.schedule_reread(context);
                 None
             }
-            None => self.plan(scope, index, read, held),
+            None => self.plan(context, index, read, held),
         }
     }
 
@@ -237,32 +237,32 @@
     /// return an older object, and then the write meets a conflict.
     fn plan(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         index: ModifyIndex,
         read: &PolicyDocument,
         held: &PolicyDocument,
-    ) -> Option<WriteEnd> {
+    ) -> Option<WriteOutcome> {
         let base = if read.policy.version < held.policy.version {
             held
         } else {
             read
         };
         match self.alteration.plan(base, self.change) {
-            Planned::Next(document) => {
-                let sent = Sent {
+            Plan::Next(document) => {
+                let sent = SentWrite {
                     expected: index,
                     document,
                     uncertain: false,
                 };
-                self.send(scope, sent);
+                self.send(context, sent);
                 None
             }
-            Planned::NotYet => {
-                self.conflicting = true;
-                self.pause(scope);
+            Plan::BaseOutdated => {
+                self.had_conflict = true;
+                self.schedule_reread(context);
                 None
             }
-            Planned::Refused(code) => Some(WriteEnd::Refused {
+            Plan::Refused(code) => Some(WriteOutcome::Refused {
                 code,
                 detail: code.title(),
             }),
@@ -271,7 +271,7 @@
 
     fn on_unreadable(&self) -> WriteStep {
         if self.is_uncertain() {
-            return WriteStep::ended(WriteEnd::Unsettled);
+            return WriteStep::with_outcome(WriteOutcome::Unsettled);
         }
         WriteStep::refused(
             ResultCode::StoreProtocol,
@@ -279,9 +279,9 @@
         )
     }
 
-    fn on_read_lost(&mut self, scope: &Scope<'_>) -> WriteStep {
+    fn on_read_lost(&mut self, context: &StepContext<'_>) -> WriteStep {
         if self.is_uncertain() {
-            self.pause(scope);
+            self.schedule_reread(context);
             return WriteStep::default();
         }
         WriteStep::refused(
@@ -290,19 +290,19 @@
         )
     }
 
-    fn on_write_lost(&mut self, scope: &Scope<'_>) -> WriteStep {
+    fn on_write_lost(&mut self, context: &StepContext<'_>) -> WriteStep {
         if let Some(sent) = &mut self.sent {
             sent.uncertain = true;
         }
-        self.pause(scope);
+        self.schedule_reread(context);
         WriteStep::default()
     }
 
-    fn give_up(&self) -> WriteStep {
+    fn on_timeout(&self) -> WriteStep {
         if self.is_uncertain() {
-            return WriteStep::ended(WriteEnd::Unsettled);
+            return WriteStep::with_outcome(WriteOutcome::Unsettled);
         }
-        if self.conflicting {
+        if self.had_conflict {
             return WriteStep::refused(
                 ResultCode::VersionConflict,
                 "the expected version is not in the store, or others write all the time",
@@ -318,28 +318,28 @@
         self.sent.as_ref().is_some_and(|sent| sent.uncertain)
     }
 
-    fn read(&mut self, scope: &mut Scope<'_>) {
-        let request = scope.store(StoreRequest::Read {
+    fn read(&mut self, context: &mut StepContext<'_>) {
+        let request = context.send_store_request(StoreRequest::Read {
             key: policy_key(),
             after: None,
         });
         self.phase = Phase::Reading(request);
-        self.phase_ends = scope.now + REPLY_TIMEOUT;
+        self.phase_deadline = context.now + REPLY_TIMEOUT;
     }
 
-    fn send(&mut self, scope: &mut Scope<'_>, sent: Sent) {
-        let request = scope.store(StoreRequest::CompareAndSet {
+    fn send(&mut self, context: &mut StepContext<'_>, sent: SentWrite) {
+        let request = context.send_store_request(StoreRequest::CompareAndSet {
             key: policy_key(),
             expected: sent.expected,
             value: sent.document.encode(),
         });
         self.sent = Some(sent);
         self.phase = Phase::Writing(request);
-        self.phase_ends = scope.now + REPLY_TIMEOUT;
+        self.phase_deadline = context.now + REPLY_TIMEOUT;
     }
 
-    fn pause(&mut self, scope: &Scope<'_>) {
-        self.phase = Phase::Pausing;
-        self.phase_ends = scope.now + PAUSE;
+    fn schedule_reread(&mut self, context: &StepContext<'_>) {
+        self.phase = Phase::BackingOff;
+        self.phase_deadline = context.now + REREAD_DELAY;
     }
 }
--- a/crates/rillgap-core/tests/configuration_changes.rs
+++ b/crates/rillgap-core/tests/configuration_changes.rs
@@ -12,7 +12,7 @@
 use rillgap_core::operator::{ChangeState, OperatorReply, OperatorRequest};
 use rillgap_core::policy::BackEndState;
 
-const SIZE: usize = 6;
+const FLEET_SIZE: usize = 6;
 
 fn code_of(reply: &OperatorReply) -> Option<ResultCode> {
     match reply {
@@ -31,10 +31,10 @@
 
 #[gtest]
 fn accepted_policy_is_in_force_on_every_node() {
-    let mut fleet = Fleet::start(SIZE);
+    let mut fleet = Fleet::start(FLEET_SIZE);
     expect_that!(fleet.in_force(0), none());
 
-    let reply = fleet.apply(4, policy(1, SIZE), Some(0), 1);
+    let reply = fleet.apply(4, policy(1, FLEET_SIZE), Some(0), 1);
 
     expect_that!(reply, eq(&accepted(1)));
     expect_true!(fleet.all_in_force(1));
@@ -42,7 +42,7 @@
 
 #[gtest]
 fn back_end_change_travels_in_a_small_message() {
-    let mut fleet = Fleet::start(SIZE);
+    let mut fleet = Fleet::start(FLEET_SIZE);
     let reply = fleet.apply(0, policy(1, 2_000), None, 1);
     expect_that!(reply, eq(&accepted(1)));
     expect_that!(fleet.largest_policy_message, gt(10_000));
@@ -52,7 +52,7 @@
 
     expect_that!(reply, eq(&accepted(2)));
     expect_that!(fleet.largest_policy_message, le(100));
-    for number in 0..SIZE {
+    for number in 0..FLEET_SIZE {
         let policy = fleet.node(number).configuration().policy().unwrap();
         let back_end = policy.back_end(&BackEndName::new("takst-3")).unwrap();
         expect_that!(back_end.state, eq(BackEndState::Leaving));
@@ -61,10 +61,10 @@
 
 #[gtest]
 fn lost_answer_is_settled_by_reading_back() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     fleet.store.mode = StoreMode::LosesAnswers;
 
-    let reply = fleet.apply(3, policy(2, SIZE), Some(1), 2);
+    let reply = fleet.apply(3, policy(2, FLEET_SIZE), Some(1), 2);
 
     expect_that!(reply, eq(&accepted(2)));
     expect_that!(fleet.store.policy_changes, eq(2));
@@ -72,9 +72,9 @@
 
 #[gtest]
 fn node_without_peers_settles_a_lost_answer_by_the_store_alone() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     fleet.store.mode = StoreMode::LosesAnswers;
-    fleet.cut_from_peers(5);
+    fleet.isolate_from_peers(5);
 
     let reply = fleet.ask(5, drain(2));
 
@@ -92,10 +92,10 @@
 
 #[gtest]
 fn write_that_takes_effect_late_is_not_doubled() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     fleet.store.mode = StoreMode::WritesLate;
 
-    let reply = fleet.apply(3, policy(2, SIZE), None, 2);
+    let reply = fleet.apply(3, policy(2, FLEET_SIZE), None, 2);
 
     expect_that!(reply, eq(&accepted(2)));
     fleet.run(Duration::from_secs(5));
@@ -105,18 +105,21 @@
 
 #[gtest]
 fn repeated_change_is_applied_once() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
-    let first = fleet.send(1, apply_request(policy(2, SIZE), None, 2));
-    let second = fleet.send(4, apply_request(policy(2, SIZE), None, 2));
-    let third = fleet.send(4, apply_request(policy(2, SIZE), None, 2));
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
+    let first = fleet.send(1, apply_request(policy(2, FLEET_SIZE), None, 2));
+    let second = fleet.send(4, apply_request(policy(2, FLEET_SIZE), None, 2));
+    let third = fleet.send(4, apply_request(policy(2, FLEET_SIZE), None, 2));
     fleet.run(Duration::from_secs(6));
 
     for request in [first, second, third] {
         expect_that!(fleet.replies[&request], eq(&accepted(2)));
     }
-    expect_that!(fleet.apply(0, policy(3, SIZE), None, 3), eq(&accepted(3)));
     expect_that!(
-        fleet.apply(5, policy(2, SIZE), Some(1), 2),
+        fleet.apply(0, policy(3, FLEET_SIZE), None, 3),
+        eq(&accepted(3))
+    );
+    expect_that!(
+        fleet.apply(5, policy(2, FLEET_SIZE), Some(1), 2),
         eq(&accepted(2))
     );
     expect_that!(fleet.store.policy_changes, eq(3));
@@ -124,9 +127,9 @@
 
 #[gtest]
 fn second_of_two_operators_gets_the_newer_version() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
-    let first = fleet.send(0, apply_request(policy(2, SIZE), Some(1), 2));
-    let second = fleet.send(5, apply_request(policy(3, SIZE), Some(1), 3));
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
+    let first = fleet.send(0, apply_request(policy(2, FLEET_SIZE), Some(1), 2));
+    let second = fleet.send(5, apply_request(policy(3, FLEET_SIZE), Some(1), 3));
     fleet.run(Duration::from_secs(6));
 
     let replies = [&fleet.replies[&first], &fleet.replies[&second]];
@@ -147,12 +150,12 @@
 
 #[gtest]
 fn conflict_names_the_version_in_the_store_not_the_one_held() {
-    for number in 1..SIZE {
-        let mut fleet = Fleet::start_with_policy(SIZE);
-        fleet.cut_from_peers(number);
-        fleet.apply(0, policy(2, SIZE), Some(1), 2);
+    for number in 1..FLEET_SIZE {
+        let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
+        fleet.isolate_from_peers(number);
+        fleet.apply(0, policy(2, FLEET_SIZE), Some(1), 2);
 
-        let reply = fleet.apply(number, policy(3, SIZE), Some(1), 3);
+        let reply = fleet.apply(number, policy(3, FLEET_SIZE), Some(1), 3);
 
         expect_that!(
             reply,
@@ -167,12 +170,12 @@
 
 #[gtest]
 fn changes_without_expectation_follow_each_other() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
-    let requests: Vec<_> = (0..SIZE)
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
+    let requests: Vec<_> = (0..FLEET_SIZE)
         .map(|number| {
             fleet.send(
                 number,
-                apply_request(policy(9, SIZE), None, 10 + number as u128),
+                apply_request(policy(9, FLEET_SIZE), None, 10 + number as u128),
             )
         })
         .collect();
@@ -184,17 +187,17 @@
             matches_pattern!(OperatorReply::Change { .. })
         );
     }
-    expect_true!(fleet.all_in_force(1 + SIZE as u64));
+    expect_true!(fleet.all_in_force(1 + FLEET_SIZE as u64));
 }
 
 #[gtest]
 fn nothing_is_accepted_while_the_store_is_down_and_everything_runs_on() {
     for mode in [StoreMode::Down, StoreMode::Silent] {
-        let mut fleet = Fleet::start_with_policy(SIZE);
+        let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
         fleet.store.mode = mode;
         let begin = fleet.now;
 
-        let reply = fleet.apply(2, policy(2, SIZE), None, 2);
+        let reply = fleet.apply(2, policy(2, FLEET_SIZE), None, 2);
 
         expect_that!(code_of(&reply), some(eq(ResultCode::StoreUnavailable)));
         expect_that!(
@@ -208,7 +211,7 @@
 
 #[gtest]
 fn unsettled_change_is_followed_until_the_store_is_back() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     let request = fleet.send(2, drain(2));
     fleet.run_until("write", |fleet| fleet.store.policy_changes == 2);
     fleet.store.mode = StoreMode::Silent;
@@ -232,10 +235,10 @@
 
 #[gtest]
 fn change_is_pending_while_a_node_is_cut_off() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
-    fleet.cut(5);
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
+    fleet.isolate(5);
 
-    let reply = fleet.apply(0, policy(2, SIZE), None, 2);
+    let reply = fleet.apply(0, policy(2, FLEET_SIZE), None, 2);
 
     expect_that!(
         reply,
@@ -251,7 +254,7 @@
     fleet.run_until("acceptance everywhere", |fleet| fleet.all_in_force(2));
     fleet.run(Duration::from_secs(3));
     let change = ChangeId(2);
-    for number in 0..SIZE {
+    for number in 0..FLEET_SIZE {
         let reply = fleet.ask(number, OperatorRequest::GetChange { change });
         expect_that!(reply, eq(&accepted(2)));
     }
--- a/crates/rillgap-core/tests/configuration_failures.rs
+++ b/crates/rillgap-core/tests/configuration_failures.rs
@@ -14,13 +14,13 @@
 use rillgap_core::id::PolicyVersion;
 use rillgap_core::operator::OperatorReply;
 
-const SIZE: usize = 6;
+const FLEET_SIZE: usize = 6;
 
 #[gtest]
 fn node_restarted_during_the_spread_serves_the_accepted_policy_only() {
     for delay_micros in [0, 500, 4_000, 8_000, 12_000, 100_000] {
-        let mut fleet = Fleet::start_with_policy(SIZE);
-        let request = fleet.send(0, apply_request(policy(2, SIZE), None, 2));
+        let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
+        let request = fleet.send(0, apply_request(policy(2, FLEET_SIZE), None, 2));
         fleet.run(Duration::from_micros(delay_micros));
         fleet.kill(4);
         fleet.boot(4);
@@ -33,26 +33,29 @@
 
 #[gtest]
 fn frozen_node_serves_nothing_until_it_is_confirmed() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
-    fleet.freeze(4, Duration::from_secs(20));
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
+    fleet.pause_process(4, Duration::from_secs(20));
     fleet.run(Duration::from_secs(1));
-    let request = fleet.send(0, apply_request(policy(2, SIZE), None, 2));
+    let request = fleet.send(0, apply_request(policy(2, FLEET_SIZE), None, 2));
     fleet.run(Duration::from_secs(15));
     expect_true!(fleet.replies.contains_key(&request));
 
     fleet.run_until("thaw", |fleet| fleet.in_force(4).is_some());
     expect_that!(fleet.in_force(4), some(eq(PolicyVersion(2))));
     fleet.run(Duration::from_secs(3));
-    expect_that!(fleet.apply(0, policy(2, SIZE), None, 2), eq(&accepted(2)));
+    expect_that!(
+        fleet.apply(0, policy(2, FLEET_SIZE), None, 2),
+        eq(&accepted(2))
+    );
 }
 
 #[gtest]
 fn short_freeze_puts_the_policy_in_doubt() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
-    let freeze = Duration::from_millis(1_500);
-    fleet.freeze(4, freeze);
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
+    let pause = Duration::from_millis(1_500);
+    fleet.pause_process(4, pause);
 
-    fleet.run(freeze);
+    fleet.run(pause);
     expect_that!(fleet.node(4).configuration().policy(), none());
 
     fleet.run(Duration::from_millis(20));
@@ -61,22 +64,22 @@
 
 #[gtest]
 fn answer_from_before_a_second_freeze_confirms_nothing() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
-    let freeze = Duration::from_millis(1_500);
-    fleet.freeze(4, freeze);
-    fleet.run(freeze);
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
+    let pause = Duration::from_millis(1_500);
+    fleet.pause_process(4, pause);
+    fleet.run(pause);
 
-    fleet.freeze(4, freeze);
-    fleet.run(freeze);
+    fleet.pause_process(4, pause);
+    fleet.run(pause);
     expect_that!(fleet.node(4).configuration().policy(), none());
 }
 
 #[gtest]
 fn fleet_frozen_as_a_whole_runs_on_with_the_store_down() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     fleet.store.mode = StoreMode::Down;
-    for number in 0..SIZE {
-        fleet.freeze(number, Duration::from_millis(1_500));
+    for number in 0..FLEET_SIZE {
+        fleet.pause_process(number, Duration::from_millis(1_500));
     }
     fleet.run(Duration::from_millis(1_500));
     fleet.run_until("policy everywhere", |fleet| fleet.all_in_force(1));
@@ -84,12 +87,15 @@
 
 #[gtest]
 fn stale_reads_bring_no_older_policy_back() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
-    fleet.store.remember_policy();
-    expect_that!(fleet.apply(0, policy(2, SIZE), None, 2), eq(&accepted(2)));
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
+    fleet.store.snapshot_policy();
+    expect_that!(
+        fleet.apply(0, policy(2, FLEET_SIZE), None, 2),
+        eq(&accepted(2))
+    );
     fleet.store.begin_stale_reads();
 
-    let reply = fleet.apply(3, policy(3, SIZE), None, 3);
+    let reply = fleet.apply(3, policy(3, FLEET_SIZE), None, 3);
     expect_that!(
         reply,
         matches_pattern!(OperatorReply::Failed {
@@ -98,7 +104,7 @@
             ..
         })
     );
-    for number in 0..SIZE {
+    for number in 0..FLEET_SIZE {
         fleet.kill(number);
         fleet.boot(number);
         fleet.run_until("policy on the restarted node", |fleet| {
@@ -110,12 +116,15 @@
 
 #[gtest]
 fn cold_start_under_stale_reads_waits_for_the_latest_policy() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
-    fleet.store.remember_policy();
-    expect_that!(fleet.apply(0, policy(2, SIZE), None, 2), eq(&accepted(2)));
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
+    fleet.store.snapshot_policy();
+    expect_that!(
+        fleet.apply(0, policy(2, FLEET_SIZE), None, 2),
+        eq(&accepted(2))
+    );
     fleet.store.begin_stale_reads();
-    (0..SIZE).for_each(|number| fleet.kill(number));
-    (0..SIZE).for_each(|number| fleet.boot(number));
+    (0..FLEET_SIZE).for_each(|number| fleet.kill(number));
+    (0..FLEET_SIZE).for_each(|number| fleet.boot(number));
 
     fleet.run(Duration::from_secs(20));
     expect_that!(fleet.in_force(0), none());
@@ -126,12 +135,12 @@
 
 #[gtest]
 fn fresh_node_without_store_takes_the_policy_from_its_peers() {
-    let mut fleet = Fleet::start_with_policy(SIZE);
+    let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     fleet.kill(4);
     fleet.run(Duration::from_secs(8));
     fleet.boot(4);
     fleet.run_until("membership", |fleet| {
-        fleet.node(4).membership().view().members.len() == SIZE
+        fleet.node(4).membership().view().members.len() == FLEET_SIZE
     });
     fleet.store.mode = StoreMode::Down;
     fleet.run_until("policy", |fleet| {
--- a/crates/rillgap-core/tests/configuration_support/mod.rs
+++ b/crates/rillgap-core/tests/configuration_support/mod.rs
@@ -21,32 +21,32 @@
 use rillgap_core::policy::{BackEndPolicy, BackEndState, Policy, ServicePolicy};
 use rillgap_core::store::{Machine, StoreReply, StoreRequest, StoreRequestId};
 use rillgap_core::time::{Instant, Now, WallTime};
-use store::{Store, StoreReplyAt};
+use store::{DelayedReply, Store};
 
 const LINK_DELAY: Duration = Duration::from_micros(700);
-const EPOCH_MILLIS: u64 = 1_700_000_000_000;
+const WALL_CLOCK_START_MILLIS: u64 = 1_700_000_000_000;
 
 /// A node in one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Run {
+pub struct NodeRun {
     pub node: NodeId,
     pub incarnation: Incarnation,
 }
 
 #[derive(Debug)]
 enum Delivery {
-    Event(Run, Event),
-    Store(Run, StoreRequestId, StoreRequest),
+    Event(NodeRun, Event),
+    Store(NodeRun, StoreRequestId, StoreRequest),
     LateWrite(StoreRequest),
 }
 
 struct Host {
     node: Node,
-    run: Run,
-    frozen_until: Option<Instant>,
-    waiting: Vec<Event>,
-    wake: Option<Instant>,
-    highest: PolicyVersion,
+    run: NodeRun,
+    paused_until: Option<Instant>,
+    deferred_events: Vec<Event>,
+    scheduled_wake: Option<Instant>,
+    highest_version: PolicyVersion,
 }
 
 /// Several nodes, their links and their store.
@@ -57,10 +57,10 @@
     pub largest_policy_message: usize,
     hosts: BTreeMap<NodeId, Host>,
     queue: BTreeMap<(Instant, u64), Delivery>,
-    cuts: BTreeSet<NodeId>,
-    store_cuts: BTreeSet<NodeId>,
+    isolated: BTreeSet<NodeId>,
+    isolated_from_store: BTreeSet<NodeId>,
     sequence: u64,
-    runs: u64,
+    last_incarnation: u64,
     accepted: PolicyVersion,
 }
 
@@ -103,10 +103,10 @@
             largest_policy_message: 0,
             hosts: BTreeMap::new(),
             queue: BTreeMap::new(),
-            cuts: BTreeSet::new(),
-            store_cuts: BTreeSet::new(),
+            isolated: BTreeSet::new(),
+            isolated_from_store: BTreeSet::new(),
             sequence: 0,
-            runs: 0,
+            last_incarnation: 0,
             accepted: PolicyVersion::default(),
         };
         let machine = |number| Machine {
@@ -134,7 +134,7 @@
 
     /// Starts a node, or restarts it with a new run and an empty memory.
     pub fn boot(&mut self, number: usize) {
-        self.runs += 1;
+        self.last_incarnation += 1;
         let seeds = (0..2).map(|seed| SeedPeer {
             name: name(seed),
             mesh_address: address(seed),
@@ -143,8 +143,8 @@
             name: name(number),
             zone: ZoneName::new(format!("zone-{}", number % 3)),
             region: RegionName::new("region"),
-            incarnation: Incarnation(self.runs),
-            random_seed: self.runs,
+            incarnation: Incarnation(self.last_incarnation),
+            random_seed: self.last_incarnation,
             mesh_address: address(number),
             back_end: None,
             seeds: seeds.collect(),
@@ -152,17 +152,17 @@
             initial_policy: None,
             admission: Default::default(),
         };
-        let run = Run {
+        let run = NodeRun {
             node: id(number),
             incarnation: settings.incarnation,
         };
         let host = Host {
             node: Node::new(self.clock(), settings),
             run,
-            frozen_until: None,
-            waiting: Vec::new(),
-            wake: None,
-            highest: PolicyVersion::default(),
+            paused_until: None,
+            deferred_events: Vec::new(),
+            scheduled_wake: None,
+            highest_version: PolicyVersion::default(),
         };
         self.hosts.insert(run.node, host);
         self.push(Duration::ZERO, Delivery::Event(run, Event::Wake));
@@ -173,25 +173,25 @@
     }
 
     /// Stops a node for a while; whatever arrives meanwhile is handled after it.
-    pub fn freeze(&mut self, number: usize, duration: Duration) {
+    pub fn pause_process(&mut self, number: usize, duration: Duration) {
         let until = self.now + duration;
-        self.host_mut(number).frozen_until = Some(until);
+        self.host_mut(number).paused_until = Some(until);
     }
 
     /// Cuts a node from all others and from the store.
-    pub fn cut(&mut self, number: usize) {
-        self.cut_from_peers(number);
-        self.store_cuts.insert(id(number));
+    pub fn isolate(&mut self, number: usize) {
+        self.isolate_from_peers(number);
+        self.isolated_from_store.insert(id(number));
     }
 
     /// Cuts a node from all others, not from the store.
-    pub fn cut_from_peers(&mut self, number: usize) {
-        self.cuts.insert(id(number));
+    pub fn isolate_from_peers(&mut self, number: usize) {
+        self.isolated.insert(id(number));
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
-        self.store_cuts.clear();
+        self.isolated.clear();
+        self.isolated_from_store.clear();
     }
 
     /// Loses the replies of the store that are on their way.
@@ -275,7 +275,7 @@
     fn clock(&self) -> Now {
         Now {
             instant: self.now,
-            wall: WallTime::from_millis(EPOCH_MILLIS + self.now.as_micros() / 1_000),
+            wall: WallTime::from_millis(WALL_CLOCK_START_MILLIS + self.now.as_micros() / 1_000),
         }
     }
 
@@ -293,29 +293,29 @@
         match delivery {
             Delivery::Event(run, event) => self.handle(run, event),
             Delivery::Store(run, request, body) => {
-                let answers = self.store.request(run, request, body.clone());
+                let replies = self.store.request(run, request, body.clone());
                 if self.store.takes_effect_late() {
                     let delay = Duration::from_millis(700);
                     self.push(delay, Delivery::LateWrite(body));
                 }
-                self.push_replies(answers);
+                self.push_store_replies(replies);
             }
             Delivery::LateWrite(body) => {
-                let answers = self.store.write_late(body);
-                self.push_replies(answers);
+                let replies = self.store.write_late(body);
+                self.push_store_replies(replies);
             }
         }
     }
 
-    fn push_replies(&mut self, answers: Vec<StoreReplyAt>) {
-        for StoreReplyAt {
+    fn push_store_replies(&mut self, replies: Vec<DelayedReply>) {
+        for DelayedReply {
             run,
             request,
             reply,
             delay,
-        } in answers
+        } in replies
         {
-            let reply = if self.store_cuts.contains(&run.node) {
+            let reply = if self.isolated_from_store.contains(&run.node) {
                 StoreReply::Failed
             } else {
                 reply
@@ -325,39 +325,42 @@
         }
     }
 
-    fn handle(&mut self, run: Run, event: Event) {
+    fn handle(&mut self, run: NodeRun, event: Event) {
         let now = self.clock();
         let Some(host) = self.hosts.get_mut(&run.node).filter(|host| host.run == run) else {
             return;
         };
-        if let Some(until) = host.frozen_until {
+        if let Some(until) = host.paused_until {
             if self.now < until {
-                host.waiting.push(event);
+                host.deferred_events.push(event);
                 let delay = until.saturating_since(self.now);
-                if host.waiting.len() == 1 {
+                if host.deferred_events.len() == 1 {
                     self.push(delay, Delivery::Event(run, Event::Wake));
                 }
                 return;
             }
-            host.frozen_until = None;
+            host.paused_until = None;
         }
         let mut out = Outbox::new();
-        for event in std::mem::take(&mut host.waiting) {
+        for event in std::mem::take(&mut host.deferred_events) {
             host.node.handle(now, event, &mut out);
         }
         host.node.handle(now, event, &mut out);
-        self.carry_out(run, out);
+        self.execute(run, out);
         self.check(run);
         self.schedule_wake(run);
     }
 
     /// No node goes back, and none serves under less than what was accepted.
-    fn check(&mut self, run: Run) {
+    fn check(&mut self, run: NodeRun) {
         let now = self.clock();
         let host = self.hosts.get_mut(&run.node).unwrap();
         let version = host.node.configuration().version();
-        assert!(version >= host.highest, "a node went back to {version:?}");
-        host.highest = version;
+        assert!(
+            version >= host.highest_version,
+            "a node went back to {version:?}"
+        );
+        host.highest_version = version;
         let serves = host.node.membership().may_serve(now);
         if let Some(policy) = host.node.configuration().policy().filter(|_| serves) {
             let accepted = self.accepted;
@@ -365,21 +368,24 @@
         }
     }
 
-    fn schedule_wake(&mut self, run: Run) {
+    fn schedule_wake(&mut self, run: NodeRun) {
         let now = self.now;
         let host = self.hosts.get_mut(&run.node).unwrap();
         let Some(wake) = host.node.next_wake() else {
             return;
         };
-        if host.wake.is_some_and(|due| due > now && due <= wake) {
+        if host
+            .scheduled_wake
+            .is_some_and(|due| due > now && due <= wake)
+        {
             return;
         }
-        host.wake = Some(wake);
+        host.scheduled_wake = Some(wake);
         let delay = wake.saturating_since(now).max(Duration::from_millis(1));
         self.push(delay, Delivery::Event(run, Event::Wake));
     }
 
-    fn carry_out(&mut self, run: Run, out: Outbox) {
+    fn execute(&mut self, run: NodeRun, out: Outbox) {
         for action in out {
             match action {
                 Action::Send { to, message, .. } => self.transmit(run, to, message),
@@ -393,11 +399,11 @@
         }
     }
 
-    fn transmit(&mut self, from: Run, to: NodeId, message: PeerMessage) {
+    fn transmit(&mut self, from: NodeRun, to: NodeId, message: PeerMessage) {
         if let PeerMessage::Configuration(message) = &message {
-            self.measure(message);
+            self.record_message_size(message);
         }
-        if self.cuts.contains(&from.node) || self.cuts.contains(&to) {
+        if self.isolated.contains(&from.node) || self.isolated.contains(&to) {
             return;
         }
         if let Some(run) = self.hosts.get(&to).map(|host| host.run) {
@@ -410,7 +416,7 @@
         }
     }
 
-    fn measure(&mut self, message: &ConfigurationMessage) {
+    fn record_message_size(&mut self, message: &ConfigurationMessage) {
         let bytes = bitcode::encode(message).len();
         self.largest_policy_message = self.largest_policy_message.max(bytes);
     }
--- a/crates/rillgap-core/tests/configuration_support/store.rs
+++ b/crates/rillgap-core/tests/configuration_support/store.rs
@@ -7,7 +7,7 @@
     Machine, ModifyIndex, StoreKey, StoreObject, StoreReply, StoreRequest, StoreRequestId,
 };
 
-use super::Run;
+use super::NodeRun;
 
 /// What the store does with requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -27,8 +27,8 @@
 
 /// A reply and when it leaves the store.
 #[derive(Debug)]
-pub struct StoreReplyAt {
-    pub run: Run,
+pub struct DelayedReply {
+    pub run: NodeRun,
     pub request: StoreRequestId,
     pub reply: StoreReply,
     pub delay: Duration,
@@ -36,7 +36,7 @@
 
 #[derive(Debug)]
 struct Watcher {
-    run: Run,
+    run: NodeRun,
     request: StoreRequestId,
     key: Option<StoreKey>,
     after: ModifyIndex,
@@ -53,9 +53,9 @@
     objects: BTreeMap<StoreKey, StoreObject>,
     watchers: Vec<Watcher>,
     index: u64,
-    remembered: Option<StoreObject>,
+    snapshot: Option<StoreObject>,
     stale: Option<StoreObject>,
-    late: bool,
+    is_last_write_late: bool,
 }
 
 impl Default for Store {
@@ -68,22 +68,22 @@
             objects: BTreeMap::new(),
             watchers: Vec::new(),
             index: 1,
-            remembered: None,
+            snapshot: None,
             stale: None,
-            late: false,
+            is_last_write_late: false,
         }
     }
 }
 
 impl Store {
     /// Remembers the policy as it is now, for [`Self::begin_stale_reads`].
-    pub fn remember_policy(&mut self) {
-        self.remembered = Some(self.object(&policy_key()));
+    pub fn snapshot_policy(&mut self) {
+        self.snapshot = Some(self.object(&policy_key()));
     }
 
-    /// From now on reads of the policy return the remembered object.
+    /// From now on reads of the policy return the snapshot object.
     pub fn begin_stale_reads(&mut self) {
-        self.stale = self.remembered.clone();
+        self.stale = self.snapshot.clone();
     }
 
     pub fn end_stale_reads(&mut self) {
@@ -92,15 +92,15 @@
 
     /// Returns whether the last request takes effect later.
     pub fn takes_effect_late(&mut self) -> bool {
-        std::mem::take(&mut self.late)
+        std::mem::take(&mut self.is_last_write_late)
     }
 
     pub fn request(
         &mut self,
-        run: Run,
+        run: NodeRun,
         request: StoreRequestId,
         body: StoreRequest,
-    ) -> Vec<StoreReplyAt> {
+    ) -> Vec<DelayedReply> {
         if self.mode == StoreMode::Silent {
             return Vec::new();
         }
@@ -119,7 +119,7 @@
     }
 
     /// Carries out a write whose answer was lost.
-    pub fn write_late(&mut self, body: StoreRequest) -> Vec<StoreReplyAt> {
+    pub fn write_late(&mut self, body: StoreRequest) -> Vec<DelayedReply> {
         if let StoreRequest::CompareAndSet {
             key,
             expected,
@@ -133,11 +133,11 @@
 
     fn read(
         &mut self,
-        run: Run,
+        run: NodeRun,
         request: StoreRequestId,
         key: Option<StoreKey>,
         after: Option<ModifyIndex>,
-    ) -> Vec<StoreReplyAt> {
+    ) -> Vec<DelayedReply> {
         let after = after.unwrap_or_default();
         if after > ModifyIndex(0) && self.index_of(key.as_ref()) <= after {
             self.watchers.push(Watcher {
@@ -154,15 +154,15 @@
 
     fn compare_and_set(
         &mut self,
-        run: Run,
+        run: NodeRun,
         request: StoreRequestId,
         key: StoreKey,
         expected: ModifyIndex,
         value: Vec<u8>,
-    ) -> Vec<StoreReplyAt> {
+    ) -> Vec<DelayedReply> {
         let is_policy = key == policy_key();
         if is_policy && self.mode == StoreMode::WritesLate {
-            self.late = true;
+            self.is_last_write_late = true;
             return vec![self.reply(run, request, StoreReply::Failed)];
         }
         let mut reply = self.write(key, expected, value);
@@ -188,7 +188,7 @@
         StoreReply::Written(index)
     }
 
-    fn answer_watchers(&mut self) -> Vec<StoreReplyAt> {
+    fn answer_watchers(&mut self) -> Vec<DelayedReply> {
         let watchers = std::mem::take(&mut self.watchers);
         let (due, waiting) = watchers
             .into_iter()
@@ -203,8 +203,8 @@
             .collect()
     }
 
-    fn reply(&self, run: Run, request: StoreRequestId, reply: StoreReply) -> StoreReplyAt {
-        StoreReplyAt {
+    fn reply(&self, run: NodeRun, request: StoreRequestId, reply: StoreReply) -> DelayedReply {
+        DelayedReply {
             run,
             request,
             reply,
@@ -242,5 +242,5 @@
 }
 
 fn policy_key() -> StoreKey {
-    StoreKey(rillgap_core::configuration::scope::POLICY_KEY.to_owned())
+    StoreKey(rillgap_core::configuration::context::POLICY_KEY.to_owned())
 }
