--- a/crates/rillgap-core/src/configuration/acceptance.rs
+++ b/crates/rillgap-core/src/configuration/acceptance.rs
@@ -1,4 +1,7 @@
-//! Acceptance: waits deadline every machine of the view has confirmed a stored change.
+//! Waits until every member of the view holds a stored change, then replies to the operator.
+//!
+//! A change is *accepted* when every member of the view has confirmed its version or a later one;
+//! until then it is *pending*.
 
 use std::time::Duration;
 
@@ -7,13 +10,13 @@
 use crate::operator::{ChangeState, OperatorReply, OperatorRequestId};
 use crate::time::Instant;
 
-/// Longest wait before a change is reported as pending.
+/// Time after which a change that is not yet accepted is reported as pending.
 const ACCEPTANCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause between two looks at the confirmations.
+/// Interval between two checks of the confirmations.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An operator who waits for a change to be accepted.
+/// A request of an operator that is answered once a change is accepted.
 #[derive(Debug)]
 struct Waiter {
     request: OperatorRequestId,
@@ -21,7 +24,7 @@
     deadline: Instant,
 }
 
-/// The operators who wait.
+/// Requests of operators that wait for the acceptance of a change.
 #[derive(Debug, Default)]
 pub struct Acceptance {
     waiters: Vec<Waiter>,
@@ -29,7 +32,8 @@
 }
 
 impl Acceptance {
-    /// Replies to `request` when `version` is accepted, or after a bounded wait that it is not.
+    /// Replies to `request` when `version` is accepted, or after [`ACCEPTANCE_TIMEOUT`] that it is
+    /// pending.
     pub fn wait(&mut self, now: Instant, request: OperatorRequestId, version: PolicyVersion) {
         self.waiters.push(Waiter {
             request,
@@ -39,7 +43,7 @@
         self.next_check = Some(now);
     }
 
-    /// Replies to those whose change is accepted or whose wait is over.
+    /// Replies to the requests whose change is accepted or whose timeout has expired.
     pub fn poll(&mut self, context: &mut StepContext<'_>) {
         if self.next_check.is_none_or(|due| context.now < due) {
             return;
@@ -56,13 +60,13 @@
         self.next_check = (!self.waiters.is_empty()).then(|| now + CHECK_INTERVAL);
     }
 
-    /// Returns when [`Self::poll`] looks next.
+    /// Returns when [`Self::poll`] checks next, or `None` if no request waits.
     pub fn next_wake(&self) -> Option<Instant> {
         self.next_check
     }
 }
 
-/// Tells an operator how far a change has come.
+/// Reports the state of a change to an operator.
 pub fn report(
     context: &mut StepContext<'_>,
     request: OperatorRequestId,
@@ -72,9 +76,10 @@
     context.reply(request, OperatorReply::Change { version, state });
 }
 
-/// Returns how far a version has come.
+/// Returns whether a version is accepted and, if not, which members are missing.
 ///
-/// A node that is out of touch may not know the latest view, so it reports none as accepted.
+/// A node that may not serve may have an outdated view, so it reports every version as pending,
+/// with at least one member missing.
 pub fn state(context: &StepContext<'_>, version: PolicyVersion) -> ChangeState {
     let unconfirmed = context.membership.unconfirmed(version);
     if unconfirmed.missing == 0 && context.may_serve {
--- a/crates/rillgap-core/src/configuration/alteration.rs
+++ b/crates/rillgap-core/src/configuration/alteration.rs
@@ -1,4 +1,4 @@
-//! What an operator wants to change, and what it makes of a document.
+//! The alterations that operators request, and the document that results from each.
 
 use super::document::PolicyDocument;
 use super::message::BackEndChange;
@@ -7,38 +7,39 @@
 use crate::id::{BackEndName, ChangeId, PolicyVersion};
 use crate::policy::{BackEndState, Policy};
 
-/// What an operator wants to change.
+/// An alteration of the policy that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Alteration {
-    /// Replace the policy.
+    /// Replaces the whole policy.
     Policy {
-        /// The new one.
+        /// The new policy; its version and change are set when it is written.
         policy: Box<Policy>,
-        /// Version that must still be in force; `None` for whichever is.
+        /// Version that the new policy must follow; `None` accepts any.
         expected: Option<PolicyVersion>,
     },
-    /// Move a back end into or out of service.
+    /// Moves a back end into or out of service.
     BackEnd {
-        /// The back end.
+        /// Name of the back end.
         name: BackEndName,
         /// Its new state.
         state: BackEndState,
     },
 }
 
-/// What an alteration makes of a document.
+/// Result of planning an alteration on a document.
 #[derive(Debug)]
 pub enum Plan {
-    /// The document that follows.
+    /// The document to write.
     Next(Box<PolicyDocument>),
-    /// The document is older than the expected version.
+    /// The base document is older than the expected version: a read may have returned an older
+    /// object, so the plan is tried again after another read.
     BaseOutdated,
-    /// The alteration cannot be made.
+    /// The alteration cannot be applied to this document.
     Refused(ResultCode),
 }
 
 impl Alteration {
-    /// Plans the document that follows `base`.
+    /// Plans the document that results from applying this alteration to `base`.
     pub fn plan(&self, base: &PolicyDocument, change: ChangeId) -> Plan {
         match self {
             Self::Policy { policy, expected } => {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Returns what other nodes are told of a change that made `version`.
+    /// Returns the update to send to other nodes after the change `change` created `version`.
     pub fn peer_update(&self, change: ChangeId, version: PolicyVersion) -> PeerUpdate {
         match self {
             Self::Policy { .. } => PeerUpdate::Version(version),
--- a/crates/rillgap-core/src/configuration/changes.rs
+++ b/crates/rillgap-core/src/configuration/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of operators, one at a time.
+//! Queues the changes that operators request and writes them to the store one at a time.
 
 use std::collections::VecDeque;
 
@@ -13,13 +13,13 @@
 use crate::store::{StoreReply, StoreRequestId};
 use crate::time::Instant;
 
-/// Most changes that wait for their turn.
+/// Maximum number of changes in the queue, besides the active one.
 const MAX_QUEUED: usize = 16;
 
-/// Unsettled changes that are remembered.
+/// Maximum number of unsettled changes that are recorded; the oldest is dropped first.
 const MAX_UNSETTLED: usize = 64;
 
-/// A change that waits for its turn.
+/// A change in the queue.
 #[derive(Debug)]
 struct QueuedChange {
     change: ChangeId,
@@ -27,7 +27,7 @@
     requests: Vec<OperatorRequestId>,
 }
 
-/// The change that is on its way into the store.
+/// The change that is being written to the store.
 #[derive(Debug)]
 struct ActiveChange {
     write: PolicyWrite,
@@ -35,27 +35,27 @@
     requests: Vec<OperatorRequestId>,
 }
 
-/// Document that a step brought to light.
+/// A document that was read from the store or written to it.
 #[derive(Debug)]
 pub struct ObservedDocument {
     /// The document.
     pub document: PolicyDocument,
-    /// The change that was just written, if this is its document.
+    /// The change that was just written; `None` if the document was read.
     pub written: Option<WrittenChange>,
 }
 
 /// A change that was just written.
 #[derive(Debug)]
 pub struct WrittenChange {
-    /// The change.
+    /// Identifier of the change.
     pub change: ChangeId,
-    /// What it changed.
+    /// The alteration that it made.
     pub alteration: Alteration,
-    /// Round of questions in which the change was begun.
+    /// Query round of the confirmation in which the write began.
     pub round: u64,
 }
 
-/// The changes under way.
+/// The queued changes, the active change, and the unsettled ones.
 #[derive(Debug, Default)]
 pub struct Changes {
     queued: VecDeque<QueuedChange>,
@@ -64,7 +64,9 @@
 }
 
 impl Changes {
-    /// Takes a change; one that is already under way is joined.
+    /// Queues a change.
+    ///
+    /// If the same change is already queued or active, its outcome is reported to this request too.
     pub fn submit(
         &mut self,
         context: &mut StepContext<'_>,
@@ -77,7 +79,7 @@
             return;
         }
         if self.queued.len() >= MAX_QUEUED {
-            let detail = "too many changes wait at this node";
+            let detail = "too many changes are queued at this node";
             context.fail(request, ResultCode::Overloaded, held.version(), detail);
             return;
         }
@@ -89,7 +91,8 @@
         self.start_next(context);
     }
 
-    /// Lets an operator wait for a change that is under way; returns whether it is.
+    /// Adds `request` to those that get the outcome of a queued or active change; returns whether
+    /// there is one with this identifier.
     pub fn join(&mut self, request: OperatorRequestId, change: ChangeId) -> bool {
         let active = self.active.iter_mut();
         let active = active.map(|active| (active.write.change(), &mut active.requests));
@@ -101,12 +104,13 @@
             .is_some()
     }
 
-    /// Returns whether a write of a change was sent and its effect is not known.
+    /// Returns whether this node sent a write of the change and does not know whether it took
+    /// effect.
     pub fn is_unsettled(&self, change: ChangeId) -> bool {
         self.unsettled.contains(&change)
     }
 
-    /// Handles a reply of the store.
+    /// Handles a reply of the store; returns the document that it brought, if any.
     pub fn on_reply(
         &mut self,
         context: &mut StepContext<'_>,
@@ -120,7 +124,7 @@
         self.handle_step(context, step, held, acceptance)
     }
 
-    /// Does what is due.
+    /// Handles timeouts and retries of the active change.
     pub fn poll(
         &mut self,
         context: &mut StepContext<'_>,
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Returns when [`Self::poll`] must be called next.
+    /// Returns when [`Self::poll`] must be called next, or `None` if no change is active.
     pub fn next_wake(&self) -> Option<Instant> {
         self.active.as_ref().map(|active| active.write.next_wake())
     }
@@ -202,7 +206,7 @@
             }
             WriteOutcome::Unsettled => {
                 self.record_unsettled(active.write.change());
-                let detail = "a write was sent and its answer was lost; it may still take effect";
+                let detail = "a write was sent and its reply was lost; it may still take effect";
                 let code = ResultCode::ChangeUnsettled;
                 fail_all(context, active.requests, code, detail, latest);
             }
@@ -210,7 +214,9 @@
         self.start_next(context);
     }
 
-    /// Refuses what waits while the store is down, so that nobody waits for one timeout each.
+    /// Fails all queued changes when the store does not answer.
+    ///
+    /// Otherwise each of them would run into its own timeout, one after the other.
     fn refuse_queued(&mut self, context: &mut StepContext<'_>, latest: PolicyVersion) {
         for queued in self.queued.drain(..) {
             let detail = "the store does not answer; nothing was written";
--- a/crates/rillgap-core/src/configuration/confirmation.rs
+++ b/crates/rillgap-core/src/configuration/confirmation.rs
@@ -1,9 +1,10 @@
-//! Confirmation: whether the policy that a node holds may be in force.
+//! Confirms that the policy held by this node may be in force.
 //!
 //! A change is accepted only when every member of the view holds it, so a confirmed member of
-//! the view holds every accepted change. A node that has just started, was frozen or was out of
-//! the view serves nothing until such a member has told it its version and it holds that version
-//! itself. Where no member is confirmed, a store reader asks the store; see [`super::linearizable_read`].
+//! the view holds every accepted change. A node that has just started, was paused or was out of
+//! the view serves nothing until a confirmed member has reported its version and the node itself
+//! holds that version or a later one. Where no member is confirmed, a store reader reads the
+//! store; see [`super::linearizable_read`].
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,38 +14,40 @@
 use crate::id::{Incarnation, NodeId, PolicyVersion};
 use crate::time::Instant;
 
-/// Longest time between two steps after which a node must think that it was frozen.
+/// Maximum time between two steps; after a longer gap the process counts as paused and may have
+/// missed a change.
 pub const PROCESS_PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Pause after the first questions; later pauses grow.
+/// Backoff after each of the first attempts to query peers; it doubles with each attempt after the
+/// first [`ATTEMPTS_BEFORE_STORE`].
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Longest backoff between questions.
+/// Maximum backoff between two attempts to query peers.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Pause between two looks whether this node has joined the view.
+/// Interval at which a node that is not in the view checks whether it has joined.
 const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Questions without a useful answer before a store reader turns to the store.
+/// Attempts to query peers without a confirmation before a store reader reads the store.
 const ATTEMPTS_BEFORE_STORE: u32 = 3;
 
-/// Most members that are asked at once.
+/// Maximum number of members that are queried in one attempt.
 const MAX_QUERY_BATCH: u32 = 64;
 
-/// What a peer's answer means for the node that asked.
+/// Answer of a peer to a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The peer.
+    /// Peer that sent it.
     pub from: NodeId,
-    /// Round of the question that it answers.
+    /// Round of the query that it answers.
     pub round: u64,
-    /// Version that it holds.
+    /// Version that the peer holds.
     pub version: PolicyVersion,
-    /// How sure it is.
+    /// Whether the peer has confirmed that version.
     pub state: ConfirmationState,
 }
 
-/// ConfirmationState of this node and its questions to peers.
+/// Confirmation state of this node and its queries to peers.
 #[derive(Debug)]
 pub struct Confirmation {
     node: NodeId,
@@ -61,7 +64,9 @@
 }
 
 impl Confirmation {
-    /// Creates the state of a fresh node; one with a `fixed` policy is confirmed for good.
+    /// Creates the confirmation of a node that has just started.
+    ///
+    /// A `fixed` policy comes from the settings; it is confirmed from the start and stays so.
     pub fn new(now: Instant, node: NodeId, incarnation: Incarnation, fixed: bool) -> Self {
         let state = if fixed {
             ConfirmationState::Confirmed
@@ -83,27 +88,28 @@
         }
     }
 
-    /// Returns the state.
+    /// Returns the confirmation state of this node.
     pub fn state(&self) -> ConfirmationState {
         self.state
     }
 
-    /// Returns whether the policy comes from the settings and is confirmed for good.
+    /// Returns whether the policy comes from the settings, so that it always counts as confirmed.
     pub fn is_fixed(&self) -> bool {
         self.fixed
     }
 
-    /// Returns whether the policy may be in force.
+    /// Returns whether the policy is confirmed, so that it may be in force.
     pub fn is_confirmed(&self) -> bool {
         self.state == ConfirmationState::Confirmed
     }
 
-    /// Returns whether peers were asked often enough to turn to the store.
+    /// Returns whether enough queries to peers brought no confirmation to read the store instead.
     pub fn peers_exhausted(&self) -> bool {
         !self.is_confirmed() && self.attempts >= ATTEMPTS_BEFORE_STORE
     }
 
-    /// Takes note of the time; after a gap the node may have missed a change.
+    /// Records the time of a step; if the gap since the last one exceeds
+    /// [`PROCESS_PAUSE_THRESHOLD`], the confirmation becomes invalid.
     pub fn note_time(&mut self, now: Instant) {
         if now.saturating_since(self.last_step) > PROCESS_PAUSE_THRESHOLD {
             self.invalidate(now);
@@ -111,7 +117,8 @@
         self.last_step = self.last_step.max(now);
     }
 
-    /// Does what is due: doubts after leaving the view, questions to peers.
+    /// Invalidates the confirmation if this node is not in the view; otherwise sends the queries
+    /// that are due.
     pub fn poll(&mut self, context: &mut StepContext<'_>, held: PolicyVersion) {
         if !self.is_member(context) {
             self.invalidate(context.now);
@@ -124,7 +131,7 @@
         }
     }
 
-    /// Takes in the answer of a peer.
+    /// Handles the answer of a peer. Answers to a query of an earlier round are ignored.
     pub fn on_answer(&mut self, context: &StepContext<'_>, answer: Answer, held: PolicyVersion) {
         if self.is_confirmed() || answer.round != self.round || !self.is_member(context) {
             return;
@@ -140,19 +147,21 @@
         self.confirm_if_current(context, held);
     }
 
-    /// Takes in that the store, asked in `round`, had nothing later than what this node holds.
+    /// Confirms the held version because an exchange with the store, begun in `round`, has proven
+    /// that no later one exists. Has no effect if `round` is over.
     pub fn confirm_from_store(&mut self, round: u64) {
         if round == self.round {
             self.state = ConfirmationState::Confirmed;
         }
     }
 
-    /// Returns the round of questions; what was asked in an earlier one proves nothing.
+    /// Returns the query round. It increases when a confirmation becomes invalid; an answer to a
+    /// query of an earlier round confirms nothing.
     pub fn round(&self) -> u64 {
         self.round
     }
 
-    /// Asks the peers at once and first of all, for there is news.
+    /// Makes the next queries due at once and resets the attempts, because a newer policy is held.
     pub fn retry_now(&mut self, now: Instant) {
         if !self.is_confirmed() {
             self.attempts = 0;
@@ -169,7 +178,8 @@
         pause_check.min(self.next_attempt)
     }
 
-    /// Gives up a confirmation, and with it every answer to an earlier question.
+    /// Invalidates the confirmation and all answers received so far, by beginning a new query
+    /// round. A fixed policy stays confirmed.
     fn invalidate(&mut self, now: Instant) {
         if self.fixed {
             return;
@@ -185,7 +195,7 @@
         self.highest_unconfirmed = PolicyVersion::default();
     }
 
-    /// Confirms if what was asked for is held.
+    /// Confirms the policy if this node holds the version that the answers require.
     fn confirm_if_current(&mut self, context: &StepContext<'_>, held: PolicyVersion) {
         if self.required_version.is_none() && self.has_majority(context) {
             self.required_version = Some(self.highest_unconfirmed);
@@ -198,9 +208,10 @@
         }
     }
 
-    /// Returns whether a majority of the view, all in invalidate like this node, has told its version.
+    /// Returns whether a majority of the view, this node included, is possibly stale and has
+    /// reported its version.
     ///
-    /// So a fleet that was frozen as a whole goes on while the store is down.
+    /// This lets a fleet whose nodes were all paused resume while the store is down.
     fn has_majority(&self, context: &StepContext<'_>) -> bool {
         let members = context.membership.view().members.len();
         self.state == ConfirmationState::PossiblyStale
@@ -212,7 +223,8 @@
         member.is_some_and(|member| member.incarnation == self.incarnation)
     }
 
-    /// Asks a few members, each time the next ones and after some attempts more of them.
+    /// Queries a batch of members. Each attempt starts [`MAX_QUERY_BATCH`] positions after the last
+    /// one; the batch doubles with each attempt after the first [`ATTEMPTS_BEFORE_STORE`].
     fn query_peers(&mut self, context: &mut StepContext<'_>) {
         let members = &context.membership.view().members;
         let others: Vec<NodeId> = members
@@ -229,7 +241,8 @@
         self.attempts = self.attempts.saturating_add(1);
     }
 
-    /// Returns where to begin among `count` members; nodes begin at different places.
+    /// Returns the index of the first of `count` members to query. It depends on this node, so
+    /// that nodes do not all query the same member.
     fn first_position(&self, count: usize) -> usize {
         let stride = u64::from(MAX_QUERY_BATCH) * u64::from(self.attempts);
         let position = self.node.0.wrapping_add(stride) % (count as u64).max(1);
--- a/crates/rillgap-core/src/configuration/context.rs
+++ b/crates/rillgap-core/src/configuration/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of the configuration use in common.
+//! Provides what the parts of the configuration need in a step: time, membership and outputs.
 
 use super::message::ConfigurationMessage;
 use crate::action::{Action, Outbox};
@@ -13,7 +13,8 @@
 /// Key of the object that holds the policy.
 pub const POLICY_KEY: &str = "rillgap/policy";
 
-/// Marks the store requests of the configuration; those of the membership have this bit clear.
+/// Bit that is set in the identifiers of the store requests of the configuration and clear in those
+/// of the membership.
 const CONFIGURATION_BIT: u64 = 1 << 63;
 
 /// Returns the key of the object that holds the policy.
@@ -21,12 +22,12 @@
     StoreKey(POLICY_KEY.to_owned())
 }
 
-/// Returns whether a store request is one of the configuration's.
+/// Returns whether a store request was sent by the configuration.
 pub fn is_configuration_request(request: StoreRequestId) -> bool {
     request.0 & CONFIGURATION_BIT != 0
 }
 
-/// Draws identifiers of store request_ids.
+/// Generates the identifiers of store requests.
 #[derive(Debug, Default)]
 pub struct StoreRequestIds {
     last: u64,
@@ -39,25 +40,25 @@
     }
 }
 
-/// Surroundings of one step: time, peers and the place for actions.
+/// Inputs and outputs of one step.
 #[derive(Debug)]
 pub struct StepContext<'a> {
     /// Monotonic time of the step.
     pub now: Instant,
-    /// Whether this node is a member of the view and in touch with others.
+    /// Whether the membership lets this node serve; see [`Membership::may_serve`].
     pub may_serve: bool,
-    /// Round of questions of the confirmation at the beginning of the step.
+    /// Query round of the confirmation at the beginning of the step.
     pub round: u64,
-    /// Membership.
+    /// Members of the view, their addresses and the versions that they have confirmed.
     pub membership: &'a Membership,
-    /// Identifiers of store request_ids.
+    /// Generator of the identifiers of store requests.
     pub request_ids: &'a mut StoreRequestIds,
-    /// Actions for the driver.
+    /// Actions that the driver of the node executes.
     pub out: &'a mut Outbox,
 }
 
 impl StepContext<'_> {
-    /// Sends a message to a member; one that is not in the view gets nothing.
+    /// Sends a message to a member of the view. Drops it if `to` is not a member.
     pub fn send(&mut self, to: NodeId, message: ConfigurationMessage) {
         if let Some(address) = self.membership.address(to) {
             self.out.push(Action::Send {
@@ -75,7 +76,7 @@
         request
     }
 
-    /// Gives up a request to the store.
+    /// Cancels a request to the store.
     pub fn cancel_store(&mut self, request: StoreRequestId) {
         self.out.push(Action::CancelStore { request });
     }
@@ -85,7 +86,7 @@
         self.out.push(Action::Reply { request, reply });
     }
 
-    /// Tells an operator of a failure.
+    /// Replies to an operator that the request failed; `version` is the latest known one.
     pub fn fail(
         &mut self,
         request: OperatorRequestId,
--- a/crates/rillgap-core/src/configuration/document.rs
+++ b/crates/rillgap-core/src/configuration/document.rs
@@ -1,4 +1,4 @@
-//! The object that holds the policy in the store.
+//! Defines the stored object: the policy with the latest changes, and its encoding.
 
 use std::sync::Arc;
 
@@ -8,43 +8,43 @@
 use crate::id::{BackEndName, ChangeId, PolicyVersion};
 use crate::policy::{BackEndState, IndexedPolicy, Policy};
 
-/// Changes that a document remembers, so that a repeat of one of them is recognised.
+/// Maximum number of changes that a document lists. A listed change is not applied a second time.
 pub const MAX_REMEMBERED_CHANGES: usize = 128;
 
-/// First byte of an encoded document; another format gets another number.
+/// First byte of an encoded document: the number of its format. Each format has its own number.
 const FORMAT: u8 = 1;
 
-/// A change that was stored.
+/// A change that was written to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct StoredChange {
-    /// The change.
+    /// Identifier of the change.
     pub change: ChangeId,
-    /// Version that it made.
+    /// Version that the change created.
     pub version: PolicyVersion,
 }
 
-/// A policy together with the changes that led to it.
+/// A policy together with the latest changes that led to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct PolicyDocument {
-    /// The policy, with its version and the change that made it.
+    /// The policy, with its version and the change that created it.
     pub policy: Policy,
-    /// The last changes, the latest last; at most [`MAX_REMEMBERED_CHANGES`].
+    /// The latest changes, oldest first; at most [`MAX_REMEMBERED_CHANGES`].
     pub changes: Vec<StoredChange>,
 }
 
-/// An object of the store that is not a policy document.
+/// Reason why a stored object cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DocumentError {
-    /// The object is empty or of another format.
-    #[error("policy object of an unknown format")]
+    /// The object is empty or its format is unknown.
+    #[error("unknown format of the policy object")]
     Format,
-    /// The object is damaged.
-    #[error("policy object damaged")]
+    /// The format is known, but the object cannot be decoded.
+    #[error("the policy object is damaged")]
     Damaged,
 }
 
 impl PolicyDocument {
-    /// Returns the document that follows this one when `policy` replaces its policy.
+    /// Returns the next document, with `policy` in place of the current one.
     pub fn with_policy(&self, policy: Policy, change: ChangeId) -> Self {
         let version = PolicyVersion(self.policy.version.0 + 1);
         let mut changes = self.changes.clone();
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Returns the document that follows this one when a back end changes its state, or `None`
-    /// if the policy has no such back end.
+    /// Returns the next document, with another state of a back end, or `None` if the policy has no
+    /// back end of this name.
     pub fn with_back_end(
         &self,
         name: &BackEndName,
@@ -75,7 +75,7 @@
         Some(self.with_policy(policy, change))
     }
 
-    /// Returns the version that a change made, if the change is remembered.
+    /// Returns the version that a change created, or `None` if the document does not list it.
     pub fn version_of(&self, change: ChangeId) -> Option<PolicyVersion> {
         self.changes
             .iter()
@@ -84,14 +84,15 @@
             .map(|stored| stored.version)
     }
 
-    /// Returns the value that is stored.
+    /// Encodes the document as the value of the stored object.
     pub fn encode(&self) -> Vec<u8> {
         let mut value = vec![FORMAT];
         value.extend(bitcode::encode(self));
         value
     }
 
-    /// Reads a stored value; an object that does not exist is the empty document of version zero.
+    /// Decodes a stored value. For an object that does not exist (`None`) it returns the empty
+    /// document of version zero.
     pub fn decode(value: Option<&[u8]>) -> Result<Self, DocumentError> {
         match value {
             None => Ok(Self::default()),
@@ -101,7 +102,7 @@
     }
 }
 
-/// The latest document that this node has seen. It never goes back to a lower version.
+/// The document with the highest version that this node has received. The version never decreases.
 #[derive(Debug)]
 pub struct HeldDocument {
     document: PolicyDocument,
@@ -109,7 +110,7 @@
 }
 
 impl HeldDocument {
-    /// Holds a document.
+    /// Holds a document and indexes its policy.
     pub fn new(document: PolicyDocument) -> Self {
         Self {
             policy: Arc::new(IndexedPolicy::new(document.policy.clone())),
@@ -117,22 +118,22 @@
         }
     }
 
-    /// Returns the document.
+    /// Returns the document as it is stored.
     pub fn document(&self) -> &PolicyDocument {
         &self.document
     }
 
-    /// Returns its policy.
+    /// Returns the indexed policy of the document.
     pub fn policy(&self) -> &Arc<IndexedPolicy> {
         &self.policy
     }
 
-    /// Returns its version; zero if there is no policy yet.
+    /// Returns the version of the document; zero if there is no policy yet.
     pub fn version(&self) -> PolicyVersion {
         self.policy.version
     }
 
-    /// Takes a document in if its version is higher; returns whether it is.
+    /// Replaces the held document if the version of `document` is higher; returns whether it is.
     pub fn advance(&mut self, document: PolicyDocument) -> bool {
         if document.policy.version <= self.version() {
             return false;
--- a/crates/rillgap-core/src/configuration/engine.rs
+++ b/crates/rillgap-core/src/configuration/engine.rs
@@ -1,4 +1,5 @@
-//! The parts of the configuration joined together.
+//! Dispatches messages, replies of the store and requests of operators to the parts of the
+//! configuration.
 
 use std::sync::Arc;
 
@@ -21,7 +22,7 @@
 use crate::store::{StoreReply, StoreRequestId};
 use crate::time::Instant;
 
-/// State of the configuration at one node.
+/// State of the configuration at one node, without the identifiers of its store requests.
 #[derive(Debug)]
 pub struct Engine {
     held: HeldDocument,
@@ -35,7 +36,9 @@
 }
 
 impl Engine {
-    /// Creates the state of a fresh node; a policy in the settings is confirmed for good.
+    /// Creates the state of a node that has just started.
+    ///
+    /// A policy in the settings counts as confirmed from the start and stays so.
     pub fn new(now: Instant, settings: &NodeSettings) -> Self {
         let fixed = settings.initial_policy.is_some();
         let document = PolicyDocument {
@@ -54,24 +57,24 @@
         }
     }
 
-    /// Takes note of the time.
+    /// Records the time of a step, so that a pause of the process is detected.
     pub fn note_time(&mut self, now: Instant) {
         self.confirmation.note_time(now);
     }
 
-    /// Returns the policy, if there is one and it is confirmed.
+    /// Returns the policy in force, or `None` if there is none or it is not confirmed.
     pub fn policy(&self) -> Option<&Arc<IndexedPolicy>> {
         let exists = self.confirmation.is_fixed() || self.held.version() > PolicyVersion(0);
         let in_force = exists && self.confirmation.is_confirmed();
         in_force.then(|| self.held.policy())
     }
 
-    /// Returns the round of questions of the confirmation.
+    /// Returns the query round of the confirmation.
     pub fn round(&self) -> u64 {
         self.confirmation.round()
     }
 
-    /// Returns the version that is held.
+    /// Returns the version of the held document.
     pub fn version(&self) -> PolicyVersion {
         self.held.version()
     }
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Runs what is due in each part.
     pub fn poll(&mut self, context: &mut StepContext<'_>) {
         self.confirmation.poll(context, self.held.version());
         self.watch.poll(context);
@@ -283,7 +286,8 @@
         context.send(to, answer);
     }
 
-    /// Returns the state as others are told: one that is out of touch vouches for nothing.
+    /// Returns the confirmation state to report to peers. A node that may not serve may have missed
+    /// a change, so it does not report its version as confirmed.
     fn reported_state(&self, context: &StepContext<'_>) -> ConfirmationState {
         match self.confirmation.state() {
             ConfirmationState::Confirmed if !context.may_serve => ConfirmationState::PossiblyStale,
@@ -310,7 +314,7 @@
         }
     }
 
-    /// Handles a reply of the store to what operators have asked for.
+    /// Handles a reply of the store to a look-up or a change of an operator.
     fn on_operator_store_reply(
         &mut self,
         context: &mut StepContext<'_>,
@@ -352,7 +356,8 @@
         self.adopt(context, document, update, None);
     }
 
-    /// Takes a document in if it is later than what is held, and passes the update on.
+    /// Replaces the held document if `document` has a higher version, and forwards the update to
+    /// other nodes, except `from`.
     fn adopt(
         &mut self,
         context: &mut StepContext<'_>,
--- a/crates/rillgap-core/src/configuration/linearizable_read.rs
+++ b/crates/rillgap-core/src/configuration/linearizable_read.rs
@@ -1,7 +1,7 @@
-//! Confirmation by the store, where no peer is confirmed.
+//! Reads the latest policy from the store, to confirm it where no peer is confirmed.
 //!
-//! A read may return an older object. So the object is written back unchanged by
-//! compare-and-set: if that takes effect, the read was the latest.
+//! A read may return an older object. The object is therefore written back unchanged by
+//! compare-and-set: if the write takes effect, the read returned the latest object.
 
 use std::time::Duration;
 
@@ -10,29 +10,29 @@
 use crate::store::{ModifyIndex, StoreObject, StoreReply, StoreRequest, StoreRequestId};
 use crate::time::Instant;
 
-/// Longest wait for a reply of the store.
+/// Time after which a request without a reply of the store is abandoned and the read starts again.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause between two tries.
+/// Time between the end of a read and the next one.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a reply led to.
+/// Result of a reply of the store.
 #[derive(Debug)]
 pub enum LinearizableReadResult {
     /// The reply belongs to another request.
     OtherRequest,
-    /// Nothing is certain yet.
+    /// The read is not complete, or failed and is retried.
     Pending,
-    /// The latest document at some time after the question was asked.
+    /// The read returned what was the latest document at some time after it began.
     Latest {
-        /// The document.
+        /// The document that was read.
         document: Box<PolicyDocument>,
-        /// Round of questions in which it was asked for.
+        /// Query round of the confirmation in which the read began.
         round: u64,
     },
 }
 
-/// What is on its way to the store.
+/// The request that is in flight.
 #[derive(Debug)]
 enum Step {
     Idle,
@@ -40,7 +40,7 @@
     Writing(StoreRequestId, Box<PolicyDocument>),
 }
 
-/// The exchange with the store.
+/// A read followed by a compare-and-set of the same value.
 #[derive(Debug)]
 pub struct LinearizableRead {
     step: Step,
@@ -49,7 +49,7 @@
 }
 
 impl LinearizableRead {
-    /// Creates the state in which nothing was asked.
+    /// Creates the initial state, with no request in flight and the first read due at once.
     pub fn new(now: Instant) -> Self {
         Self {
             step: Step::Idle,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Begins an exchange if none is under way.
+    /// Begins a read if one is due; a request in flight without a reply has timed out by then.
     pub fn poll(&mut self, context: &mut StepContext<'_>) {
         if context.now < self.due {
             return;
@@ -72,7 +72,7 @@
         self.due = context.now + REPLY_TIMEOUT;
     }
 
-    /// Returns when [`Self::poll`] begins the next exchange.
+    /// Returns when [`Self::poll`] begins the next read.
     pub fn next_wake(&self) -> Instant {
         self.due
     }
--- a/crates/rillgap-core/src/configuration/lookup.rs
+++ b/crates/rillgap-core/src/configuration/lookup.rs
@@ -1,4 +1,4 @@
-//! Reads of the store for operators, where this node cannot answer from what it holds.
+//! Reads the store for requests of operators that the held document does not answer.
 
 use std::time::Duration;
 
@@ -11,22 +11,22 @@
 use crate::store::{StoreReply, StoreRequest, StoreRequestId};
 use crate::time::Instant;
 
-/// Most look-ups that wait for the store.
+/// Maximum number of look-ups in flight.
 const MAX_LOOKUPS: usize = 64;
 
-/// Longest wait for the store.
+/// Time after which a look-up without a reply of the store fails.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a look-up is for.
+/// What an operator asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LookupTarget {
-    /// The policy.
+    /// The latest policy.
     Policy,
-    /// How far a change has come.
+    /// The state of a change.
     Change {
-        /// The change.
+        /// Identifier of the change.
         change: ChangeId,
-        /// Whether this node has sent a write of it whose effect is not known.
+        /// Whether this node sent a write of the change and does not know whether it took effect.
         unsettled: bool,
     },
 }
@@ -40,14 +40,14 @@
     deadline: Instant,
 }
 
-/// The look-ups under way.
+/// The look-ups in flight.
 #[derive(Debug, Default)]
 pub struct Lookups {
     lookups: Vec<Lookup>,
 }
 
 impl Lookups {
-    /// Reads the store for an operator.
+    /// Starts a read of the store, or fails the request if [`MAX_LOOKUPS`] are in flight.
     pub fn begin(
         &mut self,
         context: &mut StepContext<'_>,
@@ -56,7 +56,7 @@
         held: &HeldDocument,
     ) {
         if self.lookups.len() >= MAX_LOOKUPS {
-            let detail = "too many requests wait at this node";
+            let detail = "too many reads of the store are in flight at this node";
             context.fail(request, ResultCode::Overloaded, held.version(), detail);
             return;
         }
@@ -72,7 +72,8 @@
         });
     }
 
-    /// Handles a reply of the store; returns the document that was read, if the reply brought one.
+    /// Handles a reply of the store; returns the document that was read, or `None` if the reply
+    /// has none or belongs to another request.
     pub fn on_reply(
         &mut self,
         context: &mut StepContext<'_>,
@@ -96,7 +97,7 @@
         Some(document)
     }
 
-    /// Gives up look-ups that the store did not answer in time.
+    /// Fails the look-ups whose timeout has expired.
     pub fn poll(&mut self, context: &mut StepContext<'_>, held: &HeldDocument) {
         let now = context.now;
         for lookup in self.lookups.extract_if(.., |lookup| now >= lookup.deadline) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Returns when [`Self::poll`] must be called next.
+    /// Returns when [`Self::poll`] must be called next, or `None` if no look-up is in flight.
     pub fn next_wake(&self) -> Option<Instant> {
         self.lookups.iter().map(|lookup| lookup.deadline).min()
     }
@@ -140,17 +141,17 @@
 
     fn fail_change(&self, context: &mut StepContext<'_>, unsettled: bool, held: &HeldDocument) {
         let (code, detail) = if unsettled {
-            let detail = "not stored yet; a write was sent and may still take effect";
+            let detail = "the change is not stored yet; a write was sent and may still take effect";
             (ResultCode::ChangeUnsettled, detail)
         } else {
-            let detail = "no such change is stored; one that another node has sent may still be";
+            let detail = "the change is not stored; a write by another node may still take effect";
             (ResultCode::ChangeUnknown, detail)
         };
         context.fail(self.request, code, held.version(), detail);
     }
 }
 
-/// Returns the document with the higher version.
+/// Returns the document with the higher version, `other` if they are equal.
 fn newer<'a>(one: &'a PolicyDocument, other: &'a PolicyDocument) -> &'a PolicyDocument {
     if one.policy.version > other.policy.version {
         one
--- a/crates/rillgap-core/src/configuration/message.rs
+++ b/crates/rillgap-core/src/configuration/message.rs
@@ -1,4 +1,4 @@
-//! Messages about the policy between nodes.
+//! Defines the messages about the policy between nodes, in their encoding on the wire.
 
 use bitcode::{Decode, Encode};
 
@@ -6,66 +6,66 @@
 use crate::id::{BackEndName, ChangeId, PolicyVersion};
 use crate::policy::BackEndState;
 
-/// How sure a node is that it holds the policy that is in force.
+/// Whether a node has confirmed that it holds the policy in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ConfirmationState {
-    /// It has just started and was not confirmed in this run.
+    /// The node was not confirmed since it started.
     NeverConfirmed,
-    /// It was confirmed before, but may have missed a change since.
+    /// The node was confirmed before, but may have missed a change since.
     PossiblyStale,
-    /// A peer or the store has confirmed it.
+    /// The held version was confirmed by peers or the store.
     Confirmed,
 }
 
-/// A change of one back end, sent in place of the whole policy.
+/// A change of the state of one back end, sent in place of the whole policy.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct BackEndChange {
-    /// Version to which the change applies; it makes the next one.
+    /// Version to which the change applies; the change creates the next one.
     pub base: PolicyVersion,
-    /// The change.
+    /// Identifier of the change.
     pub change: ChangeId,
-    /// Back end that changes.
+    /// Name of the back end.
     pub back_end: BackEndName,
-    /// Its new state.
+    /// New state of the back end.
     pub state: BackEndState,
 }
 
 impl BackEndChange {
-    /// Returns the version that the change makes.
+    /// Returns the version that the change creates.
     pub fn version(&self) -> PolicyVersion {
         PolicyVersion(self.base.0 + 1)
     }
 }
 
-/// Messages about the policy.
+/// A message about the policy.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ConfigurationMessage {
     /// Asks the receiver to confirm the policy version of the sender.
     Query {
-        /// Round of questions; the answer repeats it.
+        /// Query round of the sender; the answer repeats it.
         round: u64,
     },
-    /// Answers [`Self::Query`].
+    /// Replies to [`Self::Query`].
     Answer {
-        /// Round of the question.
+        /// Query round of the receiver.
         round: u64,
-        /// Version that the answering node holds.
+        /// Version that the sender holds.
         version: PolicyVersion,
-        /// How sure it is of that version.
+        /// Whether the sender has confirmed that version.
         state: ConfirmationState,
     },
-    /// Tells that the sender holds this version, for the receiver to fetch it.
+    /// Announces the version that the sender holds, so that the receiver can fetch it.
     Announce {
-        /// Version of the sender.
+        /// Version that the sender holds.
         version: PolicyVersion,
     },
-    /// Passes a small change on.
+    /// Forwards a change of one back end.
     BackEnd(BackEndChange),
-    /// Asks for the whole document, if the receiver holds a later version.
+    /// Requests the whole document if the receiver holds a later version.
     Fetch {
         /// Version that the sender holds.
         held: PolicyVersion,
     },
-    /// The whole document.
+    /// Sends the whole document in reply to [`Self::Fetch`].
     Document(Box<PolicyDocument>),
 }
--- a/crates/rillgap-core/src/configuration/mod.rs
+++ b/crates/rillgap-core/src/configuration/mod.rs
@@ -1,10 +1,13 @@
-//! Configuration: acceptance, spread and confirmation of the policy.
+//! Writes the policy to the store, spreads it to all nodes and confirms it at each of them.
 //!
-//! The policy is one object in the store. Any node writes it for an operator ([`write`]), by
-//! compare-and-set with the identifier of the change. It spreads from node to node ([`spread`]);
-//! a few nodes also watch the store ([`watch`]). A change is accepted when every member of the
-//! view holds it ([`acceptance`]). A node serves only while its policy is confirmed
-//! ([`confirmation`], [`linearizable_read`]). No node goes back to a lower version ([`document::HeldDocument`]).
+//! The policy is one object in the store. Rules:
+//!
+//! - Any node can write it for an operator, by compare-and-set and together with the identifier of
+//!   the change ([`write`](mod@write)).
+//! - It spreads from node to node ([`spread`]); a few nodes also watch the store ([`watch`]).
+//! - A change is accepted when every member of the view holds it ([`acceptance`]).
+//! - A node serves only while its policy is confirmed ([`confirmation`], [`linearizable_read`]).
+//! - No node replaces its policy by one of a lower version ([`document::HeldDocument`]).
 
 pub mod acceptance;
 pub mod alteration;
@@ -35,19 +38,20 @@
 use engine::Engine;
 pub use message::ConfigurationMessage;
 
-/// Policy at one node.
+/// Policy of one node, with the exchanges that spread and confirm it.
 #[derive(Debug)]
 pub struct Configuration {
     engine: Engine,
     request_ids: StoreRequestIds,
-    /// View at the last step; another one may not name this node any more.
+    /// View at the last call of [`Self::poll`]. A new view may no longer contain this node, so it
+    /// makes a step due.
     view: ViewVersion,
 }
 
 impl Configuration {
-    /// Creates the configuration of a fresh node.
+    /// Creates the configuration of a node that has just started.
     ///
-    /// A policy in the settings counts as confirmed for good.
+    /// A policy in the settings counts as confirmed from the start and stays so.
     pub fn new(now: Now, settings: &NodeSettings) -> Self {
         Self {
             engine: Engine::new(now.instant, settings),
@@ -56,23 +60,25 @@
         }
     }
 
-    /// Takes note of the time, before anything else is done in a step: after a long gap the
-    /// policy is in doubt until it is confirmed again.
+    /// Records the time of a step; must be called first in the step.
+    ///
+    /// After a gap of more than [`confirmation::PROCESS_PAUSE_THRESHOLD`] the policy is not in
+    /// force until it is confirmed again.
     pub fn note_time(&mut self, now: Now) {
         self.engine.note_time(now.instant);
     }
 
-    /// Returns the policy in force, if its version is confirmed.
+    /// Returns the policy in force, or `None` if there is none or it is not confirmed.
     pub fn policy(&self) -> Option<&Arc<IndexedPolicy>> {
         self.engine.policy()
     }
 
-    /// Returns the latest version that this node holds, or zero. It never decreases.
+    /// Returns the version that this node holds, or zero. It never decreases.
     pub fn version(&self) -> PolicyVersion {
         self.engine.version()
     }
 
-    /// Handles a request of an operator; the reply may come later.
+    /// Handles a request of an operator; the reply may follow in a later step.
     pub fn on_operator(
         &mut self,
         now: Now,
@@ -98,7 +104,7 @@
         engine.on_message(&mut context, from, message);
     }
 
-    /// Handles a reply of the store; returns whether the request was one of configuration's.
+    /// Handles a reply of the store; returns whether the configuration sent the request.
     pub fn on_store(
         &mut self,
         now: Now,
@@ -115,7 +121,8 @@
         true
     }
 
-    /// Does what is due: watches, questions, spread, repair. Cheap if nothing is.
+    /// Runs what is due: reads of the store, queries to peers, fetches and timeouts. Returns at
+    /// once if nothing is due.
     pub fn poll(&mut self, now: Now, membership: &Membership, out: &mut Outbox) {
         let view = membership.view().version;
         if now.instant < self.engine.next_wake() && view == self.view {
--- a/crates/rillgap-core/src/configuration/spread.rs
+++ b/crates/rillgap-core/src/configuration/spread.rs
@@ -1,7 +1,8 @@
-//! Spread of the policy between nodes, and repair where a message was lost.
+//! Spreads the policy between nodes, and fetches it where a message was lost.
 //!
-//! A small change goes whole along the tree of [`Membership::spread_targets`]; of a new policy
-//! only its version goes, and who does not hold it fetches it from the announcing node.
+//! Updates are forwarded along the tree of [`Membership::spread_targets`]. A change of one back
+//! end is sent whole. Of any other new policy only the version is announced; a node that does not
+//! hold that version fetches the document from the announcing node.
 //!
 //! [`Membership::spread_targets`]: crate::membership::Membership::spread_targets
 
@@ -13,24 +14,24 @@
 use crate::id::{NodeId, PolicyVersion};
 use crate::time::Instant;
 
-/// Time after which a document that was asked for is asked for again.
+/// Time after which a document may be fetched again if it has not arrived.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause between two looks for a node that holds a later version.
+/// Interval between two checks whether another node holds a later version.
 pub const REPAIR_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is passed on to other nodes.
+/// An update of the policy that is forwarded to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerUpdate {
-    /// A small change.
+    /// A change of one back end, in full.
     BackEnd(BackEndChange),
-    /// A new policy, by its version.
+    /// The version of a new policy.
     Version(PolicyVersion),
 }
 
 impl PeerUpdate {
-    /// Returns what to tell of a document that was read from the store: the small change, if it
-    /// is all that is new.
+    /// Returns the update to forward when `document` replaces `held`: the change of one back end if
+    /// that is the only difference, otherwise the version.
     pub fn between(held: &PolicyDocument, document: &PolicyDocument) -> Self {
         single_back_end_change(held, document)
             .map_or(Self::Version(document.policy.version), Self::BackEnd)
@@ -63,14 +64,14 @@
     }
 }
 
-/// A document that was asked for.
+/// A document that was requested from a peer.
 #[derive(Debug)]
 struct Fetch {
     version: PolicyVersion,
     deadline: Instant,
 }
 
-/// The spread at one node.
+/// Fetches and repair checks of one node.
 #[derive(Debug)]
 pub struct Spread {
     fetch: Option<Fetch>,
@@ -78,7 +79,7 @@
 }
 
 impl Spread {
-    /// Creates the state in which nothing was asked for.
+    /// Creates the initial state, without a fetch in flight and with the first repair due at once.
     pub fn new(now: Instant) -> Self {
         Self {
             fetch: None,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Passes update on to the next nodes of the tree, except to the one that they came from.
+    /// Forwards an update to the next nodes of the tree, except the one that sent it.
     pub fn forward(
         &mut self,
         context: &mut StepContext<'_>,
@@ -101,7 +102,8 @@
         }
     }
 
-    /// Fetches a version from a node that has it, unless it is held or on its way.
+    /// Fetches the document from a node that holds `version`, unless this version or a later one
+    /// is held or is being fetched.
     pub fn fetch(
         &mut self,
         context: &mut StepContext<'_>,
@@ -119,7 +121,7 @@
         context.send(from, ConfigurationMessage::Fetch { held });
     }
 
-    /// Sends the document to a node that asked for it, if it is later than what that node holds.
+    /// Sends the held document to a node that fetches it, if its version exceeds `peer_version`.
     pub fn on_fetch(
         context: &mut StepContext<'_>,
         from: NodeId,
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Fetches what others are known to hold and this node does not.
+    /// Fetches the highest version that another node is known to hold, if this node does not.
     pub fn poll(&mut self, context: &mut StepContext<'_>, held: PolicyVersion) {
         if context.now < self.next_repair {
             return;
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Returns when [`Self::poll`] looks next.
+    /// Returns when [`Self::poll`] checks next.
     pub fn next_wake(&self) -> Instant {
         self.next_repair
     }
@@ -155,7 +157,8 @@
     }
 }
 
-/// Returns the document that follows `held` by a change, if the change applies to it.
+/// Applies the change of a back end to the held document; returns `None` if its base is another
+/// version or the policy has no such back end.
 pub fn apply_back_end_change(
     held: &HeldDocument,
     change: &BackEndChange,
--- a/crates/rillgap-core/src/configuration/watch.rs
+++ b/crates/rillgap-core/src/configuration/watch.rs
@@ -1,4 +1,6 @@
-//! Watch of the store, kept by the few store readers of a region.
+//! Watches the policy in the store by blocking reads.
+//!
+//! Only the few store readers of a region do this, to bound the load of the store.
 
 use std::time::Duration;
 
@@ -7,17 +9,18 @@
 use crate::store::{ModifyIndex, StoreReply, StoreRequest, StoreRequestId};
 use crate::time::Instant;
 
-/// Time after which a blocking read without a reply is given up; the store replies to it after
-/// half a minute at the latest.
+/// Time after which a blocking read without a reply is abandoned. The store replies to a blocking
+/// read after at most 30 seconds.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Pause after a read, so that a store that answers at once is not read in a tight loop.
+/// Delay after a read, so that a store that replies at once is not read in a tight loop. Also the
+/// base of the backoff after failures.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longest pause while the store fails.
+/// Maximum backoff after failed reads.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
 
-/// The blocking read of a store reader.
+/// The blocking read of a store reader, and when the next one is due.
 #[derive(Debug)]
 pub struct Watch {
     request: Option<StoreRequestId>,
@@ -27,7 +30,7 @@
 }
 
 impl Watch {
-    /// Creates the state in which nothing was read.
+    /// Creates the initial state, with the first read due at once.
     pub fn new(now: Instant) -> Self {
         Self {
             request: None,
@@ -37,7 +40,8 @@
         }
     }
 
-    /// Reads if this node is a store reader and no read is under way.
+    /// Begins a read if this node is a store reader and a read is due; a read in flight without a
+    /// reply has timed out by then. Cancels the read if this node is no store reader.
     pub fn poll(&mut self, context: &mut StepContext<'_>) {
         if !context.membership.is_store_reader() {
             self.stop(context);
@@ -54,13 +58,13 @@
         self.due = context.now + REPLY_TIMEOUT;
     }
 
-    /// Returns when [`Self::poll`] reads next.
+    /// Returns when [`Self::poll`] begins the next read.
     pub fn next_wake(&self) -> Instant {
         self.due
     }
 
-    /// Handles a reply of the store; returns the object that was read, or `None` if there is
-    /// none or the reply belongs to another request.
+    /// Handles a reply of the store; returns the decoded object, or `None` if the read failed or
+    /// the reply belongs to another request.
     pub fn on_reply(
         &mut self,
         context: &StepContext<'_>,
@@ -81,8 +85,8 @@
         Some(PolicyDocument::decode(object.value.as_deref()))
     }
 
-    /// Gives up the read under way: the store bears only a few readers, and a node that no longer
-    /// is one would stay one until its read is answered.
+    /// Cancels the read in flight. Otherwise a node that is no longer a store reader would load the
+    /// store until its read is answered, and the store supports only a few readers.
     fn stop(&mut self, context: &mut StepContext<'_>) {
         if let Some(request) = self.request.take() {
             context.cancel_store(request);
--- a/crates/rillgap-core/src/configuration/write.rs
+++ b/crates/rillgap-core/src/configuration/write.rs
@@ -1,9 +1,13 @@
-//! One change on its way into the store.
+//! Writes one change to the store.
 //!
 //! The object is read, the next document is planned on it and written by compare-and-set. If the
-//! answer of a write is lost, the object is read back: it holds the change, or its index has
-//! moved on without it (then the write can never take effect), or its index is still the old one
-//! (then the same write is repeated: of two writes with one index at most one takes effect).
+//! reply to a write is lost, the object is read again. There are three cases:
+//!
+//! - It contains the change: the write took effect.
+//! - It does not, and its index is higher than the expected one: the write can never take effect,
+//!   and the change is planned again.
+//! - Its index is still the expected one: the same write is sent again. Of two writes with the
+//!   same expected index at most one takes effect.
 
 use std::time::Duration;
 
@@ -15,39 +19,39 @@
 use crate::store::{ModifyIndex, StoreObject, StoreReply, StoreRequest, StoreRequestId};
 use crate::time::Instant;
 
-/// Longest wait for one reply of the store.
+/// Time after which a request counts as lost if the store has not replied.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest time for the whole change; then it is given up, or left unsettled.
+/// Time after which the change as a whole is refused, or left unsettled if a write may take effect.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Pause before the object is read again.
+/// Delay before the object is read again.
 const REREAD_DELAY: Duration = Duration::from_millis(100);
 
-/// How a change with_outcome.
+/// Outcome of a change.
 #[derive(Debug)]
 pub enum WriteOutcome {
-    /// It is stored and made this version.
+    /// The change is stored and created this version.
     Stored(PolicyVersion),
-    /// It is not stored and never will be, unless it is sent again.
+    /// The change is not stored and will not be, unless an operator submits it again.
     Refused {
-        /// Numbered reason.
+        /// Reason.
         code: ResultCode,
-        /// For people.
+        /// Explanation for the operator.
         detail: &'static str,
     },
     /// A write was sent and may still take effect.
     Unsettled,
 }
 
-/// What a step of the change brought to light.
+/// Result of one step of the change.
 #[derive(Debug, Default)]
 pub struct WriteStep {
-    /// Document that was read or written.
+    /// Document that was read or written in this step.
     pub document: Option<Box<PolicyDocument>>,
-    /// Whether `document` was just written, so that nothing later can be in force.
+    /// Whether `document` was just written, so that no later version can be in force.
     pub written: bool,
-    /// How the change with_outcome, if it did.
+    /// Outcome of the change, or `None` while it is in progress.
     pub outcome: Option<WriteOutcome>,
 }
 
@@ -76,11 +80,11 @@
 struct SentWrite {
     expected: ModifyIndex,
     document: Box<PolicyDocument>,
-    /// Whether an answer of it was lost.
+    /// Whether a reply to the write was lost, so that it may still take effect.
     uncertain: bool,
 }
 
-/// A change on its way.
+/// A change that is being written.
 #[derive(Debug)]
 pub struct PolicyWrite {
     change: ChangeId,
@@ -93,7 +97,7 @@
 }
 
 impl PolicyWrite {
-    /// Begins a change.
+    /// Begins a change by reading the object.
     pub fn begin(context: &mut StepContext<'_>, change: ChangeId, alteration: Alteration) -> Self {
         let mut write = Self {
             change,
@@ -108,12 +112,12 @@
         write
     }
 
-    /// Returns the change.
+    /// Returns the identifier of the change.
     pub fn change(&self) -> ChangeId {
         self.change
     }
 
-    /// Returns what is to be changed.
+    /// Returns the alteration that the change makes.
     pub fn alteration(&self) -> &Alteration {
         &self.alteration
     }
@@ -123,7 +127,7 @@
         self.phase_deadline
     }
 
-    /// Does what is due: a read after a schedule_reread, or the outcome of a wait.
+    /// Reads again after a delay, and handles the timeouts of requests and of the whole change.
     pub fn poll(&mut self, context: &mut StepContext<'_>) -> WriteStep {
         if context.now < self.phase_deadline {
             return WriteStep::default();
@@ -233,8 +237,10 @@
         }
     }
 
-    /// Plans the next document on the later one of what was read and what is held: a read may
-    /// return an older object, and then the write meets a conflict.
+    /// Plans the next document and sends it.
+    ///
+    /// The base is the newer one of the read and the held document. A read may return an older
+    /// object; the write then ends in a conflict, because its expected index is outdated too.
     fn plan(
         &mut self,
         context: &mut StepContext<'_>,
@@ -305,7 +311,7 @@
         if self.had_conflict {
             return WriteStep::refused(
                 ResultCode::VersionConflict,
-                "the expected version is not in the store, or others write all the time",
+                "the store does not have the expected version, or other writes kept conflicting",
             );
         }
         WriteStep::refused(
--- a/crates/rillgap-core/tests/configuration_changes.rs
+++ b/crates/rillgap-core/tests/configuration_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the policy: acceptance, lost answers, races of operators, outages of the store.
+//! Tests changes of the policy: acceptance, lost replies, concurrent operators, store outages.
 
 mod configuration_support;
 
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn back_end_change_travels_in_a_small_message() {
+fn back_end_change_is_sent_in_a_small_message() {
     let mut fleet = Fleet::start(FLEET_SIZE);
     let reply = fleet.apply(0, policy(1, 2_000), None, 1);
     expect_that!(reply, eq(&accepted(1)));
@@ -60,9 +60,9 @@
 }
 
 #[gtest]
-fn lost_answer_is_settled_by_reading_back() {
+fn lost_reply_is_settled_by_reading_back() {
     let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
-    fleet.store.mode = StoreMode::LosesAnswers;
+    fleet.store.mode = StoreMode::LosesReplies;
 
     let reply = fleet.apply(3, policy(2, FLEET_SIZE), Some(1), 2);
 
@@ -71,9 +71,9 @@
 }
 
 #[gtest]
-fn node_without_peers_settles_a_lost_answer_by_the_store_alone() {
+fn node_without_peers_settles_a_lost_reply_by_the_store_alone() {
     let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
-    fleet.store.mode = StoreMode::LosesAnswers;
+    fleet.store.mode = StoreMode::LosesReplies;
     fleet.isolate_from_peers(5);
 
     let reply = fleet.ask(5, drain(2));
@@ -91,7 +91,7 @@
 }
 
 #[gtest]
-fn write_that_takes_effect_late_is_not_doubled() {
+fn write_that_takes_effect_late_is_applied_once() {
     let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     fleet.store.mode = StoreMode::WritesLate;
 
@@ -169,7 +169,7 @@
 }
 
 #[gtest]
-fn changes_without_expectation_follow_each_other() {
+fn changes_without_expected_version_are_all_applied() {
     let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     let requests: Vec<_> = (0..FLEET_SIZE)
         .map(|number| {
@@ -191,7 +191,7 @@
 }
 
 #[gtest]
-fn nothing_is_accepted_while_the_store_is_down_and_everything_runs_on() {
+fn store_outage_blocks_changes_but_not_serving() {
     for mode in [StoreMode::Down, StoreMode::Silent] {
         let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
         fleet.store.mode = mode;
@@ -210,7 +210,7 @@
 }
 
 #[gtest]
-fn unsettled_change_is_followed_until_the_store_is_back() {
+fn unsettled_change_is_found_once_the_store_is_back() {
     let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     let request = fleet.send(2, drain(2));
     fleet.run_until("write", |fleet| fleet.store.policy_changes == 2);
@@ -261,7 +261,7 @@
 }
 
 #[gtest]
-fn invalid_unknown_and_impossible_requests_are_told_apart() {
+fn invalid_unknown_and_impossible_requests_get_distinct_codes() {
     let mut fleet = Fleet::start_with_policy(3);
     let mut invalid = policy(2, 3);
     invalid.services[0].slots = 0;
--- a/crates/rillgap-core/tests/configuration_failures.rs
+++ b/crates/rillgap-core/tests/configuration_failures.rs
@@ -1,7 +1,8 @@
-//! An accepted policy never reverts: restarts, frozen nodes, stale reads, cold starts.
+//! Tests that an accepted policy is never reverted, despite restarts, process pauses, stale reads
+//! and cold starts.
 //!
-//! The support checks after every event that no node goes back to a lower version and that none
-//! serves under a version lower than an accepted one.
+//! After every event `configuration_support` asserts that the version of a node has not decreased
+//! and that no node serves under a version lower than an accepted one.
 
 mod configuration_support;
 
@@ -32,7 +33,7 @@
 }
 
 #[gtest]
-fn frozen_node_serves_nothing_until_it_is_confirmed() {
+fn paused_node_serves_nothing_until_it_is_confirmed() {
     let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     fleet.pause_process(4, Duration::from_secs(20));
     fleet.run(Duration::from_secs(1));
@@ -40,7 +41,7 @@
     fleet.run(Duration::from_secs(15));
     expect_true!(fleet.replies.contains_key(&request));
 
-    fleet.run_until("thaw", |fleet| fleet.in_force(4).is_some());
+    fleet.run_until("end of the pause", |fleet| fleet.in_force(4).is_some());
     expect_that!(fleet.in_force(4), some(eq(PolicyVersion(2))));
     fleet.run(Duration::from_secs(3));
     expect_that!(
@@ -50,7 +51,7 @@
 }
 
 #[gtest]
-fn short_freeze_puts_the_policy_in_doubt() {
+fn short_process_pause_invalidates_the_confirmation() {
     let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     let pause = Duration::from_millis(1_500);
     fleet.pause_process(4, pause);
@@ -63,7 +64,7 @@
 }
 
 #[gtest]
-fn answer_from_before_a_second_freeze_confirms_nothing() {
+fn answer_from_before_a_second_pause_confirms_nothing() {
     let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     let pause = Duration::from_millis(1_500);
     fleet.pause_process(4, pause);
@@ -75,7 +76,7 @@
 }
 
 #[gtest]
-fn fleet_frozen_as_a_whole_runs_on_with_the_store_down() {
+fn fleet_paused_as_a_whole_resumes_with_the_store_down() {
     let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     fleet.store.mode = StoreMode::Down;
     for number in 0..FLEET_SIZE {
@@ -86,7 +87,7 @@
 }
 
 #[gtest]
-fn stale_reads_bring_no_older_policy_back() {
+fn stale_reads_do_not_restore_an_older_policy() {
     let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     fleet.store.snapshot_policy();
     expect_that!(
@@ -134,7 +135,7 @@
 }
 
 #[gtest]
-fn fresh_node_without_store_takes_the_policy_from_its_peers() {
+fn restarted_node_without_store_fetches_the_policy_from_its_peers() {
     let mut fleet = Fleet::start_with_policy(FLEET_SIZE);
     fleet.kill(4);
     fleet.run(Duration::from_secs(8));
--- a/crates/rillgap-core/tests/configuration_support/mod.rs
+++ b/crates/rillgap-core/tests/configuration_support/mod.rs
@@ -1,4 +1,4 @@
-//! Whole nodes on a virtual network, with a stand-in for the platform's store.
+//! Simulates whole nodes on a virtual network, with a simulated platform store.
 
 #![allow(dead_code, reason = "each test file uses a part of the support")]
 
@@ -26,7 +26,7 @@
 const LINK_DELAY: Duration = Duration::from_micros(700);
 const WALL_CLOCK_START_MILLIS: u64 = 1_700_000_000_000;
 
-/// A node in one run.
+/// One incarnation of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeRun {
     pub node: NodeId,
@@ -49,7 +49,7 @@
     highest_version: PolicyVersion,
 }
 
-/// Several nodes, their links and their store.
+/// Several simulated nodes, their links and their store.
 pub struct Fleet {
     pub now: Instant,
     pub store: Store,
@@ -72,7 +72,8 @@
     NodeName::new(format!("node-{number}"))
 }
 
-/// A policy of one service with `back_ends` back ends; `slots` tells policies apart.
+/// Returns a policy of one service with `back_ends` back ends; tests use `slots` to distinguish
+/// policies.
 pub fn policy(slots: u16, back_ends: usize) -> Policy {
     let service = ServiceName::new("takst");
     let back_end = |number: usize| BackEndPolicy {
@@ -94,7 +95,7 @@
 }
 
 impl Fleet {
-    /// Starts `size` nodes, spread over three zones, and lets them agree on a view.
+    /// Starts `size` nodes, spread over three zones, and runs until they have agreed on a view.
     pub fn start(size: usize) -> Self {
         let mut fleet = Self {
             now: Instant::from_micros(1_000_000_000),
@@ -132,7 +133,7 @@
         fleet
     }
 
-    /// Starts a node, or restarts it with a new run and an empty memory.
+    /// Starts a node, or restarts it as a new incarnation without any state.
     pub fn boot(&mut self, number: usize) {
         self.last_incarnation += 1;
         let seeds = (0..2).map(|seed| SeedPeer {
@@ -172,19 +173,19 @@
         self.hosts.remove(&id(number));
     }
 
-    /// Stops a node for a while; whatever arrives meanwhile is handled after it.
+    /// Pauses the process of a node; events that arrive meanwhile are handled afterwards.
     pub fn pause_process(&mut self, number: usize, duration: Duration) {
         let until = self.now + duration;
         self.host_mut(number).paused_until = Some(until);
     }
 
-    /// Cuts a node from all others and from the store.
+    /// Drops all messages between a node and the others, and fails its store requests.
     pub fn isolate(&mut self, number: usize) {
         self.isolate_from_peers(number);
         self.isolated_from_store.insert(id(number));
     }
 
-    /// Cuts a node from all others, not from the store.
+    /// Drops all messages between a node and the others; the store stays reachable.
     pub fn isolate_from_peers(&mut self, number: usize) {
         self.isolated.insert(id(number));
     }
@@ -194,7 +195,7 @@
         self.isolated_from_store.clear();
     }
 
-    /// Loses the replies of the store that are on their way.
+    /// Drops the replies of the store that are in flight.
     pub fn drop_store_replies(&mut self) {
         self.queue
             .retain(|_, delivery| !matches!(delivery, Delivery::Event(_, Event::Store { .. })));
@@ -204,7 +205,7 @@
         &self.hosts[&id(number)].node
     }
 
-    /// Returns the version that a node serves under, if it serves.
+    /// Returns the version under which a node serves, or `None` if it does not serve.
     pub fn in_force(&self, number: usize) -> Option<PolicyVersion> {
         let node = self.node(number);
         let policy = node.configuration().policy()?;
@@ -261,12 +262,15 @@
         self.now = end;
     }
 
-    /// Runs until a condition holds; panics if it does not within a minute.
+    /// Runs until a condition holds and returns how long that took; panics after a minute.
     pub fn run_until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) -> Duration {
         let begin = self.now;
         while !condition(self) {
             let waited = self.now.saturating_since(begin);
-            assert!(waited < Duration::from_secs(60), "no {what} in a minute");
+            assert!(
+                waited < Duration::from_secs(60),
+                "no {what} within a minute"
+            );
             self.run(Duration::from_millis(10));
         }
         self.now.saturating_since(begin)
@@ -351,14 +355,15 @@
         self.schedule_wake(run);
     }
 
-    /// No node goes back, and none serves under less than what was accepted.
+    /// Asserts that the version of a node has not decreased, and that the node does not serve under
+    /// a lower version than the highest accepted one.
     fn check(&mut self, run: NodeRun) {
         let now = self.clock();
         let host = self.hosts.get_mut(&run.node).unwrap();
         let version = host.node.configuration().version();
         assert!(
             version >= host.highest_version,
-            "a node went back to {version:?}"
+            "the version of a node decreased to {version:?}"
         );
         host.highest_version = version;
         let serves = host.node.membership().may_serve(now);
--- a/crates/rillgap-core/tests/configuration_support/store.rs
+++ b/crates/rillgap-core/tests/configuration_support/store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's store.
+//! Simulates the platform's store, with the faults of [`StoreMode`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,23 +9,23 @@
 
 use super::NodeRun;
 
-/// What the store does with requests.
+/// How the store handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreMode {
-    /// Answers everything.
+    /// Replies to all requests.
     #[default]
     Up,
-    /// Answers nothing but failures.
+    /// Replies to all requests with a failure.
     Down,
-    /// Answers nothing at all.
+    /// Replies to no request.
     Silent,
-    /// Carries out writes and reports them as failed.
-    LosesAnswers,
-    /// Reports writes of the policy as failed and carries them out a while later.
+    /// Executes writes of the policy, but reports them as failed.
+    LosesReplies,
+    /// Reports writes of the policy as failed, but executes them later.
     WritesLate,
 }
 
-/// A reply and when it leaves the store.
+/// A reply and the delay after which the node receives it.
 #[derive(Debug)]
 pub struct DelayedReply {
     pub run: NodeRun,
@@ -42,13 +42,13 @@
     after: ModifyIndex,
 }
 
-/// The store.
+/// The simulated store: versioned objects and the blocking reads that wait for a change.
 #[derive(Debug)]
 pub struct Store {
     pub mode: StoreMode,
     pub delay: Duration,
     pub machines: Vec<Machine>,
-    /// Writes that took effect and changed the policy's object.
+    /// Number of writes that changed the value of the policy object.
     pub policy_changes: u64,
     objects: BTreeMap<StoreKey, StoreObject>,
     watchers: Vec<Watcher>,
@@ -76,12 +76,12 @@
 }
 
 impl Store {
-    /// Remembers the policy as it is now, for [`Self::begin_stale_reads`].
+    /// Takes a snapshot of the policy object for [`Self::begin_stale_reads`].
     pub fn snapshot_policy(&mut self) {
         self.snapshot = Some(self.object(&policy_key()));
     }
 
-    /// From now on reads of the policy return the snapshot object.
+    /// Makes reads of the policy return the snapshot.
     pub fn begin_stale_reads(&mut self) {
         self.stale = self.snapshot.clone();
     }
@@ -90,7 +90,7 @@
         self.stale = None;
     }
 
-    /// Returns whether the last request takes effect later.
+    /// Returns whether the last request is a write to execute later, and clears that mark.
     pub fn takes_effect_late(&mut self) -> bool {
         std::mem::take(&mut self.is_last_write_late)
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Carries out a write whose answer was lost.
+    /// Executes a write that was reported as failed.
     pub fn write_late(&mut self, body: StoreRequest) -> Vec<DelayedReply> {
         if let StoreRequest::CompareAndSet {
             key,
@@ -166,7 +166,7 @@
             return vec![self.reply(run, request, StoreReply::Failed)];
         }
         let mut reply = self.write(key, expected, value);
-        if is_policy && self.mode == StoreMode::LosesAnswers {
+        if is_policy && self.mode == StoreMode::LosesReplies {
             reply = StoreReply::Failed;
         }
         let mut replies = vec![self.reply(run, request, reply)];
