--- a/crates/rillgap-core/src/configuration/acceptance.rs
+++ b/crates/rillgap-core/src/configuration/acceptance.rs
@@ -32,8 +32,7 @@
 }
 
 impl Acceptance {
-    /// Replies to `request` when `version` is accepted, or after [`ACCEPTANCE_TIMEOUT`] that it is
-    /// pending.
+    /// Replies to `request` once `version` is accepted, or reports it as pending after a timeout.
     pub fn wait(&mut self, now: Instant, request: OperatorRequestId, version: PolicyVersion) {
         self.waiters.push(Waiter {
             request,
--- a/crates/rillgap-core/src/configuration/confirmation.rs
+++ b/crates/rillgap-core/src/configuration/confirmation.rs
@@ -202,7 +202,7 @@
         }
         if self
             .required_version
-            .is_some_and(|required_version| held >= required_version)
+            .is_some_and(|required| held >= required)
         {
             self.state = ConfirmationState::Confirmed;
         }
--- a/crates/rillgap-core/src/configuration/lookup.rs
+++ b/crates/rillgap-core/src/configuration/lookup.rs
@@ -47,7 +47,7 @@
 }
 
 impl Lookups {
-    /// Starts a read of the store, or fails the request if [`MAX_LOOKUPS`] are in flight.
+    /// Starts a read of the store, or fails the request if too many look-ups are in flight.
     pub fn begin(
         &mut self,
         context: &mut StepContext<'_>,
--- a/crates/rillgap-core/src/configuration/write.rs
+++ b/crates/rillgap-core/src/configuration/write.rs
@@ -1,13 +1,14 @@
 //! Writes one change to the store.
 //!
 //! The object is read, the next document is planned on it and written by compare-and-set. If the
-//! reply to a write is lost, the object is read again. There are three cases:
+//! reply to a write is lost, the object is read again. There are four cases:
 //!
 //! - It contains the change: the write took effect.
 //! - It does not, and its index is higher than the expected one: the write can never take effect,
 //!   and the change is planned again.
 //! - Its index is still the expected one: the same write is sent again. Of two writes with the
 //!   same expected index at most one takes effect.
+//! - Its index is lower: the read returned an older object and is repeated.
 
 use std::time::Duration;
 
