--- a/crates/rillgap-core/src/configuration/acceptance.rs
+++ b/crates/rillgap-core/src/configuration/acceptance.rs
@@ -1,83 +1,87 @@
-//! Acceptance: waits until every machine of the view has confirmed a stored change.
+//! Waits until every member of the view holds a stored change, then replies to the operator.
+//!
+//! A change is *accepted* when every member of the view has confirmed its version or a later one;
+//! until then it is *pending*.
 
 use std::time::Duration;
 
-use super::scope::Scope;
+use super::context::StepContext;
 use crate::id::PolicyVersion;
 use crate::operator::{ChangeState, OperatorReply, OperatorRequestId};
 use crate::time::Instant;
 
-/// Longest wait before a change is reported as pending.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+/// Time after which a change that is not yet accepted is reported as pending.
+const ACCEPTANCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause between two looks at the confirmations.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Interval between two checks of the confirmations.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An operator who waits for a change to be accepted.
+/// A request of an operator that is answered once a change is accepted.
 #[derive(Debug)]
 struct Waiter {
     request: OperatorRequestId,
     version: PolicyVersion,
-    until: Instant,
+    deadline: Instant,
 }
 
-/// The operators who wait.
+/// Requests of operators that wait for the acceptance of a change.
 #[derive(Debug, Default)]
 pub struct Acceptance {
     waiters: Vec<Waiter>,
-    next_look: Option<Instant>,
+    next_check: Option<Instant>,
 }
 
 impl Acceptance {
-    /// Replies to `request` when `version` is accepted, or after a bounded wait that it is not.
+    /// Replies to `request` once `version` is accepted, or reports it as pending after a timeout.
     pub fn wait(&mut self, now: Instant, request: OperatorRequestId, version: PolicyVersion) {
         self.waiters.push(Waiter {
             request,
             version,
-            until: now + LONGEST_WAIT,
+            deadline: now + ACCEPTANCE_TIMEOUT,
         });
-        self.next_look = Some(now);
+        self.next_check = Some(now);
     }
 
-    /// Replies to those whose change is accepted or whose wait is over.
-    pub fn poll(&mut self, scope: &mut Scope<'_>) {
-        if self.next_look.is_none_or(|due| scope.now < due) {
+    /// Replies to the requests whose change is accepted or whose timeout has expired.
+    pub fn poll(&mut self, context: &mut StepContext<'_>) {
+        if self.next_check.is_none_or(|due| context.now < due) {
             return;
         }
-        let now = scope.now;
+        let now = context.now;
         self.waiters.retain(|waiter| {
-            let state = state(scope, waiter.version);
-            let done = state == ChangeState::Accepted || now >= waiter.until;
+            let state = state(context, waiter.version);
+            let done = state == ChangeState::Accepted || now >= waiter.deadline;
             if done {
-                report(scope, waiter.request, waiter.version, state);
+                report(context, waiter.request, waiter.version, state);
             }
             !done
         });
-        self.next_look = (!self.waiters.is_empty()).then(|| now + PAUSE);
+        self.next_check = (!self.waiters.is_empty()).then(|| now + CHECK_INTERVAL);
     }
 
-    /// Returns when [`Self::poll`] looks next.
+    /// Returns when [`Self::poll`] checks next, or `None` if no request waits.
     pub fn next_wake(&self) -> Option<Instant> {
-        self.next_look
+        self.next_check
     }
 }
 
-/// Tells an operator how far a change has come.
+/// Reports the state of a change to an operator.
 pub fn report(
-    scope: &mut Scope<'_>,
+    context: &mut StepContext<'_>,
     request: OperatorRequestId,
     version: PolicyVersion,
     state: ChangeState,
 ) {
-    scope.reply(request, OperatorReply::Change { version, state });
+    context.reply(request, OperatorReply::Change { version, state });
 }
 
-/// Returns how far a version has come.
+/// Returns whether a version is accepted and, if not, which members are missing.
 ///
-/// A node that is out of touch may not know the latest view, so it reports none as accepted.
-pub fn state(scope: &Scope<'_>, version: PolicyVersion) -> ChangeState {
-    let unconfirmed = scope.membership.unconfirmed(version);
-    if unconfirmed.missing == 0 && scope.in_touch {
+/// A node that may not serve may have an outdated view, so it reports every version as pending,
+/// with at least one member missing.
+pub fn state(context: &StepContext<'_>, version: PolicyVersion) -> ChangeState {
+    let unconfirmed = context.membership.unconfirmed(version);
+    if unconfirmed.missing == 0 && context.may_serve {
         return ChangeState::Accepted;
     }
     ChangeState::Pending {
--- a/crates/rillgap-core/src/configuration/mod.rs
+++ b/crates/rillgap-core/src/configuration/mod.rs
@@ -1,21 +1,24 @@
-//! Configuration: acceptance, spread and confirmation of the policy.
+//! Writes the policy to the store, spreads it to all nodes and confirms it at each of them.
 //!
-//! The policy is one object in the store. Any node writes it for an operator ([`write`]), by
-//! compare-and-set with the identifier of the change. It spreads from node to node ([`spread`]);
-//! a few nodes also watch the store ([`watch`]). A change is accepted when every member of the
-//! view holds it ([`acceptance`]). A node serves only while its policy is confirmed
-//! ([`confirmation`], [`fence`]). No node goes back to a lower version ([`document::Held`]).
+//! The policy is one object in the store. Rules:
+//!
+//! - Any node can write it for an operator, by compare-and-set and together with the identifier of
+//!   the change ([`write`](mod@write)).
+//! - It spreads from node to node ([`spread`]); a few nodes also watch the store ([`watch`]).
+//! - A change is accepted when every member of the view holds it ([`acceptance`]).
+//! - A node serves only while its policy is confirmed ([`confirmation`], [`linearizable_read`]).
+//! - No node replaces its policy by one of a lower version ([`document::HeldDocument`]).
 
 pub mod acceptance;
 pub mod alteration;
 pub mod changes;
 pub mod confirmation;
+pub mod context;
 pub mod document;
 mod engine;
-pub mod fence;
+pub mod linearizable_read;
 pub mod lookup;
 pub mod message;
-pub mod scope;
 pub mod spread;
 pub mod watch;
 pub mod write;
@@ -31,48 +34,51 @@
 use crate::store::{StoreReply, StoreRequestId};
 use crate::time::{Instant, Now};
 
+use context::{StepContext, StoreRequestIds};
 use engine::Engine;
 pub use message::ConfigurationMessage;
-use scope::{Scope, StoreRequests};
 
-/// Policy at one node.
+/// Policy of one node, with the exchanges that spread and confirm it.
 #[derive(Debug)]
 pub struct Configuration {
     engine: Engine,
-    requests: StoreRequests,
-    /// View at the last step; another one may not name this node any more.
+    request_ids: StoreRequestIds,
+    /// View at the last call of [`Self::poll`]. A new view may no longer contain this node, so it
+    /// makes a step due.
     view: ViewVersion,
 }
 
 impl Configuration {
-    /// Creates the configuration of a fresh node.
+    /// Creates the configuration of a node that has just started.
     ///
-    /// A policy in the settings counts as confirmed for good.
+    /// A policy in the settings counts as confirmed from the start and stays so.
     pub fn new(now: Now, settings: &NodeSettings) -> Self {
         Self {
             engine: Engine::new(now.instant, settings),
-            requests: StoreRequests::default(),
+            request_ids: StoreRequestIds::default(),
             view: ViewVersion::default(),
         }
     }
 
-    /// Takes note of the time, before anything else is done in a step: after a long gap the
-    /// policy is in doubt until it is confirmed again.
+    /// Records the time of a step; must be called first in the step.
+    ///
+    /// After a gap of more than [`confirmation::PROCESS_PAUSE_THRESHOLD`] the policy is not in
+    /// force until it is confirmed again.
     pub fn note_time(&mut self, now: Now) {
         self.engine.note_time(now.instant);
     }
 
-    /// Returns the policy in force, if its version is confirmed.
+    /// Returns the policy in force, or `None` if there is none or it is not confirmed.
     pub fn policy(&self) -> Option<&Arc<IndexedPolicy>> {
         self.engine.policy()
     }
 
-    /// Returns the latest version that this node holds, or zero. It never decreases.
+    /// Returns the version that this node holds, or zero. It never decreases.
     pub fn version(&self) -> PolicyVersion {
         self.engine.version()
     }
 
-    /// Handles a request of an operator; the reply may come later.
+    /// Handles a request of an operator; the reply may follow in a later step.
     pub fn on_operator(
         &mut self,
         now: Now,
@@ -81,8 +87,8 @@
         membership: &Membership,
         out: &mut Outbox,
     ) {
-        let (engine, mut scope) = self.split(now, membership, out);
-        engine.on_operator(&mut scope, request, body);
+        let (engine, mut context) = self.split(now, membership, out);
+        engine.on_operator(&mut context, request, body);
     }
 
     /// Handles a message of a peer.
@@ -94,11 +100,11 @@
         membership: &Membership,
         out: &mut Outbox,
     ) {
-        let (engine, mut scope) = self.split(now, membership, out);
-        engine.on_message(&mut scope, from, message);
+        let (engine, mut context) = self.split(now, membership, out);
+        engine.on_message(&mut context, from, message);
     }
 
-    /// Handles a reply of the store; returns whether the request was one of configuration's.
+    /// Handles a reply of the store; returns whether the configuration sent the request.
     pub fn on_store(
         &mut self,
         now: Now,
@@ -107,23 +113,24 @@
         membership: &Membership,
         out: &mut Outbox,
     ) -> bool {
-        if !scope::is_own(request) {
+        if !context::is_configuration_request(request) {
             return false;
         }
-        let (engine, mut scope) = self.split(now, membership, out);
-        engine.on_store(&mut scope, request, reply);
+        let (engine, mut context) = self.split(now, membership, out);
+        engine.on_store(&mut context, request, reply);
         true
     }
 
-    /// Does what is due: watches, questions, spread, repair. Cheap if nothing is.
+    /// Runs what is due: reads of the store, queries to peers, fetches and timeouts. Returns at
+    /// once if nothing is due.
     pub fn poll(&mut self, now: Now, membership: &Membership, out: &mut Outbox) {
         let view = membership.view().version;
         if now.instant < self.engine.next_wake() && view == self.view {
             return;
         }
         self.view = view;
-        let (engine, mut scope) = self.split(now, membership, out);
-        engine.poll(&mut scope);
+        let (engine, mut context) = self.split(now, membership, out);
+        engine.poll(&mut context);
     }
 
     /// Returns when [`Self::poll`] must be called next.
@@ -136,15 +143,15 @@
         now: Now,
         membership: &'a Membership,
         out: &'a mut Outbox,
-    ) -> (&'a mut Engine, Scope<'a>) {
-        let scope = Scope {
+    ) -> (&'a mut Engine, StepContext<'a>) {
+        let context = StepContext {
             now: now.instant,
-            in_touch: membership.may_serve(now),
+            may_serve: membership.may_serve(now),
             round: self.engine.round(),
             membership,
-            requests: &mut self.requests,
+            request_ids: &mut self.request_ids,
             out,
         };
-        (&mut self.engine, scope)
+        (&mut self.engine, context)
     }
 }
--- a/crates/rillgap-core/src/configuration/write.rs
+++ b/crates/rillgap-core/src/configuration/write.rs
@@ -1,66 +1,71 @@
-//! One change on its way into the store.
+//! Writes one change to the store.
 //!
 //! The object is read, the next document is planned on it and written by compare-and-set. If the
-//! answer of a write is lost, the object is read back: it holds the change, or its index has
-//! moved on without it (then the write can never take effect), or its index is still the old one
-//! (then the same write is repeated: of two writes with one index at most one takes effect).
+//! reply to a write is lost, the object is read again. There are four cases:
+//!
+//! - It contains the change: the write took effect.
+//! - It does not, and its index is higher than the expected one: the write can never take effect,
+//!   and the change is planned again.
+//! - Its index is still the expected one: the same write is sent again. Of two writes with the
+//!   same expected index at most one takes effect.
+//! - Its index is lower: the read returned an older object and is repeated.
 
 use std::time::Duration;
 
-use super::alteration::{Alteration, Planned};
+use super::alteration::{Alteration, Plan};
+use super::context::{StepContext, policy_key};
 use super::document::PolicyDocument;
-use super::scope::{Scope, policy_key};
 use crate::code::ResultCode;
 use crate::id::{ChangeId, PolicyVersion};
 use crate::store::{ModifyIndex, StoreObject, StoreReply, StoreRequest, StoreRequestId};
 use crate::time::Instant;
 
-/// Longest wait for one reply of the store.
+/// Time after which a request counts as lost if the store has not replied.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest time for the whole change; then it is given up, or left unsettled.
-const LONGEST_WRITE: Duration = Duration::from_secs(3);
+/// Time after which the change as a whole is refused, or left unsettled if a write may take effect.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Pause before the object is read again.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the object is read again.
+const REREAD_DELAY: Duration = Duration::from_millis(100);
 
-/// How a change ended.
+/// Outcome of a change.
 #[derive(Debug)]
-pub enum WriteEnd {
-    /// It is stored and made this version.
+pub enum WriteOutcome {
+    /// The change is stored and created this version.
     Stored(PolicyVersion),
-    /// It is not stored and never will be, unless it is sent again.
+    /// The change is not stored and will not be, unless an operator submits it again.
     Refused {
-        /// Numbered reason.
+        /// Reason.
         code: ResultCode,
-        /// For people.
+        /// Explanation for the operator.
         detail: &'static str,
     },
     /// A write was sent and may still take effect.
     Unsettled,
 }
 
-/// What a step of the change brought to light.
+/// Result of one step of the change.
 #[derive(Debug, Default)]
 pub struct WriteStep {
-    /// Document that was read or written.
+    /// Document that was read or written in this step.
     pub document: Option<Box<PolicyDocument>>,
-    /// Whether `document` was just written, so that nothing later can be in force.
+    /// Whether `document` was just written, so that no later version can be in force.
     pub written: bool,
-    /// How the change ended, if it did.
-    pub end: Option<WriteEnd>,
+    /// Outcome of the change, or `None` while it is in progress.
+    pub outcome: Option<WriteOutcome>,
 }
 
 impl WriteStep {
-    fn ended(end: WriteEnd) -> Self {
+    fn with_outcome(outcome: WriteOutcome) -> Self {
         Self {
-            end: Some(end),
+            outcome: Some(outcome),
             ..Self::default()
         }
     }
 
     fn refused(code: ResultCode, detail: &'static str) -> Self {
-        Self::ended(WriteEnd::Refused { code, detail })
+        Self::with_outcome(WriteOutcome::Refused { code, detail })
     }
 }
 
@@ -68,72 +73,72 @@
 enum Phase {
     Reading(StoreRequestId),
     Writing(StoreRequestId),
-    Pausing,
+    BackingOff,
 }
 
 /// A write that was sent.
 #[derive(Debug)]
-struct Sent {
+struct SentWrite {
     expected: ModifyIndex,
     document: Box<PolicyDocument>,
-    /// Whether an answer of it was lost.
+    /// Whether a reply to the write was lost, so that it may still take effect.
     uncertain: bool,
 }
 
-/// A change on its way.
+/// A change that is being written.
 #[derive(Debug)]
-pub struct Write {
+pub struct PolicyWrite {
     change: ChangeId,
     alteration: Alteration,
     phase: Phase,
-    phase_ends: Instant,
+    phase_deadline: Instant,
     deadline: Instant,
-    sent: Option<Sent>,
-    conflicting: bool,
+    sent: Option<SentWrite>,
+    had_conflict: bool,
 }
 
-impl Write {
-    /// Begins a change.
-    pub fn begin(scope: &mut Scope<'_>, change: ChangeId, alteration: Alteration) -> Self {
+impl PolicyWrite {
+    /// Begins a change by reading the object.
+    pub fn begin(context: &mut StepContext<'_>, change: ChangeId, alteration: Alteration) -> Self {
         let mut write = Self {
             change,
             alteration,
-            phase: Phase::Pausing,
-            phase_ends: scope.now,
-            deadline: scope.now + LONGEST_WRITE,
+            phase: Phase::BackingOff,
+            phase_deadline: context.now,
+            deadline: context.now + WRITE_TIMEOUT,
             sent: None,
-            conflicting: false,
+            had_conflict: false,
         };
-        write.read(scope);
+        write.read(context);
         write
     }
 
-    /// Returns the change.
+    /// Returns the identifier of the change.
     pub fn change(&self) -> ChangeId {
         self.change
     }
 
-    /// Returns what is to be changed.
+    /// Returns the alteration that the change makes.
     pub fn alteration(&self) -> &Alteration {
         &self.alteration
     }
 
     /// Returns when [`Self::poll`] must be called next.
     pub fn next_wake(&self) -> Instant {
-        self.phase_ends
+        self.phase_deadline
     }
 
-    /// Does what is due: a read after a pause, or the end of a wait.
-    pub fn poll(&mut self, scope: &mut Scope<'_>) -> WriteStep {
-        if scope.now < self.phase_ends {
+    /// Reads again after a delay, and handles the timeouts of requests and of the whole change.
+    pub fn poll(&mut self, context: &mut StepContext<'_>) -> WriteStep {
+        if context.now < self.phase_deadline {
             return WriteStep::default();
         }
         match self.phase {
-            Phase::Reading(_) => self.on_read_lost(scope),
-            Phase::Writing(_) => self.on_write_lost(scope),
-            Phase::Pausing if scope.now >= self.deadline => self.give_up(),
-            Phase::Pausing => {
-                self.read(scope);
+            Phase::Reading(_) => self.on_read_lost(context),
+            Phase::Writing(_) => self.on_write_lost(context),
+            Phase::BackingOff if context.now >= self.deadline => self.on_timeout(),
+            Phase::BackingOff => {
+                self.read(context);
                 WriteStep::default()
             }
         }
@@ -142,17 +147,17 @@
     /// Handles a reply of the store, or returns `None` if it belongs to another request.
     pub fn on_reply(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         request: StoreRequestId,
         reply: &StoreReply,
         held: &PolicyDocument,
     ) -> Option<WriteStep> {
         match self.phase {
             Phase::Reading(expected) if expected == request => {
-                Some(self.on_read_reply(scope, reply, held))
+                Some(self.on_read_reply(context, reply, held))
             }
             Phase::Writing(expected) if expected == request => {
-                Some(self.on_write_reply(scope, reply))
+                Some(self.on_write_reply(context, reply))
             }
             _ => None,
         }
@@ -160,109 +165,111 @@
 
     fn on_read_reply(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         reply: &StoreReply,
         held: &PolicyDocument,
     ) -> WriteStep {
         match reply {
-            StoreReply::Object(object) => self.on_object(scope, object, held),
-            _ => self.on_read_lost(scope),
+            StoreReply::Object(object) => self.on_object(context, object, held),
+            _ => self.on_read_lost(context),
         }
     }
 
-    fn on_write_reply(&mut self, scope: &mut Scope<'_>, reply: &StoreReply) -> WriteStep {
+    fn on_write_reply(&mut self, context: &mut StepContext<'_>, reply: &StoreReply) -> WriteStep {
         match (reply, self.sent.take()) {
             (StoreReply::Written(_), Some(sent)) => WriteStep {
-                end: Some(WriteEnd::Stored(sent.document.policy.version)),
+                outcome: Some(WriteOutcome::Stored(sent.document.policy.version)),
                 document: Some(sent.document),
                 written: true,
             },
             (StoreReply::Conflict, sent) => {
                 self.sent = sent.filter(|sent| sent.uncertain);
-                self.conflicting = true;
-                self.pause(scope);
+                self.had_conflict = true;
+                self.schedule_reread(context);
                 WriteStep::default()
             }
             (_, sent) => {
                 self.sent = sent;
-                self.on_write_lost(scope)
+                self.on_write_lost(context)
             }
         }
     }
 
     fn on_object(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         object: &StoreObject,
         held: &PolicyDocument,
     ) -> WriteStep {
         let Ok(read) = PolicyDocument::decode(object.value.as_deref()) else {
             return self.on_unreadable();
         };
-        let end = self.continue_from(scope, object.index, &read, held);
+        let outcome = self.continue_from(context, object.index, &read, held);
         WriteStep {
             document: Some(Box::new(read)),
             written: false,
-            end,
+            outcome,
         }
     }
 
     fn continue_from(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         index: ModifyIndex,
         read: &PolicyDocument,
         held: &PolicyDocument,
-    ) -> Option<WriteEnd> {
+    ) -> Option<WriteOutcome> {
         let stored = read.version_of(self.change);
         if let Some(version) = stored.or_else(|| held.version_of(self.change)) {
-            return Some(WriteEnd::Stored(version));
+            return Some(WriteOutcome::Stored(version));
         }
         match self.sent.take() {
-            Some(sent) if index > sent.expected => self.plan(scope, index, read, held),
+            Some(sent) if index > sent.expected => self.plan(context, index, read, held),
             Some(sent) if index == sent.expected => {
-                self.send(scope, sent);
+                self.send(context, sent);
                 None
             }
             Some(sent) => {
                 self.sent = Some(sent);
-                self.pause(scope);
+                self.schedule_reread(context);
                 None
             }
-            None => self.plan(scope, index, read, held),
+            None => self.plan(context, index, read, held),
         }
     }
 
-    /// Plans the next document on the later one of what was read and what is held: a read may
-    /// return an older object, and then the write meets a conflict.
+    /// Plans the next document and sends it.
+    ///
+    /// The base is the newer one of the read and the held document. A read may return an older
+    /// object; the write then ends in a conflict, because its expected index is outdated too.
     fn plan(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         index: ModifyIndex,
         read: &PolicyDocument,
         held: &PolicyDocument,
-    ) -> Option<WriteEnd> {
+    ) -> Option<WriteOutcome> {
         let base = if read.policy.version < held.policy.version {
             held
         } else {
             read
         };
         match self.alteration.plan(base, self.change) {
-            Planned::Next(document) => {
-                let sent = Sent {
+            Plan::Next(document) => {
+                let sent = SentWrite {
                     expected: index,
                     document,
                     uncertain: false,
                 };
-                self.send(scope, sent);
+                self.send(context, sent);
                 None
             }
-            Planned::NotYet => {
-                self.conflicting = true;
-                self.pause(scope);
+            Plan::BaseOutdated => {
+                self.had_conflict = true;
+                self.schedule_reread(context);
                 None
             }
-            Planned::Refused(code) => Some(WriteEnd::Refused {
+            Plan::Refused(code) => Some(WriteOutcome::Refused {
                 code,
                 detail: code.title(),
             }),
@@ -271,7 +278,7 @@
 
     fn on_unreadable(&self) -> WriteStep {
         if self.is_uncertain() {
-            return WriteStep::ended(WriteEnd::Unsettled);
+            return WriteStep::with_outcome(WriteOutcome::Unsettled);
         }
         WriteStep::refused(
             ResultCode::StoreProtocol,
@@ -279,9 +286,9 @@
         )
     }
 
-    fn on_read_lost(&mut self, scope: &Scope<'_>) -> WriteStep {
+    fn on_read_lost(&mut self, context: &StepContext<'_>) -> WriteStep {
         if self.is_uncertain() {
-            self.pause(scope);
+            self.schedule_reread(context);
             return WriteStep::default();
         }
         WriteStep::refused(
@@ -290,22 +297,22 @@
         )
     }
 
-    fn on_write_lost(&mut self, scope: &Scope<'_>) -> WriteStep {
+    fn on_write_lost(&mut self, context: &StepContext<'_>) -> WriteStep {
         if let Some(sent) = &mut self.sent {
             sent.uncertain = true;
         }
-        self.pause(scope);
+        self.schedule_reread(context);
         WriteStep::default()
     }
 
-    fn give_up(&self) -> WriteStep {
+    fn on_timeout(&self) -> WriteStep {
         if self.is_uncertain() {
-            return WriteStep::ended(WriteEnd::Unsettled);
+            return WriteStep::with_outcome(WriteOutcome::Unsettled);
         }
-        if self.conflicting {
+        if self.had_conflict {
             return WriteStep::refused(
                 ResultCode::VersionConflict,
-                "the expected version is not in the store, or others write all the time",
+                "the store does not have the expected version, or other writes kept conflicting",
             );
         }
         WriteStep::refused(
@@ -318,28 +325,28 @@
         self.sent.as_ref().is_some_and(|sent| sent.uncertain)
     }
 
-    fn read(&mut self, scope: &mut Scope<'_>) {
-        let request = scope.store(StoreRequest::Read {
+    fn read(&mut self, context: &mut StepContext<'_>) {
+        let request = context.send_store_request(StoreRequest::Read {
             key: policy_key(),
             after: None,
         });
         self.phase = Phase::Reading(request);
-        self.phase_ends = scope.now + REPLY_TIMEOUT;
+        self.phase_deadline = context.now + REPLY_TIMEOUT;
     }
 
-    fn send(&mut self, scope: &mut Scope<'_>, sent: Sent) {
-        let request = scope.store(StoreRequest::CompareAndSet {
+    fn send(&mut self, context: &mut StepContext<'_>, sent: SentWrite) {
+        let request = context.send_store_request(StoreRequest::CompareAndSet {
             key: policy_key(),
             expected: sent.expected,
             value: sent.document.encode(),
         });
         self.sent = Some(sent);
         self.phase = Phase::Writing(request);
-        self.phase_ends = scope.now + REPLY_TIMEOUT;
+        self.phase_deadline = context.now + REPLY_TIMEOUT;
     }
 
-    fn pause(&mut self, scope: &Scope<'_>) {
-        self.phase = Phase::Pausing;
-        self.phase_ends = scope.now + PAUSE;
+    fn schedule_reread(&mut self, context: &StepContext<'_>) {
+        self.phase = Phase::BackingOff;
+        self.phase_deadline = context.now + REREAD_DELAY;
     }
 }
