--- a/crates/rillgap-core/src/claim/claimant/asking.rs
+++ b/crates/rillgap-core/src/claim/claimant/guard_query.rs
@@ -4,19 +4,19 @@
 use super::pending::Stage;
 use crate::claim::ClaimResult;
 use crate::claim::electorate::Electorate;
-use crate::claim::message::{ClaimMessage, GateAnswer, GateQuestion, KeyHolder, KeyState};
-use crate::claim::settings::{GATE_RESEND, GATE_TIMEOUT};
+use crate::claim::message::{ClaimMessage, GuardQuery, GuardReply, KeyHolder, KeyState};
+use crate::claim::settings::{GUARD_RESEND_INTERVAL, GUARD_TIMEOUT};
 use crate::code::ResultCode;
 use crate::id::AttemptId;
 use crate::time::Now;
 
 impl Claimant {
     /// Handles what a gate says of the holder of a key.
-    pub fn on_answer(&mut self, now: Now, answer: GateAnswer, electorate: &dyn Electorate) {
+    pub fn on_guard_reply(&mut self, now: Now, answer: GuardReply, electorate: &dyn Electorate) {
         let Some(pending) = self.pending.get_mut(&answer.claimant) else {
             return;
         };
-        let Stage::Asking { holder, .. } = &pending.stage else {
+        let Stage::QueryingGuard { holder, .. } = &pending.stage else {
             return;
         };
         if holder.attempt != answer.holder {
@@ -42,7 +42,7 @@
         self.refuse(answer.claimant, code);
     }
 
-    pub(super) fn ask_gate(
+    pub(super) fn query_guard(
         &mut self,
         now: Now,
         attempt: AttemptId,
@@ -56,21 +56,21 @@
         let Some(pending) = self.pending.get_mut(&attempt) else {
             return;
         };
-        pending.stage = Stage::Asking {
+        pending.stage = Stage::QueryingGuard {
             holder,
-            ends: now.instant + GATE_TIMEOUT,
+            ends: now.instant + GUARD_TIMEOUT,
         };
-        self.send_question(now, attempt);
+        self.send_guard_query(now, attempt);
     }
 
-    pub(super) fn send_question(&mut self, now: Now, attempt: AttemptId) {
+    pub(super) fn send_guard_query(&mut self, now: Now, attempt: AttemptId) {
         let Some(pending) = self.pending.get(&attempt) else {
             return;
         };
-        let Stage::Asking { holder, ends } = &pending.stage else {
+        let Stage::QueryingGuard { holder, ends } = &pending.stage else {
             return;
         };
-        let question = GateQuestion {
+        let query = GuardQuery {
             key: pending.request.keyed.key,
             fingerprint: pending.request.keyed.fingerprint,
             holder: holder.attempt,
@@ -79,8 +79,8 @@
             claimant: attempt,
         };
         let to = holder.gate.node;
-        let wake = (now.instant + GATE_RESEND).min(*ends);
-        self.send(to, ClaimMessage::Question(question));
-        self.wake_at(attempt, wake);
+        let wake = (now.instant + GUARD_RESEND_INTERVAL).min(*ends);
+        self.send(to, ClaimMessage::GuardQuery(query));
+        self.schedule_timer(attempt, wake);
     }
 }
--- a/crates/rillgap-core/src/claim/claimant/mod.rs
+++ b/crates/rillgap-core/src/claim/claimant/mod.rs
@@ -1,6 +1,6 @@
 //! Claimant side of claims: gathers a majority, and asks the holder's gate when it can't.
 
-mod asking;
+mod guard_query;
 mod pending;
 mod tally;
 mod voting;
@@ -80,7 +80,7 @@
             return;
         }
         if let Some(pending) = self.remove_pending(attempt) {
-            self.give_up(&pending);
+            self.send_releases(&pending);
         }
     }
 
@@ -152,11 +152,11 @@
                 self.conclude(now, attempt, true, settings, electorate);
             }
             Stage::Voting { .. } => self.resend_claims(now, attempt),
-            Stage::Pausing => self.begin_round(now, attempt, electorate),
-            Stage::Asking { ends, .. } if now.instant >= *ends => {
+            Stage::BackingOff => self.begin_round(now, attempt, electorate),
+            Stage::QueryingGuard { ends, .. } if now.instant >= *ends => {
                 self.refuse(attempt, ResultCode::AnswerLost);
             }
-            Stage::Asking { .. } => self.send_question(now, attempt),
+            Stage::QueryingGuard { .. } => self.send_guard_query(now, attempt),
         }
     }
 
@@ -167,13 +167,13 @@
 
     pub(super) fn finish(&mut self, attempt: AttemptId, result: ClaimResult) {
         if let Some(pending) = self.remove_pending(attempt) {
-            self.give_up(&pending);
+            self.send_releases(&pending);
             self.report(attempt, result);
         }
     }
 
     /// Gives back all that a claim may hold at replicas.
-    fn give_up(&mut self, pending: &PendingClaim) {
+    fn send_releases(&mut self, pending: &PendingClaim) {
         self.send_release(pending, Round::LAST);
         if let Some(refused) = pending.replaces {
             let release = Release {
@@ -202,7 +202,7 @@
         Some(pending)
     }
 
-    pub(super) fn wake_at(&mut self, attempt: AttemptId, wake: Instant) {
+    pub(super) fn schedule_timer(&mut self, attempt: AttemptId, wake: Instant) {
         if let Some(pending) = self.pending.get_mut(&attempt) {
             self.timers.remove(&(pending.wake, attempt));
             pending.wake = wake.min(pending.request.deadline);
--- a/crates/rillgap-core/src/claim/claimant/pending.rs
+++ b/crates/rillgap-core/src/claim/claimant/pending.rs
@@ -7,7 +7,7 @@
 use super::tally::Tally;
 use crate::claim::ClaimRequest;
 use crate::claim::message::{Claim, Gate, KeyHolder, Round};
-use crate::claim::settings::{BACKOFF, PROTECTION_GRACE};
+use crate::claim::settings::{BASE_BACKOFF, PROTECTION_GRACE};
 use crate::id::{AttemptId, NodeId};
 use crate::time::{Instant, Now, micros};
 
@@ -41,9 +41,9 @@
         ends: Instant,
     },
     /// The next round.
-    Pausing,
+    BackingOff,
     /// What the gate of another attempt says.
-    Asking {
+    QueryingGuard {
         /// The attempt that holds the key.
         holder: KeyHolder,
         /// When the gate counts as unreachable.
@@ -61,7 +61,7 @@
             barred: None,
             round: Round(0),
             group: Vec::new(),
-            stage: Stage::Pausing,
+            stage: Stage::BackingOff,
         }
     }
 
@@ -92,7 +92,7 @@
     /// racing claimants pause for different times.
     pub fn backoff(&self) -> Duration {
         let doublings = u32::from(self.round.0.min(8));
-        let longest = micros(BACKOFF) << doublings;
+        let longest = micros(BASE_BACKOFF) << doublings;
         let mut hasher = Xxh3::new();
         let attempt = self.request.attempt;
         hasher.update(&attempt.call.node.0.to_le_bytes());
--- a/crates/rillgap-core/src/claim/claimant/voting.rs
+++ b/crates/rillgap-core/src/claim/claimant/voting.rs
@@ -7,7 +7,8 @@
 use crate::claim::electorate::{Electorate, replica_group};
 use crate::claim::message::{ClaimMessage, KeyHolder, VoteReply};
 use crate::claim::settings::{
-    ClaimSettings, MOST_RACING_ROUNDS, MOST_ROUNDS, ROUND_TIMEOUT, UNCHARGED_ATTEMPTS, VOTE_RESEND,
+    ClaimSettings, MAX_RACING_ROUNDS, MAX_ROUNDS, ROUND_TIMEOUT, UNCHARGED_ATTEMPTS,
+    VOTE_RESEND_INTERVAL,
 };
 use crate::code::ResultCode;
 use crate::id::{AttemptId, NodeId};
@@ -45,7 +46,7 @@
         let Some(pending) = self.pending.get_mut(&attempt) else {
             return;
         };
-        if pending.round.0 >= MOST_ROUNDS {
+        if pending.round.0 >= MAX_ROUNDS {
             self.refuse(attempt, ResultCode::NoQuorum);
             return;
         }
@@ -70,11 +71,11 @@
         let Stage::Voting { tally, ends } = &pending.stage else {
             return;
         };
-        let wake = (now.instant + VOTE_RESEND).min(*ends);
+        let wake = (now.instant + VOTE_RESEND_INTERVAL).min(*ends);
         let missing: Vec<NodeId> = tally.missing().collect();
         let message = ClaimMessage::Claim(Box::new(pending.claim(now)));
         self.send_all(&missing, &message);
-        self.wake_at(attempt, wake);
+        self.schedule_timer(attempt, wake);
     }
 
     pub(super) fn conclude(
@@ -155,16 +156,16 @@
         by_majority: bool,
         electorate: &dyn Electorate,
     ) {
-        self.give_votes_back(attempt);
+        self.release_votes(attempt);
         let Some(pending) = self.pending.get(&attempt) else {
             return;
         };
         let racing = holder.protected && !holder.completed && !by_majority;
-        if racing && pending.round.0 < MOST_RACING_ROUNDS {
+        if racing && pending.round.0 < MAX_RACING_ROUNDS {
             self.pause(now, attempt);
             return;
         }
-        self.ask_gate(now, attempt, holder, electorate);
+        self.query_guard(now, attempt, holder, electorate);
     }
 
     /// Tries again after a pause if replicas may yet vote, or refuses.
@@ -174,8 +175,8 @@
         };
         let views_differ =
             matches!(&pending.stage, Stage::Voting { tally, .. } if tally.views_differ());
-        if views_differ && pending.round.0 < MOST_RACING_ROUNDS {
-            self.give_votes_back(attempt);
+        if views_differ && pending.round.0 < MAX_RACING_ROUNDS {
+            self.release_votes(attempt);
             self.pause(now, attempt);
             return;
         }
@@ -184,13 +185,13 @@
 
     fn pause(&mut self, now: Now, attempt: AttemptId) {
         if let Some(pending) = self.pending.get_mut(&attempt) {
-            pending.stage = Stage::Pausing;
+            pending.stage = Stage::BackingOff;
             let wake = now.instant + pending.backoff();
-            self.wake_at(attempt, wake);
+            self.schedule_timer(attempt, wake);
         }
     }
 
-    fn give_votes_back(&mut self, attempt: AttemptId) {
+    fn release_votes(&mut self, attempt: AttemptId) {
         if let Some(pending) = self.pending.remove(&attempt) {
             self.send_release(&pending, pending.round);
             self.pending.insert(attempt, pending);
--- a/crates/rillgap-core/src/claim/claims.rs
+++ b/crates/rillgap-core/src/claim/claims.rs
@@ -7,7 +7,7 @@
 use crate::claim::counters::ClaimCounters;
 use crate::claim::electorate::{Electorate, Voter};
 use crate::claim::guard::DispatchGuard;
-use crate::claim::message::{ClaimMessage, GateAnswer, GateQuestion, KeyState};
+use crate::claim::message::{ClaimMessage, GuardQuery, GuardReply, KeyState};
 use crate::claim::replica::Replica;
 use crate::claim::settings::{ClaimFaults, ClaimSettings};
 use crate::claim::{ClaimEvent, ClaimRequest, ClaimResult};
@@ -24,7 +24,7 @@
     claimant: Claimant,
     replica: Replica,
     /// Questions of this node to its own guard, answered when polled.
-    own_questions: VecDeque<GateQuestion>,
+    local_queries: VecDeque<GuardQuery>,
     counters: ClaimCounters,
 }
 
@@ -37,7 +37,7 @@
             settings: ClaimSettings::default(),
             claimant: Claimant::default(),
             replica: Replica::new(voter),
-            own_questions: VecDeque::new(),
+            local_queries: VecDeque::new(),
             counters: ClaimCounters::default(),
         }
     }
@@ -85,7 +85,7 @@
         self.counters.acquired += 1;
         self.claimant
             .acquire(now, request, None, &self.settings, membership);
-        self.deliver(now, membership, out);
+        self.dispatch_outgoing(now, membership, out);
     }
 
     /// Moves a held claim from an attempt that was refused (and will never run) to a new one.
@@ -100,7 +100,7 @@
         self.counters.acquired += 1;
         self.claimant
             .acquire(now, request, Some(refused), &self.settings, membership);
-        self.deliver(now, membership, out);
+        self.dispatch_outgoing(now, membership, out);
     }
 
     /// Gives a claim back: its attempt has not run and never will.
@@ -112,7 +112,7 @@
         out: &mut Outbox,
     ) {
         self.claimant.release(attempt);
-        self.deliver(now, membership, out);
+        self.dispatch_outgoing(now, membership, out);
     }
 
     /// Tells that the claimed attempt has completed.
@@ -124,7 +124,7 @@
         out: &mut Outbox,
     ) {
         self.claimant.complete(attempt);
-        self.deliver(now, membership, out);
+        self.dispatch_outgoing(now, membership, out);
     }
 
     /// Tells that the outcome of the claimed attempt is unknown: it stays claimed.
@@ -144,13 +144,13 @@
     ) {
         self.counters.messages_received += 1;
         match message {
-            ClaimMessage::Question(question) => {
-                let answer = self.ask_guard(now, &question, guard);
-                self.send(from, ClaimMessage::Answer(answer), membership, out);
+            ClaimMessage::GuardQuery(query) => {
+                let answer = self.answer_guard_query(now, &query, guard);
+                self.send(from, ClaimMessage::GuardReply(answer), membership, out);
             }
-            message => self.accept(now, from, message, membership, out),
+            message => self.handle(now, from, message, membership, out),
         }
-        self.deliver(now, membership, out);
+        self.dispatch_outgoing(now, membership, out);
     }
 
     /// Does what is due: timeouts, repeats, forgetting of old keys.
@@ -165,11 +165,11 @@
     ) {
         self.replica.expire(now, &self.settings);
         self.claimant.poll(now, &self.settings, membership);
-        self.deliver(now, membership, out);
-        while let Some(question) = self.own_questions.pop_front() {
-            let answer = self.ask_guard(now, &question, guard);
-            self.claimant.on_answer(now, answer, membership);
-            self.deliver(now, membership, out);
+        self.dispatch_outgoing(now, membership, out);
+        while let Some(query) = self.local_queries.pop_front() {
+            let answer = self.answer_guard_query(now, &query, guard);
+            self.claimant.on_guard_reply(now, answer, membership);
+            self.dispatch_outgoing(now, membership, out);
         }
     }
 
@@ -190,21 +190,21 @@
     }
 
     /// Sends what the claimant has to say; messages to this node are handled at once.
-    fn deliver(&mut self, now: Now, membership: &impl Electorate, out: &mut Outbox) {
+    fn dispatch_outgoing(&mut self, now: Now, membership: &impl Electorate, out: &mut Outbox) {
         while let Some(Outgoing { to, message }) = self.claimant.take_outgoing() {
             if to != self.voter.node {
                 self.send(to, message, membership, out);
                 continue;
             }
             match message {
-                ClaimMessage::Question(question) => self.own_questions.push_back(question),
-                message => self.accept(now, to, message, membership, out),
+                ClaimMessage::GuardQuery(query) => self.local_queries.push_back(query),
+                message => self.handle(now, to, message, membership, out),
             }
         }
     }
 
     /// Handles a message that needs no guard.
-    fn accept(
+    fn handle(
         &mut self,
         now: Now,
         from: NodeId,
@@ -231,25 +231,27 @@
             }
             ClaimMessage::Release(release) => self.replica.on_release(&release),
             ClaimMessage::Complete { key, attempt } => self.replica.on_complete(key, attempt),
-            ClaimMessage::Answer(answer) => self.claimant.on_answer(now, answer, membership),
-            ClaimMessage::Question(_) => {}
+            ClaimMessage::GuardReply(answer) => {
+                self.claimant.on_guard_reply(now, answer, membership)
+            }
+            ClaimMessage::GuardQuery(_) => {}
         }
     }
 
-    fn ask_guard(
+    fn answer_guard_query(
         &self,
         now: Now,
-        question: &GateQuestion,
+        query: &GuardQuery,
         guard: &mut DispatchGuard,
-    ) -> GateAnswer {
-        let state = if question.incarnation == self.voter.incarnation {
-            guard.answer(now, question)
+    ) -> GuardReply {
+        let state = if query.incarnation == self.voter.incarnation {
+            guard.answer_query(now, query)
         } else {
             KeyState::OtherIncarnation
         };
-        GateAnswer {
-            claimant: question.claimant,
-            holder: question.holder,
+        GuardReply {
+            claimant: query.claimant,
+            holder: query.holder,
             state,
         }
     }
--- a/crates/rillgap-core/src/claim/electorate.rs
+++ b/crates/rillgap-core/src/claim/electorate.rs
@@ -12,14 +12,14 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::claim::message::AbstainReason;
-use crate::claim::settings::CLOCK_SKEW;
+use crate::claim::settings::MAX_CLOCK_SKEW;
 use crate::id::{IdempotencyKey, Incarnation, NodeId, ZoneName};
 use crate::membership::{ActivatedView, Membership};
 use crate::time::{Now, WallTime};
 use crate::view::{Member, View};
 
 /// Most replicas of a key.
-const MOST_REPLICAS: usize = 3;
+const MAX_REPLICAS: usize = 3;
 
 /// What claims need to know of the membership.
 pub trait Electorate {
@@ -60,12 +60,12 @@
         .iter()
         .map(|member| Candidate::new(member, key))
         .collect();
-    let count = candidates.len().min(MOST_REPLICAS);
+    let count = candidates.len().min(MAX_REPLICAS);
     let odd_count = count - usize::from(count > 0 && count.is_multiple_of(2));
     let mut group: Vec<Candidate<'_>> = Vec::with_capacity(odd_count);
     while group.len() < odd_count {
-        let in_new_zone = best(&candidates, |candidate| candidate.is_in_new_zone(&group));
-        let Some(position) = in_new_zone.or_else(|| best(&candidates, |_| true)) else {
+        let in_new_zone = highest_ranked(&candidates, |candidate| candidate.is_in_new_zone(&group));
+        let Some(position) = in_new_zone.or_else(|| highest_ranked(&candidates, |_| true)) else {
             break;
         };
         group.push(candidates.swap_remove(position));
@@ -74,7 +74,10 @@
 }
 
 /// Returns the position of the acceptable candidate with the highest rank.
-fn best(candidates: &[Candidate<'_>], accept: impl Fn(&Candidate<'_>) -> bool) -> Option<usize> {
+fn highest_ranked(
+    candidates: &[Candidate<'_>],
+    accept: impl Fn(&Candidate<'_>) -> bool,
+) -> Option<usize> {
     let mut best: Option<(usize, (u64, NodeId))> = None;
     for (position, candidate) in candidates.iter().enumerate() {
         let rank = candidate.rank();
@@ -140,40 +143,40 @@
         if !electorate.may_vote(now) {
             return Err(AbstainReason::NoLease);
         }
-        if key.created_at() > now.wall.plus(CLOCK_SKEW) {
+        if key.created_at() > now.wall.plus(MAX_CLOCK_SKEW) {
             return Err(AbstainReason::KeyFromFuture);
         }
         let same_group = group == replica_group(electorate.view(), key);
         if !same_group || !self.is_replica(electorate.view(), group) {
             return Err(AbstainReason::DifferentGroup);
         }
-        if !self.has_standing(key, group, electorate) {
-            return Err(AbstainReason::NoStanding);
+        if !self.is_eligible(key, group, electorate) {
+            return Err(AbstainReason::NotEligible);
         }
         Ok(())
     }
 
     /// Returns whether this voter was in the key's group ever since the key can have been used.
     ///
-    /// The first use is no earlier than [`CLOCK_SKEW`] before the key's own time, by the clock of
-    /// the node that took it, and that clock is within [`CLOCK_SKEW`] of this one.
-    fn has_standing(
+    /// The first use is no earlier than [`MAX_CLOCK_SKEW`] before the key's own time, by the clock of
+    /// the node that took it, and that clock is within [`MAX_CLOCK_SKEW`] of this one.
+    fn is_eligible(
         self,
         key: IdempotencyKey,
         group: &[NodeId],
         electorate: &dyn Electorate,
     ) -> bool {
-        let first_use = key.created_at().minus(2 * CLOCK_SKEW);
+        let first_use = key.created_at().minus(2 * MAX_CLOCK_SKEW);
         let mut later = electorate.view();
         for activated in electorate.history().iter().rev() {
-            if !follows(later, &activated.view) {
+            if !is_same_or_next(later, &activated.view) {
                 return false;
             }
             let checked = Arc::ptr_eq(&activated.view, electorate.view());
-            if !checked && !self.is_successor(&activated.view, key, group) {
+            if !checked && !self.was_eligible_under(&activated.view, key, group) {
                 return false;
             }
-            if covers(activated, first_use) {
+            if was_active_at(activated, first_use) {
                 return true;
             }
             later = &activated.view;
@@ -183,7 +186,7 @@
 
     /// Returns whether this voter was a replica under an earlier view already, and majorities of
     /// the group under that view meet those of the present group.
-    fn is_successor(self, earlier: &View, key: IdempotencyKey, group: &[NodeId]) -> bool {
+    fn was_eligible_under(self, earlier: &View, key: IdempotencyKey, group: &[NodeId]) -> bool {
         let earlier_group = replica_group(earlier, key);
         self.is_replica(earlier, &earlier_group) && majorities_overlap(group, &earlier_group)
     }
@@ -197,7 +200,7 @@
 }
 
 /// Returns whether no view lies between two views, so that none was missed.
-fn follows(later: &View, earlier: &View) -> bool {
+fn is_same_or_next(later: &View, earlier: &View) -> bool {
     later.version.0.saturating_sub(earlier.version.0) <= 1
 }
 
@@ -213,6 +216,6 @@
     group.len() / 2 + 1
 }
 
-fn covers(activated: &ActivatedView, moment: WallTime) -> bool {
+fn was_active_at(activated: &ActivatedView, moment: WallTime) -> bool {
     activated.activated_at <= moment
 }
--- a/crates/rillgap-core/src/claim/guard.rs
+++ b/crates/rillgap-core/src/claim/guard.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use crate::claim::answer::RememberedAnswer;
-use crate::claim::message::{GateQuestion, KeyState};
+use crate::claim::message::{GuardQuery, KeyState};
 use crate::claim::settings::{
-    ClaimFaults, ClaimSettings, LONGEST_ANSWER, MOST_ANSWER_BYTES, MOST_DEAD_ATTEMPTS,
-    MOST_GUARDED_KEYS,
+    ClaimFaults, ClaimSettings, MAX_ANSWER_BYTES, MAX_ANSWER_STORE_BYTES, MAX_DEAD_ATTEMPTS,
+    MAX_GUARDED_KEYS,
 };
 use crate::id::{AttemptId, Fingerprint, IdempotencyKey};
 use crate::message::KeyedAttempt;
@@ -42,13 +42,13 @@
 /// What the guard knows of one key.
 #[derive(Debug, Default)]
 struct GuardedKey {
-    started: Option<Started>,
+    started: Option<StartedAttempt>,
     barred: Vec<AttemptId>,
 }
 
 /// The attempt of a key that was started.
 #[derive(Debug)]
-struct Started {
+struct StartedAttempt {
     attempt: AttemptId,
     fingerprint: Fingerprint,
     progress: Progress,
@@ -105,7 +105,7 @@
         if key.barred.contains(&attempt) && !faults.ignore_bars {
             return GuardVerdict::Barred;
         }
-        key.started = Some(Started {
+        key.started = Some(StartedAttempt {
             attempt,
             fingerprint: keyed.fingerprint,
             progress: Progress::Running,
@@ -134,58 +134,58 @@
 
     /// Remembers the whole answer of a started key; `None` if it is too long to keep.
     pub fn complete(&mut self, _now: Now, key: IdempotencyKey, answer: Option<RememberedAnswer>) {
-        if !self.end(key, Progress::Completed) {
+        if !self.record_end(key, Progress::Completed) {
             return;
         }
-        if let Some(answer) = answer.filter(|answer| answer.bytes() <= LONGEST_ANSWER) {
-            self.answers.keep(key, answer);
+        if let Some(answer) = answer.filter(|answer| answer.bytes() <= MAX_ANSWER_BYTES) {
+            self.answers.insert(key, answer);
         }
     }
 
     /// Records that a started key failed with an unknown outcome.
     pub fn fail(&mut self, _now: Now, key: IdempotencyKey) {
-        self.end(key, Progress::Failed);
+        self.record_end(key, Progress::Failed);
     }
 
     /// Answers what became of a key in this run, and bars its holder if that is asked for.
-    pub(crate) fn answer(&mut self, now: Now, question: &GateQuestion) -> KeyState {
+    pub(crate) fn answer_query(&mut self, now: Now, query: &GuardQuery) -> KeyState {
         self.expire(now);
         if let Some(started) = self
             .keys
-            .get(&question.key)
+            .get(&query.key)
             .and_then(|key| key.started.as_ref())
         {
-            return self.state_of_started(question, started);
+            return self.state_of_started(query, started);
         }
-        if !question.bar {
+        if !query.bar {
             return KeyState::NotStarted;
         }
-        if self.is_forgotten(question.key) || !self.has_room_for(question.key) {
+        if self.is_forgotten(query.key) || !self.has_room_for(query.key) {
             return KeyState::Full;
         }
-        let key = self.keys.entry(question.key).or_default();
-        if key.bar(question.holder) {
+        let key = self.keys.entry(query.key).or_default();
+        if key.bar(query.holder) {
             KeyState::Barred
         } else {
             KeyState::Full
         }
     }
 
-    fn state_of_started(&self, question: &GateQuestion, started: &Started) -> KeyState {
-        if started.fingerprint != question.fingerprint {
+    fn state_of_started(&self, query: &GuardQuery, started: &StartedAttempt) -> KeyState {
+        if started.fingerprint != query.fingerprint {
             return KeyState::OtherRequest;
         }
         match started.progress {
             Progress::Running => KeyState::Running,
             Progress::Failed => KeyState::Failed,
-            Progress::Completed => match self.answers.get(question.key) {
+            Progress::Completed => match self.answers.get(query.key) {
                 Some(answer) => KeyState::Completed(answer.clone()),
                 None => KeyState::AnswerForgotten,
             },
         }
     }
 
-    fn end(&mut self, key: IdempotencyKey, progress: Progress) -> bool {
+    fn record_end(&mut self, key: IdempotencyKey, progress: Progress) -> bool {
         let running = self
             .keys
             .get_mut(&key)
@@ -201,7 +201,7 @@
     }
 
     fn has_room_for(&self, key: IdempotencyKey) -> bool {
-        self.keys.len() < MOST_GUARDED_KEYS || self.keys.contains_key(&key)
+        self.keys.len() < MAX_GUARDED_KEYS || self.keys.contains_key(&key)
     }
 
     fn is_forgotten(&self, key: IdempotencyKey) -> bool {
@@ -210,10 +210,10 @@
 
     /// Forgets keys that nobody can use any more.
     fn expire(&mut self, now: Now) {
-        let before = self.settings.forget_before(now);
+        let cutoff = self.settings.forget_before(now);
         while let Some(oldest) = self.keys.first_entry() {
             let key = *oldest.key();
-            if key.created_at() >= before {
+            if key.created_at() >= cutoff {
                 return;
             }
             oldest.remove();
@@ -229,7 +229,7 @@
         if self.barred.contains(&attempt) {
             return true;
         }
-        if self.barred.len() >= MOST_DEAD_ATTEMPTS {
+        if self.barred.len() >= MAX_DEAD_ATTEMPTS {
             return false;
         }
         self.barred.push(attempt);
@@ -240,15 +240,15 @@
 /// Answers of completed keys, the least recently completed dropped first.
 #[derive(Debug, Default)]
 struct AnswerStore {
-    answers: BTreeMap<IdempotencyKey, KeptAnswer>,
-    by_age: BTreeMap<u64, IdempotencyKey>,
+    answers: BTreeMap<IdempotencyKey, StoredAnswer>,
+    by_sequence: BTreeMap<u64, IdempotencyKey>,
     next_sequence: u64,
     bytes: usize,
 }
 
 /// An answer and its place in the order of completion.
 #[derive(Debug)]
-struct KeptAnswer {
+struct StoredAnswer {
     sequence: u64,
     answer: RememberedAnswer,
 }
@@ -258,15 +258,15 @@
         self.answers.get(&key).map(|kept| &kept.answer)
     }
 
-    fn keep(&mut self, key: IdempotencyKey, answer: RememberedAnswer) {
+    fn insert(&mut self, key: IdempotencyKey, answer: RememberedAnswer) {
         self.remove(key);
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         self.bytes += answer.bytes();
-        self.by_age.insert(sequence, key);
-        self.answers.insert(key, KeptAnswer { sequence, answer });
-        while self.bytes > MOST_ANSWER_BYTES {
-            let Some((_, oldest)) = self.by_age.pop_first() else {
+        self.by_sequence.insert(sequence, key);
+        self.answers.insert(key, StoredAnswer { sequence, answer });
+        while self.bytes > MAX_ANSWER_STORE_BYTES {
+            let Some((_, oldest)) = self.by_sequence.pop_first() else {
                 return;
             };
             self.remove(oldest);
@@ -275,7 +275,7 @@
 
     fn remove(&mut self, key: IdempotencyKey) {
         if let Some(kept) = self.answers.remove(&key) {
-            self.by_age.remove(&kept.sequence);
+            self.by_sequence.remove(&kept.sequence);
             self.bytes -= kept.answer.bytes();
         }
     }
--- a/crates/rillgap-core/src/claim/message.rs
+++ b/crates/rillgap-core/src/claim/message.rs
@@ -22,9 +22,9 @@
         attempt: AttemptId,
     },
     /// Claimant to the node beside a back end: asks what became of the holder of a key.
-    Question(GateQuestion),
-    /// The node beside a back end to the claimant: answers a [`GateQuestion`].
-    Answer(GateAnswer),
+    GuardQuery(GuardQuery),
+    /// The node beside a back end to the claimant: answers a [`GuardQuery`].
+    GuardReply(GuardReply),
 }
 
 /// The run of the node beside a back end that alone may start an attempt.
@@ -117,7 +117,7 @@
     /// It is not in the key's group, or its group is another than the claimant's.
     DifferentGroup,
     /// It was not in the key's group for the whole life of the key.
-    NoStanding,
+    NotEligible,
     /// The key is from the future by its clock.
     KeyFromFuture,
     /// It has forgotten keys of that age.
@@ -141,7 +141,7 @@
 
 /// Asks the node beside a back end what became of the holder of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct GateQuestion {
+pub struct GuardQuery {
     /// The key.
     pub key: IdempotencyKey,
     /// Digest of the request that asks.
@@ -156,9 +156,9 @@
     pub claimant: AttemptId,
 }
 
-/// Answers a [`GateQuestion`].
+/// Answers a [`GuardQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct GateAnswer {
+pub struct GuardReply {
     /// Attempt that asked.
     pub claimant: AttemptId,
     /// Attempt that was asked about.
--- a/crates/rillgap-core/src/claim/replica.rs
+++ b/crates/rillgap-core/src/claim/replica.rs
@@ -7,7 +7,7 @@
 use crate::claim::message::{
     AbstainReason, Claim, Gate, KeyHolder, Release, Round, Vote, VoteReply,
 };
-use crate::claim::settings::{ClaimSettings, MOST_DEAD_ATTEMPTS, MOST_RECORDS};
+use crate::claim::settings::{ClaimSettings, MAX_DEAD_ATTEMPTS, MAX_REPLICA_KEYS};
 use crate::id::{AttemptId, IdempotencyKey};
 use crate::membership::ActivatedView;
 use crate::time::{Instant, Now, WallTime};
@@ -16,14 +16,14 @@
 #[derive(Debug)]
 pub struct Replica {
     voter: Voter,
-    records: BTreeMap<IdempotencyKey, Record>,
+    records: BTreeMap<IdempotencyKey, KeyRecord>,
     /// Keys made at this time or before may have been forgotten.
     forgotten_until: Option<WallTime>,
 }
 
 /// What this node knows of one key.
 #[derive(Debug, Default)]
-struct Record {
+struct KeyRecord {
     holder: Option<Holder>,
     dead: Vec<DeadAttempt>,
 }
@@ -84,7 +84,7 @@
     /// Takes a vote back.
     pub fn on_release(&mut self, release: &Release) {
         if let Some(record) = self.records.get_mut(&release.key) {
-            record.bury(release.attempt, release.round, release.spent);
+            record.mark_dead(release.attempt, release.round, release.spent);
         }
     }
 
@@ -102,10 +102,10 @@
 
     /// Forgets keys that nobody can use any more.
     pub fn expire(&mut self, now: Now, settings: &ClaimSettings) {
-        let before = settings.forget_before(now);
+        let cutoff = settings.forget_before(now);
         while let Some(oldest) = self.records.first_entry() {
             let created_at = oldest.key().created_at();
-            if created_at >= before {
+            if created_at >= cutoff {
                 return;
             }
             oldest.remove();
@@ -121,14 +121,14 @@
         electorate: &dyn Electorate,
     ) -> Vote {
         if let Some(record) = self.records.get_mut(&claim.key) {
-            record.bury_superseded(claim);
+            record.mark_superseded_dead(claim);
             if record.is_dead(claim) {
                 return Vote::Dead;
             }
             if let Some(holder) = record.other_holder(claim)
                 && !settings.faults.ignore_holder
             {
-                let mut description = holder.describe(now, electorate);
+                let mut description = holder.to_key_holder(now, electorate);
                 description.protected &= !settings.faults.ignore_protection;
                 return Vote::Held(description);
             }
@@ -150,21 +150,21 @@
             return Err(AbstainReason::KeyTooOld);
         }
         let full = match self.records.get(&claim.key) {
-            Some(record) => record.dead.len() + 2 > MOST_DEAD_ATTEMPTS,
-            None => self.records.len() >= MOST_RECORDS,
+            Some(record) => record.dead.len() + 2 > MAX_DEAD_ATTEMPTS,
+            None => self.records.len() >= MAX_REPLICA_KEYS,
         };
         if full {
             return Err(AbstainReason::Full);
         }
         match self.voter.check(now, claim.key, &claim.group, electorate) {
-            Err(AbstainReason::NoStanding) if settings.faults.ignore_vote_standing => Ok(()),
+            Err(AbstainReason::NotEligible) if settings.faults.ignore_vote_standing => Ok(()),
             checked => checked,
         }
     }
 
     fn grant(&mut self, now: Now, claim: &Claim) -> Vote {
         let record = self.records.entry(claim.key).or_default();
-        record.bury_superseded(claim);
+        record.mark_superseded_dead(claim);
         let protected_until = now.instant + Duration::from_micros(claim.protected_micros);
         match &mut record.holder {
             Some(holder) if holder.attempt == claim.attempt => {
@@ -187,16 +187,16 @@
     }
 }
 
-impl Record {
+impl KeyRecord {
     /// Buries the attempts that the claim proves to be dead.
-    fn bury_superseded(&mut self, claim: &Claim) {
+    fn mark_superseded_dead(&mut self, claim: &Claim) {
         for attempt in [claim.replaces, claim.barred].into_iter().flatten() {
-            self.bury(attempt, Round::LAST, true);
+            self.mark_dead(attempt, Round::LAST, true);
         }
     }
 
     /// Takes the vote of an attempt back, if it has it, and gives it none up to `round` again.
-    fn bury(&mut self, attempt: AttemptId, round: Round, spent: bool) {
+    fn mark_dead(&mut self, attempt: AttemptId, round: Round, spent: bool) {
         let held = self
             .holder
             .as_ref()
@@ -210,7 +210,7 @@
             return;
         }
         // A full record grants nothing any more, so it need not know of further dead attempts.
-        if self.dead.len() < MOST_DEAD_ATTEMPTS {
+        if self.dead.len() < MAX_DEAD_ATTEMPTS {
             self.dead.push(DeadAttempt {
                 attempt,
                 round,
@@ -220,7 +220,7 @@
     }
 
     fn is_dead(&self, claim: &Claim) -> bool {
-        let buried = self
+        let dead = self
             .dead
             .iter()
             .any(|dead| dead.attempt == claim.attempt && claim.round <= dead.round);
@@ -228,7 +228,7 @@
             .holder
             .as_ref()
             .is_some_and(|holder| holder.attempt == claim.attempt && claim.round < holder.round);
-        buried || outdated
+        dead || outdated
     }
 
     fn other_holder(&self, claim: &Claim) -> Option<&Holder> {
@@ -247,11 +247,12 @@
 }
 
 impl Holder {
-    fn describe(&self, now: Now, electorate: &dyn Electorate) -> KeyHolder {
+    fn to_key_holder(&self, now: Now, electorate: &dyn Electorate) -> KeyHolder {
         KeyHolder {
             attempt: self.attempt,
             gate: self.gate,
-            protected: now.instant < self.protected_until && !self.claimant_is_gone(electorate),
+            protected: now.instant < self.protected_until
+                && !self.claimant_was_replaced(electorate),
             completed: self.completed,
         }
     }
@@ -260,7 +261,7 @@
     ///
     /// Runs are not ordered, so an activated view must have named the claimant's run and the
     /// latest another; a claimant that has only just started is in no activated view yet.
-    fn claimant_is_gone(&self, electorate: &dyn Electorate) -> bool {
+    fn claimant_was_replaced(&self, electorate: &dyn Electorate) -> bool {
         let call = self.attempt.call;
         let names_run = |entry: &ActivatedView| {
             let member = entry.view.member(call.node);
--- a/crates/rillgap-core/src/claim/settings.rs
+++ b/crates/rillgap-core/src/claim/settings.rs
@@ -7,47 +7,47 @@
 use crate::time::{Now, WallTime};
 
 /// Most by which a caller's clock may be ahead of a node's, and two nodes' clocks apart.
-pub const CLOCK_SKEW: Duration = Duration::from_secs(2);
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(2);
 
 /// Time after its deadline during which a holder may still tell its caller 'not run', so that
 /// nobody may bar it.
 pub const PROTECTION_GRACE: Duration = Duration::from_millis(250);
 
 /// Silence of a replica after which its vote is asked for again.
-pub const VOTE_RESEND: Duration = Duration::from_millis(50);
+pub const VOTE_RESEND_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time after which a round ends with the votes that have come.
 pub const ROUND_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Most rounds of one attempt.
-pub const MOST_ROUNDS: u16 = 6;
+pub const MAX_ROUNDS: u16 = 6;
 
 /// Rounds after which a claimant stops racing another one.
-pub const MOST_RACING_ROUNDS: u16 = 4;
+pub const MAX_RACING_ROUNDS: u16 = 4;
 
 /// Longest pause before the second round; it doubles with every further one.
-pub const BACKOFF: Duration = Duration::from_millis(4);
+pub const BASE_BACKOFF: Duration = Duration::from_millis(4);
 
 /// Silence after which the node beside a back end is asked again.
-pub const GATE_RESEND: Duration = Duration::from_millis(60);
+pub const GUARD_RESEND_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Time after which the node beside a back end counts as unreachable.
-pub const GATE_TIMEOUT: Duration = Duration::from_millis(150);
+pub const GUARD_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Most keys that a replica remembers.
-pub const MOST_RECORDS: usize = 32_768;
+pub const MAX_REPLICA_KEYS: usize = 32_768;
 
 /// Most attempts of one key that a replica or a guard remembers as dead.
-pub const MOST_DEAD_ATTEMPTS: usize = 32;
+pub const MAX_DEAD_ATTEMPTS: usize = 32;
 
 /// Most keys that the guard beside a back end remembers.
-pub const MOST_GUARDED_KEYS: usize = 32_768;
+pub const MAX_GUARDED_KEYS: usize = 32_768;
 
 /// Longest answer that the guard keeps, headers and body, in bytes: a body of 2 KiB and its headers.
-pub const LONGEST_ANSWER: usize = 4_096;
+pub const MAX_ANSWER_BYTES: usize = 4_096;
 
 /// Most bytes of answers that the guard keeps.
-pub const MOST_ANSWER_BYTES: usize = 4 * 1_024 * 1_024;
+pub const MAX_ANSWER_STORE_BYTES: usize = 4 * 1_024 * 1_024;
 
 /// Attempts that a key has beyond its first and the extra ones of the policy: those that met a
 /// node that takes nothing are moved without charge.
@@ -89,10 +89,10 @@
         if created_at.plus(self.key_life) < now.wall {
             return KeyAge::TooOld;
         }
-        if created_at > now.wall.plus(2 * CLOCK_SKEW) {
+        if created_at > now.wall.plus(2 * MAX_CLOCK_SKEW) {
             return KeyAge::FromFuture;
         }
-        if created_at > now.wall.plus(CLOCK_SKEW) {
+        if created_at > now.wall.plus(MAX_CLOCK_SKEW) {
             return KeyAge::Early;
         }
         KeyAge::Usable
@@ -100,7 +100,7 @@
 
     /// Returns the time before which keys were made that nobody can use any more.
     pub fn forget_before(&self, now: Now) -> WallTime {
-        now.wall.minus(self.key_life + 2 * CLOCK_SKEW)
+        now.wall.minus(self.key_life + 2 * MAX_CLOCK_SKEW)
     }
 }
 
--- a/crates/rillgap-core/tests/claim_explore/data_path.rs
+++ b/crates/rillgap-core/tests/claim_explore/data_path.rs
@@ -9,11 +9,11 @@
 use rillgap_core::routing::Target;
 use rillgap_core::time::Instant;
 
-use crate::truth::Execution;
+use crate::oracle::Execution;
 use crate::world::{HostEvent, MILLI, Payload, SECOND, World};
 
-const MOST_ATTEMPTS: u16 = 3;
-const ORPHAN_WAIT: u64 = 5 * SECOND;
+const MAX_ATTEMPTS: u16 = 3;
+const ORPHAN_TIMEOUT: u64 = 5 * SECOND;
 
 /// A request at its entry node.
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
             ClaimResult::Completed(answer) => self.answer(host, &call, &answer),
             ClaimResult::Refused(refusal) => {
                 self.hosts[host].calls.remove(&event.attempt);
-                self.tell(&call, refusal.code);
+                self.reply(&call, refusal.code);
             }
         }
     }
@@ -68,8 +68,8 @@
             HostEvent::Deliver(_, Payload::Answered(attempt, answer)) => {
                 self.on_answered(host, attempt, &answer);
             }
-            HostEvent::GateStart(entry, dispatch) => self.start(host, entry, dispatch),
-            HostEvent::GateEnd(entry, dispatch) => self.end(host, entry, &dispatch),
+            HostEvent::GuardStart(entry, dispatch) => self.start(host, entry, dispatch),
+            HostEvent::GuardEnd(entry, dispatch) => self.end(host, entry, &dispatch),
             _ => {}
         }
     }
@@ -106,7 +106,7 @@
         let node = &self.hosts[host];
         let member = node.membership_member(&self.hosts[call.target]);
         let Some((incarnation, address)) = member else {
-            self.tell(&call, ResultCode::KeyUnchecked);
+            self.reply(&call, ResultCode::KeyUnchecked);
             if let Some(refused) = refused {
                 self.release(host, refused);
             }
@@ -140,7 +140,7 @@
                     .reassign(now, refused, request, &node.membership, &mut out);
             }
         }
-        self.settle(host, out);
+        self.poll_host(host, out);
     }
 
     fn dispatch(&mut self, host: usize, mut call: Call) {
@@ -156,7 +156,7 @@
         let target = call.target;
         self.hosts[host].calls.insert(call.attempt, call);
         let key = dispatch.keyed.key;
-        *self.truth.dispatched.entry(key).or_default() += 1;
+        *self.oracle.dispatched.entry(key).or_default() += 1;
         self.send(host, target, Payload::Dispatch(dispatch));
     }
 
@@ -171,7 +171,7 @@
         };
         node.calls.remove(&call.attempt);
         if !call.answered {
-            self.tell(call, code);
+            self.reply(call, code);
         }
         self.release(host, call.attempt);
     }
@@ -182,14 +182,14 @@
         let mut out = Outbox::new();
         node.claims
             .release(now, attempt, &node.membership, &mut out);
-        self.settle(host, out);
+        self.poll_host(host, out);
     }
 
     fn on_refused(&mut self, host: usize, attempt: AttemptId) {
         let Some(call) = self.hosts[host].calls.get(&attempt).cloned() else {
             return;
         };
-        let may_retry = attempt.number + 1 < MOST_ATTEMPTS && self.time < call.deadline;
+        let may_retry = attempt.number + 1 < MAX_ATTEMPTS && self.time < call.deadline;
         if call.answered || !may_retry || self.draws.percent(40) {
             self.refuse_and_release(host, &call);
             return;
@@ -206,7 +206,7 @@
         if let Some(call) = node.calls.remove(&attempt) {
             node.claims.abandon(now, attempt, &mut Outbox::new());
             if !call.answered {
-                self.tell(&call, ResultCode::AnswerLost);
+                self.reply(&call, ResultCode::AnswerLost);
             }
         }
     }
@@ -221,16 +221,16 @@
         node.claims
             .complete(now, attempt, &node.membership, &mut out);
         self.answer(host, &call, answer);
-        self.settle(host, out);
+        self.poll_host(host, out);
     }
 
     fn answer(&mut self, host: usize, call: &Call, answer: &RememberedAnswer) {
         self.hosts[host].calls.remove(&call.attempt);
         if *answer != answer_to(call.keyed) {
-            self.truth.wrong_answers += 1;
+            self.oracle.wrong_answers += 1;
         }
         if !call.answered {
-            self.tell(call, ResultCode::Ok);
+            self.reply(call, ResultCode::Ok);
         }
     }
 
@@ -242,11 +242,11 @@
         call.answered = true;
         if call_before.claiming {
             self.hosts[host].calls.remove(&attempt);
-            self.tell(&call_before, ResultCode::NoQuorum);
+            self.reply(&call_before, ResultCode::NoQuorum);
             self.release(host, attempt);
         } else if !call_before.answered {
-            self.tell(&call_before, ResultCode::AnswerTimeout);
-            self.at_host(host, ORPHAN_WAIT, HostEvent::Deadline(attempt));
+            self.reply(&call_before, ResultCode::AnswerTimeout);
+            self.at_host(host, ORPHAN_TIMEOUT, HostEvent::Deadline(attempt));
         } else {
             let now = self.now(host);
             let node = &mut self.hosts[host];
@@ -263,7 +263,7 @@
         } else {
             let longest = if self.draws.percent(10) { 1_500 } else { 50 };
             let queued = self.draws.within(0..longest * MILLI);
-            self.at_host(host, queued, HostEvent::GateStart(entry, dispatch));
+            self.at_host(host, queued, HostEvent::GuardStart(entry, dispatch));
         }
     }
 
@@ -280,13 +280,13 @@
         match guard.start(now, dispatch.attempt, dispatch.keyed) {
             GuardVerdict::Start if self.draws.percent(10) => self.refuse(host, entry, &dispatch),
             GuardVerdict::Start => {
-                self.truth.executions.push(Execution {
+                self.oracle.executions.push(Execution {
                     keyed: dispatch.keyed,
                     attempt: dispatch.attempt,
                     at: self.time,
                 });
                 let running = self.draws.within(MILLI..300 * MILLI);
-                self.at_host(host, running, HostEvent::GateEnd(entry, dispatch));
+                self.at_host(host, running, HostEvent::GuardEnd(entry, dispatch));
             }
             GuardVerdict::Barred | GuardVerdict::Full => {
                 self.send(host, entry, Payload::Refused(dispatch.attempt));
--- a/crates/rillgap-core/tests/claim_explore/membership.rs
+++ b/crates/rillgap-core/tests/claim_explore/membership.rs
@@ -21,7 +21,7 @@
 
 impl ModelMembership {
     /// Knows a view that was agreed long ago.
-    pub fn founder(view: Arc<View>) -> Self {
+    pub fn with_active_view(view: Arc<View>) -> Self {
         let history = vec![ActivatedView {
             view: Arc::clone(&view),
             activated_at: WallTime::default(),
@@ -34,7 +34,7 @@
     }
 
     /// Knows the latest view and remembers nothing.
-    pub fn newcomer(view: Arc<View>) -> Self {
+    pub fn without_history(view: Arc<View>) -> Self {
         Self {
             view,
             history: Vec::new(),
@@ -43,7 +43,7 @@
     }
 
     /// A later view was agreed: the lease on this one runs out.
-    pub fn superseded(&mut self, lease_ends: Instant) {
+    pub fn on_superseded(&mut self, lease_ends: Instant) {
         self.lease_ends.get_or_insert(lease_ends);
     }
 
--- a/crates/rillgap-core/tests/claim_explore/truth.rs
+++ b/crates/rillgap-core/tests/claim_explore/oracle.rs
@@ -9,7 +9,7 @@
 
 use crate::world::EXTRA_ATTEMPTS;
 
-const MOST_ATTEMPTS_OF_KEY: usize = 1 + EXTRA_ATTEMPTS as usize + UNCHARGED_ATTEMPTS;
+const MAX_ATTEMPTS_OF_KEY: usize = 1 + EXTRA_ATTEMPTS as usize + UNCHARGED_ATTEMPTS;
 
 /// A request that a back end ran.
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +21,7 @@
 
 /// What one caller was told.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct Reply {
     pub keyed: KeyedAttempt,
     pub call: CallId,
     pub code: ResultCode,
@@ -30,30 +30,30 @@
 
 /// Record of one run.
 #[derive(Debug, Default)]
-pub struct Truth {
+pub struct Oracle {
     pub executions: Vec<Execution>,
-    pub told: Vec<Told>,
+    pub replies: Vec<Reply>,
     pub wrong_answers: u32,
     pub dispatched: BTreeMap<IdempotencyKey, usize>,
 }
 
-impl Truth {
+impl Oracle {
     /// Returns the first violation, in words.
     pub fn violation(&self) -> Option<String> {
         self.ran_twice()
-            .or_else(|| self.untruthful())
+            .or_else(|| self.false_not_run())
             .or_else(|| self.too_many_attempts())
             .or_else(|| (self.wrong_answers > 0).then(|| "another request's answer".to_owned()))
     }
 
     /// Returns how many callers were told an outcome by the claim protocol itself.
-    pub fn told_by_claims(&self, outcome: Outcome) -> usize {
-        self.told
+    pub fn claim_replies(&self, outcome: Outcome) -> usize {
+        self.replies
             .iter()
-            .filter(|told| told.code.outcome() == outcome)
-            .filter(|told| {
+            .filter(|reply| reply.code.outcome() == outcome)
+            .filter(|reply| {
                 !matches!(
-                    told.code,
+                    reply.code,
                     ResultCode::AnswerLost | ResultCode::AnswerTimeout
                 )
             })
@@ -75,21 +75,23 @@
     fn too_many_attempts(&self) -> Option<String> {
         self.dispatched
             .iter()
-            .find(|(_, count)| **count > MOST_ATTEMPTS_OF_KEY)
+            .find(|(_, count)| **count > MAX_ATTEMPTS_OF_KEY)
             .map(|(key, count)| format!("{count} attempts: {key:?}"))
     }
 
     /// "Not run" is untrue if the request itself ever ran, or the same work under its key before.
-    fn untruthful(&self) -> Option<String> {
-        self.told
+    fn false_not_run(&self) -> Option<String> {
+        self.replies
             .iter()
-            .filter(|told| told.code.outcome() == Outcome::NotRun)
-            .find_map(|told| {
+            .filter(|reply| reply.code.outcome() == Outcome::NotRun)
+            .find_map(|reply| {
                 let execution = self.executions.iter().find(|execution| {
-                    let own = execution.attempt.call == told.call;
-                    own || execution.keyed == told.keyed && execution.at < told.at
+                    let same_call = execution.attempt.call == reply.call;
+                    same_call || execution.keyed == reply.keyed && execution.at < reply.at
                 })?;
-                Some(format!("told not-run: {told:?} but ran: {execution:?}"))
+                Some(format!(
+                    "reported as not run: {reply:?}, but ran: {execution:?}"
+                ))
             })
     }
 }
--- a/crates/rillgap-core/tests/claim_explore/world.rs
+++ b/crates/rillgap-core/tests/claim_explore/world.rs
@@ -19,24 +19,24 @@
 
 use crate::data_path::{Call, Dispatch};
 use crate::membership::{LEASE_MICROS, ModelMembership};
+use crate::oracle::Oracle;
 use crate::random::Draws;
-use crate::truth::Truth;
 
 pub const MILLI: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
 pub const KEY_LIFE_SECONDS: u64 = 10;
 pub const EXTRA_ATTEMPTS: u8 = 2;
 const EPOCH_MILLIS: u64 = 1_700_000_000_000;
-const MOST_EVENTS: usize = 200_000;
+const MAX_EVENTS: usize = 200_000;
 
 /// What may go wrong in a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub struct FaultPlan {
     pub drop_percent: u64,
     pub late_percent: u64,
     pub restarts: u64,
-    pub freezes: u64,
-    pub cuts: u64,
+    pub pauses: u64,
+    pub link_failures: u64,
     pub departures: u64,
     /// Chance that a node misses a change of views for good.
     pub missed_view_percent: u64,
@@ -48,7 +48,7 @@
     pub name: NodeName,
     zone: ZoneName,
     wall_offset_millis: u64,
-    frozen_until: u64,
+    paused_until: u64,
     pub incarnation: Incarnation,
     pub claims: Claims,
     pub guard: DispatchGuard,
@@ -82,8 +82,8 @@
     Wake,
     Request(KeyedAttempt),
     Deadline(AttemptId),
-    GateStart(usize, Dispatch),
-    GateEnd(usize, Dispatch),
+    GuardStart(usize, Dispatch),
+    GuardEnd(usize, Dispatch),
     Adopt(usize),
     Activate(usize),
 }
@@ -92,10 +92,10 @@
 enum Event {
     /// At a host, in one run of its node if one is named.
     Host(usize, Option<Incarnation>, HostEvent),
-    Freeze(usize, u64),
+    Pause(usize, u64),
     Restart(usize),
-    Cut(usize, usize, u64),
-    Depart(usize),
+    LinkFailure(usize, usize, u64),
+    ToggleMembership(usize),
     Propose,
 }
 
@@ -103,10 +103,10 @@
     pub time: u64,
     pub draws: Draws,
     pub hosts: Vec<Host>,
-    pub truth: Truth,
-    weather: Weather,
+    pub oracle: Oracle,
+    fault_plan: FaultPlan,
     faults: ClaimFaults,
-    cut_until: BTreeMap<(usize, usize), u64>,
+    link_down_until: BTreeMap<(usize, usize), u64>,
     views: Vec<Arc<View>>,
     departed: Vec<bool>,
     events: BTreeMap<(u64, u64), Event>,
@@ -118,17 +118,17 @@
         seed: u64,
         hosts: usize,
         zones: usize,
-        weather: Weather,
+        fault_plan: FaultPlan,
         faults: ClaimFaults,
     ) -> Self {
         let mut world = Self {
             time: 0,
             draws: Draws::new(seed),
             hosts: Vec::new(),
-            truth: Truth::default(),
-            weather,
+            oracle: Oracle::default(),
+            fault_plan,
             faults,
-            cut_until: BTreeMap::new(),
+            link_down_until: BTreeMap::new(),
             views: vec![Arc::new(View::default())],
             departed: vec![false; hosts],
             events: BTreeMap::new(),
@@ -140,21 +140,21 @@
         }
         let view = world.view_of_hosts();
         for host in &mut world.hosts {
-            host.membership = ModelMembership::founder(Arc::clone(&view));
+            host.membership = ModelMembership::with_active_view(Arc::clone(&view));
         }
         world.views.push(view);
-        world.draw_weather();
+        world.schedule_faults();
         world
     }
 
-    /// Runs until nothing is left to happen.
+    /// Runs until nothing is left to handle.
     pub fn run(&mut self) {
-        for _ in 0..MOST_EVENTS {
+        for _ in 0..MAX_EVENTS {
             let Some(((time, _), event)) = self.events.pop_first() else {
                 return;
             };
             self.time = time;
-            self.happen(event);
+            self.handle(event);
         }
         panic!("the run does not end");
     }
@@ -173,16 +173,16 @@
     }
 
     pub fn at_host(&mut self, host: usize, delay: u64, event: HostEvent) {
-        let run = Some(self.hosts[host].incarnation);
-        self.push(self.time + delay, Event::Host(host, run, event));
+        let incarnation = Some(self.hosts[host].incarnation);
+        self.push(self.time + delay, Event::Host(host, incarnation, event));
     }
 
     pub fn request(&mut self, host: usize, time: u64, keyed: KeyedAttempt) {
         self.push(time, Event::Host(host, None, HostEvent::Request(keyed)));
     }
 
-    pub fn freeze(&mut self, host: usize, length: u64) {
-        self.push(self.time, Event::Freeze(host, length));
+    pub fn pause(&mut self, host: usize, length: u64) {
+        self.push(self.time, Event::Pause(host, length));
     }
 
     pub fn restart_at(&mut self, host: usize, time: u64) {
@@ -190,11 +190,11 @@
     }
 
     pub fn send(&mut self, from: usize, to: usize, payload: Payload) {
-        let cut_until = self.cut_until.get(&(from, to)).copied().unwrap_or(0);
-        if self.time < cut_until || self.draws.percent(self.weather.drop_percent) {
+        let link_down_until = self.link_down_until.get(&(from, to)).copied().unwrap_or(0);
+        if self.time < link_down_until || self.draws.percent(self.fault_plan.drop_percent) {
             return;
         }
-        let late = self.draws.percent(self.weather.late_percent);
+        let late = self.draws.percent(self.fault_plan.late_percent);
         let longest = if late { 3 * SECOND } else { 3 * MILLI };
         let delay = self.draws.within(300..longest);
         let deliver = HostEvent::Deliver(from, payload);
@@ -207,7 +207,7 @@
     }
 
     /// Lets a node do what is due, and sends what it has to say.
-    pub fn settle(&mut self, host: usize, mut out: Outbox) {
+    pub fn poll_host(&mut self, host: usize, mut out: Outbox) {
         let now = self.now(host);
         let node = &mut self.hosts[host];
         node.claims
@@ -237,15 +237,15 @@
         self.events.insert((time, self.next_event), event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Host(host, run, event) => self.happen_at(host, run, event),
-            Event::Freeze(host, length) => self.hosts[host].frozen_until = self.time + length,
+            Event::Host(host, incarnation, event) => self.handle_at_host(host, incarnation, event),
+            Event::Pause(host, length) => self.hosts[host].paused_until = self.time + length,
             Event::Restart(host) => self.restart(host),
-            Event::Cut(from, to, length) => {
-                self.cut_until.insert((from, to), self.time + length);
+            Event::LinkFailure(from, to, length) => {
+                self.link_down_until.insert((from, to), self.time + length);
             }
-            Event::Depart(host) => {
+            Event::ToggleMembership(host) => {
                 self.departed[host] = !self.departed[host];
                 self.push(self.time + 1, Event::Propose);
             }
@@ -253,13 +253,13 @@
         }
     }
 
-    fn happen_at(&mut self, host: usize, run: Option<Incarnation>, event: HostEvent) {
-        if run.is_some_and(|run| run != self.hosts[host].incarnation) {
+    fn handle_at_host(&mut self, host: usize, incarnation: Option<Incarnation>, event: HostEvent) {
+        if incarnation.is_some_and(|incarnation| incarnation != self.hosts[host].incarnation) {
             return;
         }
-        let frozen_until = self.hosts[host].frozen_until;
-        if self.time < frozen_until {
-            self.push(frozen_until, Event::Host(host, run, event));
+        let paused_until = self.hosts[host].paused_until;
+        if self.time < paused_until {
+            self.push(paused_until, Event::Host(host, incarnation, event));
             return;
         }
         let now = self.now(host);
@@ -285,9 +285,9 @@
                     &mut node.guard,
                     &mut out,
                 );
-                self.settle(host, out);
+                self.poll_host(host, out);
             }
-            HostEvent::Wake => self.settle(host, Outbox::new()),
+            HostEvent::Wake => self.poll_host(host, Outbox::new()),
             event => self.on_data_path(host, event),
         }
     }
@@ -297,25 +297,25 @@
         Host {
             zone: ZoneName::new(format!("zone-{}", index % zones)),
             wall_offset_millis: self.draws.within(0..2_000),
-            frozen_until: 0,
+            paused_until: 0,
             incarnation: Incarnation(0),
-            claims: self.fresh_claims(&name, Incarnation(0)),
-            guard: self.fresh_guard(),
-            membership: ModelMembership::newcomer(Arc::default()),
+            claims: self.new_claims(&name, Incarnation(0)),
+            guard: self.new_guard(),
+            membership: ModelMembership::without_history(Arc::default()),
             calls: BTreeMap::new(),
             next_call: 0,
             name,
         }
     }
 
-    fn fresh_claims(&self, name: &NodeName, incarnation: Incarnation) -> Claims {
+    fn new_claims(&self, name: &NodeName, incarnation: Incarnation) -> Claims {
         let mut claims = Claims::new(name.id(), incarnation);
         claims.configure(&bounds());
         claims.plant(self.faults);
         claims
     }
 
-    fn fresh_guard(&self) -> DispatchGuard {
+    fn new_guard(&self) -> DispatchGuard {
         let mut guard = DispatchGuard::default();
         guard.configure(&bounds());
         guard.plant(self.faults);
@@ -326,16 +326,16 @@
     fn restart(&mut self, host: usize) {
         let incarnation = Incarnation(self.hosts[host].incarnation.0 + 1);
         let name = self.hosts[host].name.clone();
-        let claims = self.fresh_claims(&name, incarnation);
-        let guard = self.fresh_guard();
+        let claims = self.new_claims(&name, incarnation);
+        let guard = self.new_guard();
         let view = Arc::clone(self.views.last().expect("a view"));
         let node = &mut self.hosts[host];
         node.incarnation = incarnation;
         node.claims = claims;
         node.guard = guard;
-        node.membership = ModelMembership::newcomer(view);
+        node.membership = ModelMembership::without_history(view);
         node.calls.clear();
-        node.frozen_until = 0;
+        node.paused_until = 0;
         self.push(self.time + 20 * MILLI, Event::Propose);
     }
 
@@ -350,10 +350,10 @@
         let lease_ends = self.time + LEASE_MICROS;
         for host in 0..self.hosts.len() {
             let membership = &mut self.hosts[host].membership;
-            membership.superseded(Instant::from_micros(lease_ends));
+            membership.on_superseded(Instant::from_micros(lease_ends));
             let adopted_after = self.draws.within(0..300 * MILLI);
             let activated_after = LEASE_MICROS + self.draws.within(0..200 * MILLI);
-            if !self.draws.percent(self.weather.missed_view_percent) {
+            if !self.draws.percent(self.fault_plan.missed_view_percent) {
                 self.at_host(host, adopted_after, HostEvent::Adopt(version));
                 self.at_host(host, activated_after, HostEvent::Activate(version));
             }
@@ -383,36 +383,36 @@
         })
     }
 
-    fn draw_weather(&mut self) {
-        let Weather {
+    fn schedule_faults(&mut self) {
+        let FaultPlan {
             restarts,
-            freezes,
-            cuts,
+            pauses,
+            link_failures,
             departures,
             ..
-        } = self.weather;
+        } = self.fault_plan;
         let count = self.hosts.len();
         for _ in 0..restarts {
             let (time, host) = (self.draw_time(), self.draws.index(count));
             self.push(time, Event::Restart(host));
         }
-        for _ in 0..freezes {
+        for _ in 0..pauses {
             let (time, host) = (self.draw_time(), self.draws.index(count));
             let length = self.draws.within(50 * MILLI..4 * SECOND);
-            self.push(time, Event::Freeze(host, length));
+            self.push(time, Event::Pause(host, length));
         }
-        for _ in 0..cuts {
+        for _ in 0..link_failures {
             let (time, length) = (self.draw_time(), self.draws.within(MILLI..5 * SECOND));
             let (from, to) = (self.draws.index(count), self.draws.index(count));
-            self.push(time, Event::Cut(from, to, length));
+            self.push(time, Event::LinkFailure(from, to, length));
             if self.draws.percent(50) {
-                self.push(time, Event::Cut(to, from, length));
+                self.push(time, Event::LinkFailure(to, from, length));
             }
         }
         for _ in 0..departures {
             let (time, host) = (self.draw_time(), self.draws.index(count));
-            self.push(time, Event::Depart(host));
-            self.push(time + 3 * SECOND, Event::Depart(host));
+            self.push(time, Event::ToggleMembership(host));
+            self.push(time + 3 * SECOND, Event::ToggleMembership(host));
         }
     }
 
@@ -420,8 +420,8 @@
         self.draws.within(5 * SECOND..20 * SECOND)
     }
 
-    pub fn tell(&mut self, call: &Call, code: ResultCode) {
-        self.truth.told.push(crate::truth::Told {
+    pub fn reply(&mut self, call: &Call, code: ResultCode) {
+        self.oracle.replies.push(crate::oracle::Reply {
             keyed: call.keyed,
             call: call.id,
             code,
--- a/crates/rillgap-core/tests/claim_rules.rs
+++ b/crates/rillgap-core/tests/claim_rules.rs
@@ -9,7 +9,7 @@
 use rillgap_core::action::{Action, Outbox};
 use rillgap_core::claim::message::{Gate, KeyHolder, Round, Vote, VoteReply};
 use rillgap_core::claim::settings::{
-    CLOCK_SKEW, LONGEST_ANSWER, MOST_ANSWER_BYTES, MOST_GUARDED_KEYS, UNCHARGED_ATTEMPTS,
+    MAX_ANSWER_BYTES, MAX_ANSWER_STORE_BYTES, MAX_CLOCK_SKEW, MAX_GUARDED_KEYS, UNCHARGED_ATTEMPTS,
 };
 use rillgap_core::claim::{
     ClaimFaults, ClaimMessage, ClaimRequest, ClaimResult, Claims, DispatchGuard, Electorate,
@@ -29,14 +29,14 @@
 use rillgap_core::view::{Member, View};
 
 const START_MILLIS: u64 = 1_700_000_000_000;
-const RUN: Incarnation = Incarnation(0x9e37_79b9_7f4a_7c15);
+const INCARNATION: Incarnation = Incarnation(0x9e37_79b9_7f4a_7c15);
 
 /// A view that was agreed long ago.
-struct Settled {
+struct StaticMembership {
     history: Vec<ActivatedView>,
 }
 
-impl Settled {
+impl StaticMembership {
     fn new(nodes: usize, zones: usize) -> Self {
         let mut members: Vec<Arc<Member>> = (0..nodes)
             .map(|index| {
@@ -44,7 +44,7 @@
                     name: NodeName::new(format!("node-{index}")),
                     zone: ZoneName::new(format!("zone-{}", index % zones)),
                     region: RegionName::new("region"),
-                    incarnation: RUN,
+                    incarnation: INCARNATION,
                     mesh_address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
                 })
             })
@@ -61,7 +61,7 @@
     }
 }
 
-impl Electorate for Settled {
+impl Electorate for StaticMembership {
     fn view(&self) -> &Arc<View> {
         &self.history[0].view
     }
@@ -102,7 +102,7 @@
     AttemptId {
         call: CallId {
             node: NodeId::from_name("entry"),
-            incarnation: RUN,
+            incarnation: INCARNATION,
             sequence,
         },
         number: 0,
@@ -115,7 +115,7 @@
         keyed: keyed(0),
         target: Target {
             node: target,
-            incarnation: RUN,
+            incarnation: INCARNATION,
             address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
             back_end: BackEndName::new("back-end"),
         },
@@ -133,7 +133,7 @@
     }
 }
 
-fn vote(claims: &mut Claims, from: NodeId, round: u16, vote: Vote, membership: &Settled) {
+fn vote(claims: &mut Claims, from: NodeId, round: u16, vote: Vote, membership: &StaticMembership) {
     let reply = VoteReply {
         attempt: attempt(1),
         round: Round(round),
@@ -149,7 +149,7 @@
 
 #[gtest]
 fn replicas_are_in_different_zones() {
-    let membership = Settled::new(12, 4);
+    let membership = StaticMembership::new(12, 4);
     for number in 0..1_000 {
         let group = replica_group(membership.view(), key(number));
         let zones: BTreeSet<&ZoneName> = group
@@ -163,7 +163,7 @@
 
 #[gtest]
 fn a_lost_zone_leaves_the_other_replicas_in_the_group() {
-    let membership = Settled::new(9, 3);
+    let membership = StaticMembership::new(9, 3);
     let whole = membership.view();
     let mut rest = View::clone(whole);
     rest.members
@@ -179,7 +179,7 @@
 #[gtest]
 fn groups_are_odd() {
     let sizes: Vec<usize> = (0..6)
-        .map(|nodes| replica_group(Settled::new(nodes, 2).view(), key(0)).len())
+        .map(|nodes| replica_group(StaticMembership::new(nodes, 2).view(), key(0)).len())
         .collect();
     expect_that!(sizes, eq(&vec![0, 1, 1, 3, 3, 3]));
 }
@@ -217,7 +217,7 @@
 #[gtest]
 fn full_guard_refuses_rather_than_forgets() {
     let mut guard = DispatchGuard::default();
-    for number in 0..MOST_GUARDED_KEYS as u64 {
+    for number in 0..MAX_GUARDED_KEYS as u64 {
         guard.start(start(), attempt(number), keyed(number));
     }
     let unknown = guard.start(start(), attempt(0), keyed(u64::MAX));
@@ -228,11 +228,11 @@
 
 #[gtest]
 fn forgotten_key_is_never_started() {
-    let life = Bounds::default().key_life() + 2 * CLOCK_SKEW;
+    let life = Bounds::default().key_life() + 2 * MAX_CLOCK_SKEW;
     let mut guard = DispatchGuard::default();
     guard.start(start(), attempt(1), keyed(0));
     let remembered = guard.start(at(life), attempt(2), keyed(0));
-    let forgotten = guard.start(at(life + CLOCK_SKEW), attempt(3), keyed(0));
+    let forgotten = guard.start(at(life + MAX_CLOCK_SKEW), attempt(3), keyed(0));
     expect_that!(remembered, eq(&GuardVerdict::AlreadyStarted));
     expect_that!(forgotten, eq(&GuardVerdict::Barred));
     expect_true!(guard.is_empty());
@@ -241,22 +241,22 @@
 #[gtest]
 fn guard_keeps_answers_within_its_bound() {
     let mut guard = DispatchGuard::default();
-    for number in 0..2 * (MOST_ANSWER_BYTES / LONGEST_ANSWER) as u64 {
+    for number in 0..2 * (MAX_ANSWER_STORE_BYTES / MAX_ANSWER_BYTES) as u64 {
         guard.start(start(), attempt(number), keyed(number));
-        guard.complete(start(), key(number), Some(answer(LONGEST_ANSWER)));
+        guard.complete(start(), key(number), Some(answer(MAX_ANSWER_BYTES)));
     }
-    expect_that!(guard.answer_bytes(), eq(MOST_ANSWER_BYTES));
+    expect_that!(guard.answer_bytes(), eq(MAX_ANSWER_STORE_BYTES));
     guard.start(start(), attempt(0), keyed(u64::MAX));
-    guard.complete(start(), key(u64::MAX), Some(answer(LONGEST_ANSWER + 1)));
-    expect_that!(guard.answer_bytes(), eq(MOST_ANSWER_BYTES));
+    guard.complete(start(), key(u64::MAX), Some(answer(MAX_ANSWER_BYTES + 1)));
+    expect_that!(guard.answer_bytes(), eq(MAX_ANSWER_STORE_BYTES));
 }
 
 /// Two replicas are held by others in the first round, and the third one's vote is late. It
 /// arrives in the second round, when that vote was given back and may be another attempt's.
 fn granted_by_a_late_vote(faults: ClaimFaults) -> bool {
-    let membership = Settled::new(3, 3);
+    let membership = StaticMembership::new(3, 3);
     let group = replica_group(membership.view(), key(0));
-    let mut claims = Claims::new(NodeId(9), RUN);
+    let mut claims = Claims::new(NodeId(9), INCARNATION);
     claims.plant(faults);
     claims.acquire(
         start(),
@@ -269,7 +269,7 @@
             attempt: attempt(sequence),
             gate: Gate {
                 node: group[0],
-                incarnation: RUN,
+                incarnation: INCARNATION,
             },
             protected: true,
             completed: false,
@@ -293,9 +293,9 @@
 
 #[gtest]
 fn repeats_of_a_key_draw_on_one_budget() {
-    let membership = Settled::new(1, 1);
+    let membership = StaticMembership::new(1, 1);
     let node = membership.view().members[0].id();
-    let mut claims = Claims::new(node, RUN);
+    let mut claims = Claims::new(node, INCARNATION);
     let mut results = Vec::new();
     let most = 1 + usize::from(Bounds::default().extra_attempts) + UNCHARGED_ATTEMPTS;
     for sequence in 0..=most as u64 {
@@ -324,7 +324,7 @@
 /// Messages and bytes that one request costs whose entry node is no replica of its key.
 #[gtest]
 fn cost_of_a_claim() {
-    let membership = Settled::new(4, 4);
+    let membership = StaticMembership::new(4, 4);
     let group = replica_group(membership.view(), key(0));
     let outsider = membership
         .view()
@@ -333,7 +333,7 @@
         .map(|member| member.id())
         .find(|node| !group.contains(node));
     let entry = outsider.expect("a fourth node");
-    let mut claims = Claims::new(entry, RUN);
+    let mut claims = Claims::new(entry, INCARNATION);
     let mut guard = DispatchGuard::default();
     let (mut messages, mut bytes) = (0, 0);
     let mut out = Outbox::new();
@@ -341,7 +341,7 @@
     let mut votes = Vec::new();
     for (to, message) in sent(out) {
         (messages, bytes) = (messages + 1, bytes + size_of_message(&message));
-        let mut replica = Claims::new(to, RUN);
+        let mut replica = Claims::new(to, INCARNATION);
         let mut replies = Outbox::new();
         let PeerMessage::Claim(message) = message else {
             continue;
