--- a/crates/rillgap-core/examples/claim_cost.rs
+++ b/crates/rillgap-core/examples/claim_cost.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use rillgap_core::claim::electorate::Voter;
-use rillgap_core::claim::message::{Claim, Gate, Round};
+use rillgap_core::claim::message::{Claim, GuardId, Round};
 use rillgap_core::claim::replica::Replica;
 use rillgap_core::claim::settings::ClaimSettings;
 use rillgap_core::claim::{Electorate, replica_group};
@@ -92,7 +92,7 @@
             number: 0,
         },
         round: Round(1),
-        gate: Gate {
+        guard: GuardId {
             node: group[0],
             incarnation: RUN,
         },
--- a/crates/rillgap-core/src/claim/claimant/guard_query.rs
+++ b/crates/rillgap-core/src/claim/claimant/guard_query.rs
@@ -49,7 +49,7 @@
         holder: KeyHolder,
         electorate: &dyn Electorate,
     ) {
-        if electorate.address(holder.gate.node).is_none() {
+        if electorate.address(holder.guard.node).is_none() {
             self.refuse(attempt, ResultCode::AnswerLost);
             return;
         }
@@ -74,11 +74,11 @@
             key: pending.request.keyed.key,
             fingerprint: pending.request.keyed.fingerprint,
             holder: holder.attempt,
-            incarnation: holder.gate.incarnation,
+            incarnation: holder.guard.incarnation,
             bar: !holder.protected && !holder.completed,
             claimant: attempt,
         };
-        let to = holder.gate.node;
+        let to = holder.guard.node;
         let wake = (now.instant + GUARD_RESEND_INTERVAL).min(*ends);
         self.send(to, ClaimMessage::GuardQuery(query));
         self.schedule_timer(attempt, wake);
--- a/crates/rillgap-core/src/claim/claimant/pending.rs
+++ b/crates/rillgap-core/src/claim/claimant/pending.rs
@@ -6,7 +6,7 @@
 
 use super::tally::Tally;
 use crate::claim::ClaimRequest;
-use crate::claim::message::{Claim, Gate, KeyHolder, Round};
+use crate::claim::message::{Claim, GuardId, KeyHolder, Round};
 use crate::claim::settings::{BASE_BACKOFF, PROTECTION_GRACE};
 use crate::id::{AttemptId, NodeId};
 use crate::time::{Instant, Now, micros};
@@ -77,7 +77,7 @@
             key: self.request.keyed.key,
             attempt: self.request.attempt,
             round: self.round,
-            gate: Gate {
+            guard: GuardId {
                 node: self.request.target.node,
                 incarnation: self.request.target.incarnation,
             },
--- a/crates/rillgap-core/src/claim/claims.rs
+++ b/crates/rillgap-core/src/claim/claims.rs
@@ -48,7 +48,7 @@
     }
 
     /// Plants faults, to prove that tests and observers catch them.
-    pub const fn plant(&mut self, faults: ClaimFaults) {
+    pub const fn inject_faults(&mut self, faults: ClaimFaults) {
         self.settings.faults = faults;
     }
 
--- a/crates/rillgap-core/src/claim/message.rs
+++ b/crates/rillgap-core/src/claim/message.rs
@@ -29,7 +29,7 @@
 
 /// The run of the node beside a back end that alone may start an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Gate {
+pub struct GuardId {
     /// The node.
     pub node: NodeId,
     /// Its run.
@@ -58,7 +58,7 @@
     /// Round of the attempt.
     pub round: Round,
     /// Where the attempt would run.
-    pub gate: Gate,
+    pub guard: GuardId,
     /// Replica group by the claimant's view, best first.
     pub group: Vec<NodeId>,
     /// Microseconds during which nobody may bar the attempt.
@@ -102,7 +102,7 @@
     /// The attempt.
     pub attempt: AttemptId,
     /// Where it may run.
-    pub gate: Gate,
+    pub guard: GuardId,
     /// Whether its caller may still be told that it was not run, so that it must not be barred.
     pub protected: bool,
     /// Whether it is known to have completed.
--- a/crates/rillgap-core/src/claim/replica.rs
+++ b/crates/rillgap-core/src/claim/replica.rs
@@ -5,7 +5,7 @@
 
 use crate::claim::electorate::{Electorate, Voter};
 use crate::claim::message::{
-    AbstainReason, Claim, Gate, KeyHolder, Release, Round, Vote, VoteReply,
+    AbstainReason, Claim, GuardId, KeyHolder, Release, Round, Vote, VoteReply,
 };
 use crate::claim::settings::{ClaimSettings, MAX_DEAD_ATTEMPTS, MAX_REPLICA_KEYS};
 use crate::id::{AttemptId, IdempotencyKey};
@@ -33,7 +33,7 @@
 struct Holder {
     attempt: AttemptId,
     round: Round,
-    gate: Gate,
+    guard: GuardId,
     protected_until: Instant,
     completed: bool,
 }
@@ -157,7 +157,7 @@
             return Err(AbstainReason::Full);
         }
         match self.voter.check(now, claim.key, &claim.group, electorate) {
-            Err(AbstainReason::NotEligible) if settings.faults.ignore_vote_standing => Ok(()),
+            Err(AbstainReason::NotEligible) if settings.faults.ignore_voter_eligibility => Ok(()),
             checked => checked,
         }
     }
@@ -175,7 +175,7 @@
                 *holder = Some(Holder {
                     attempt: claim.attempt,
                     round: claim.round,
-                    gate: claim.gate,
+                    guard: claim.guard,
                     protected_until,
                     completed: false,
                 });
@@ -250,7 +250,7 @@
     fn to_key_holder(&self, now: Now, electorate: &dyn Electorate) -> KeyHolder {
         KeyHolder {
             attempt: self.attempt,
-            gate: self.gate,
+            guard: self.guard,
             protected: now.instant < self.protected_until
                 && !self.claimant_was_replaced(electorate),
             completed: self.completed,
--- a/crates/rillgap-core/src/claim/settings.rs
+++ b/crates/rillgap-core/src/claim/settings.rs
@@ -121,7 +121,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClaimFaults {
     /// Replicas vote on keys that are older than their membership of the group.
-    pub ignore_vote_standing: bool,
+    pub ignore_voter_eligibility: bool,
     /// Replicas grant a key that another attempt holds.
     pub ignore_holder: bool,
     /// Replicas let a holder be barred while its caller may still be told 'not run'.
--- a/crates/rillgap-core/src/node.rs
+++ b/crates/rillgap-core/src/node.rs
@@ -198,8 +198,8 @@
 
     /// Plants faults in the claim protocol, to prove that an observer catches them.
     pub fn plant_claim_faults(&mut self, faults: ClaimFaults) {
-        self.claims.plant(faults);
-        self.call_path.guard_mut().plant(faults);
+        self.claims.inject_faults(faults);
+        self.call_path.guard_mut().inject_faults(faults);
     }
 
     /// Returns what claims have cost since the start of the node.
--- a/crates/rillgap-core/tests/claim_explore/main.rs
+++ b/crates/rillgap-core/tests/claim_explore/main.rs
@@ -103,7 +103,7 @@
 #[gtest]
 fn voting_without_standing_is_caught() {
     expect_true!(is_detected(ClaimFaults {
-        ignore_vote_standing: true,
+        ignore_voter_eligibility: true,
         ..ClaimFaults::default()
     }));
 }
--- a/crates/rillgap-core/tests/claim_explore/world.rs
+++ b/crates/rillgap-core/tests/claim_explore/world.rs
@@ -311,14 +311,14 @@
     fn new_claims(&self, name: &NodeName, incarnation: Incarnation) -> Claims {
         let mut claims = Claims::new(name.id(), incarnation);
         claims.configure(&bounds());
-        claims.plant(self.faults);
+        claims.inject_faults(self.faults);
         claims
     }
 
     fn new_guard(&self) -> DispatchGuard {
         let mut guard = DispatchGuard::default();
         guard.configure(&bounds());
-        guard.plant(self.faults);
+        guard.inject_faults(self.faults);
         guard
     }
 
--- a/crates/rillgap-core/tests/claim_rules.rs
+++ b/crates/rillgap-core/tests/claim_rules.rs
@@ -7,7 +7,7 @@
 
 use googletest::prelude::*;
 use rillgap_core::action::{Action, Outbox};
-use rillgap_core::claim::message::{Gate, KeyHolder, Round, Vote, VoteReply};
+use rillgap_core::claim::message::{GuardId, KeyHolder, Round, Vote, VoteReply};
 use rillgap_core::claim::settings::{
     MAX_ANSWER_BYTES, MAX_ANSWER_STORE_BYTES, MAX_CLOCK_SKEW, MAX_GUARDED_KEYS, UNCHARGED_ATTEMPTS,
 };
@@ -257,7 +257,7 @@
     let membership = StaticMembership::new(3, 3);
     let group = replica_group(membership.view(), key(0));
     let mut claims = Claims::new(NodeId(9), INCARNATION);
-    claims.plant(faults);
+    claims.inject_faults(faults);
     claims.acquire(
         start(),
         request(1, group[0]),
@@ -267,7 +267,7 @@
     for (sequence, replica) in [(2, group[1]), (3, group[2])] {
         let holder = KeyHolder {
             attempt: attempt(sequence),
-            gate: Gate {
+            guard: GuardId {
                 node: group[0],
                 incarnation: INCARNATION,
             },
--- a/crates/rillgap-lab/tests/proofs/at_most_once.rs
+++ b/crates/rillgap-lab/tests/proofs/at_most_once.rs
@@ -155,7 +155,7 @@
 #[gtest]
 fn votes_without_standing_are_caught() -> Result<()> {
     let faults = ClaimFaults {
-        ignore_vote_standing: true,
+        ignore_voter_eligibility: true,
         ..ClaimFaults::default()
     };
     let replicas = ["logbok", "takst", "oppgjor"]
