--- a/crates/rillgap-core/src/claim/answer.rs
+++ b/crates/rillgap-core/src/claim/answer.rs
@@ -1,20 +1,20 @@
-//! Answers that are kept for repeats of their key.
+//! Defines the answer that is stored for retries with the same idempotency key.
 
 use bitcode::{Decode, Encode};
 
 use crate::request::AnswerHead;
 
-/// A whole answer that repeats of its key are given.
+/// A complete answer, returned again to retries with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RememberedAnswer {
     /// Status and headers.
     pub head: AnswerHead,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
 impl RememberedAnswer {
-    /// Returns the bytes of headers and body.
+    /// Returns the size of headers and body in bytes, without the status.
     pub fn bytes(&self) -> usize {
         let headers: usize = self
             .head
--- a/crates/rillgap-core/src/claim/claimant/guard_query.rs
+++ b/crates/rillgap-core/src/claim/claimant/guard_query.rs
@@ -1,4 +1,4 @@
-//! Questions to the gate of the attempt that holds a key.
+//! Queries the dispatch guard of the attempt that holds a key.
 
 use super::Claimant;
 use super::pending::Stage;
@@ -11,26 +11,26 @@
 use crate::time::Now;
 
 impl Claimant {
-    /// Handles what a gate says of the holder of a key.
-    pub fn on_guard_reply(&mut self, now: Now, answer: GuardReply, electorate: &dyn Electorate) {
-        let Some(pending) = self.pending.get_mut(&answer.claimant) else {
+    /// Handles the reply of a guard about the holder of a key.
+    pub fn on_guard_reply(&mut self, now: Now, reply: GuardReply, electorate: &dyn Electorate) {
+        let Some(pending) = self.pending.get_mut(&reply.claimant) else {
             return;
         };
         let Stage::QueryingGuard { holder, .. } = &pending.stage else {
             return;
         };
-        if holder.attempt != answer.holder {
+        if holder.attempt != reply.holder {
             return;
         }
         let completed = holder.completed;
-        let code = match answer.state {
+        let code = match reply.state {
             KeyState::Barred => {
-                pending.barred = Some(answer.holder);
-                self.begin_round(now, answer.claimant, electorate);
+                pending.barred = Some(reply.holder);
+                self.begin_round(now, reply.claimant, electorate);
                 return;
             }
             KeyState::Completed(remembered) => {
-                self.finish(answer.claimant, ClaimResult::Completed(remembered));
+                self.finish(reply.claimant, ClaimResult::Completed(remembered));
                 return;
             }
             KeyState::NotStarted | KeyState::Running | KeyState::Full => ResultCode::InProgress,
@@ -39,7 +39,7 @@
             KeyState::OtherIncarnation | KeyState::Failed => ResultCode::ResultLost,
             KeyState::OtherRequest => ResultCode::KeyReused,
         };
-        self.refuse(answer.claimant, code);
+        self.refuse(reply.claimant, code);
     }
 
     pub(super) fn query_guard(
--- a/crates/rillgap-core/src/claim/claimant/mod.rs
+++ b/crates/rillgap-core/src/claim/claimant/mod.rs
@@ -1,4 +1,4 @@
-//! Claimant side of claims: gathers a majority, and asks the holder's gate when it can't.
+//! Claimant side of claims: collects votes, and queries the holder's guard without a majority.
 
 mod guard_query;
 mod pending;
@@ -18,16 +18,16 @@
 
 use pending::{PendingClaim, Stage};
 
-/// A message on its way to a node, which may be this one.
+/// Message to be sent to a node, which may be this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     /// Receiver.
     pub to: NodeId,
-    /// The message.
+    /// Message to send.
     pub message: ClaimMessage,
 }
 
-/// Claims that this node's data path has asked for.
+/// Claims that the data path of this node has requested.
 #[derive(Debug, Default)]
 pub struct Claimant {
     pending: BTreeMap<AttemptId, PendingClaim>,
@@ -37,7 +37,7 @@
     outgoing: VecDeque<Outgoing>,
 }
 
-/// A claim that was granted and not yet given back or ended.
+/// Claim that was granted and not yet released or ended.
 #[derive(Debug)]
 struct HeldClaim {
     key: IdempotencyKey,
@@ -46,7 +46,7 @@
 }
 
 impl Claimant {
-    /// Begins to ask for a claim, which replaces that of a refused attempt if one is given.
+    /// Starts to request a claim, which takes over the claim of the refused attempt `replaces`.
     pub fn acquire(
         &mut self,
         now: Now,
@@ -67,7 +67,7 @@
         self.begin_round(now, attempt, electorate);
     }
 
-    /// Gives a claim back.
+    /// Releases a claim, whether it is granted or pending.
     pub fn release(&mut self, attempt: AttemptId) {
         if let Some(held) = self.held.remove(&attempt) {
             let release = Release {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Tells the replicas that a claimed attempt has completed.
+    /// Reports to the replicas that a claimed attempt has completed.
     pub fn complete(&mut self, attempt: AttemptId) {
         if let Some(held) = self.held.remove(&attempt) {
             let message = ClaimMessage::Complete {
@@ -95,19 +95,19 @@
         }
     }
 
-    /// Leaves a claim with its attempt for good.
+    /// Drops the local state of a claim; the replicas keep it granted.
     pub fn abandon(&mut self, attempt: AttemptId) {
         self.held.remove(&attempt);
     }
 
-    /// Returns whether a claim is held and nobody may have barred its attempt yet.
+    /// Returns whether an attempt holds a claim and cannot have been barred yet.
     pub fn holds(&self, now: Now, attempt: AttemptId) -> bool {
         self.held
             .get(&attempt)
             .is_some_and(|held| now.instant < held.protected_until)
     }
 
-    /// Does what is due.
+    /// Handles all timers that are due.
     pub fn poll(&mut self, now: Now, settings: &ClaimSettings, electorate: &dyn Electorate) {
         while let Some((due, attempt)) = self.timers.first().copied() {
             if due > now.instant {
@@ -118,17 +118,17 @@
         }
     }
 
-    /// Returns when [`Self::poll`] must be called next.
+    /// Returns when [`Self::poll`] must be called next; `None` if no claim is pending.
     pub fn next_wake(&self) -> Option<Instant> {
         self.timers.first().map(|(due, _)| *due)
     }
 
-    /// Takes the next event for the data path.
+    /// Removes and returns the next event for the data path.
     pub fn take_event(&mut self) -> Option<ClaimEvent> {
         self.events.pop_front()
     }
 
-    /// Takes the next message to be sent.
+    /// Removes and returns the next message to be sent.
     pub fn take_outgoing(&mut self) -> Option<Outgoing> {
         self.outgoing.pop_front()
     }
@@ -160,7 +160,8 @@
         }
     }
 
-    /// Ends a claim that was not won: nobody must be left waiting for its votes.
+    /// Ends a pending claim with a refusal, and releases its votes so that they block no other
+    /// claim.
     pub(super) fn refuse(&mut self, attempt: AttemptId, code: ResultCode) {
         self.finish(attempt, ClaimResult::Refused(refusal(code)));
     }
@@ -172,7 +173,8 @@
         }
     }
 
-    /// Gives back all that a claim may hold at replicas.
+    /// Sends releases for all votes that a claim may hold at replicas, including those of the
+    /// attempt that it replaces.
     fn send_releases(&mut self, pending: &PendingClaim) {
         self.send_release(pending, Round::LAST);
         if let Some(refused) = pending.replaces {
@@ -225,13 +227,13 @@
     }
 }
 
-/// Returns why a key may not be claimed because of its age.
+/// Returns the result code if the age of a key forbids a claim.
 fn refused_by_age(now: Now, key: IdempotencyKey, settings: &ClaimSettings) -> Option<ResultCode> {
     match settings.age(now, key) {
         KeyAge::Usable => None,
         KeyAge::TooOld => Some(ResultCode::KeyTooOld),
         KeyAge::FromFuture => Some(ResultCode::KeyFromFuture),
-        // No replica votes on it yet, and a node whose clock is ahead may have taken it.
+        // No replica votes on the key yet, and a node with a faster clock may have accepted it.
         KeyAge::Early => Some(ResultCode::NoQuorum),
     }
 }
--- a/crates/rillgap-core/src/claim/claimant/pending.rs
+++ b/crates/rillgap-core/src/claim/claimant/pending.rs
@@ -1,4 +1,4 @@
-//! A claim that is being asked for.
+//! State of a claim that is being requested.
 
 use std::time::Duration;
 
@@ -11,22 +11,22 @@
 use crate::id::{AttemptId, NodeId};
 use crate::time::{Instant, Now, micros};
 
-/// A claim that is being asked for.
+/// Claim that is being requested.
 #[derive(Debug)]
 pub struct PendingClaim {
-    /// What the data path asked for.
+    /// Request of the data path.
     pub request: ClaimRequest,
-    /// Refused attempt whose claim is moved to this one.
+    /// Refused attempt whose claim this one takes over; `None` if there is none.
     pub replaces: Option<AttemptId>,
-    /// Earlier holder of the key that its gate has barred.
+    /// Earlier holder of the key that its guard has barred; `None` if there is none.
     pub barred: Option<AttemptId>,
-    /// Current round; zero before the first.
+    /// Current round; 0 before the first.
     pub round: Round,
-    /// Replicas that are asked in this round.
+    /// Replicas that vote in this round.
     pub group: Vec<NodeId>,
-    /// What is waited for.
+    /// What the claim waits for.
     pub stage: Stage,
-    /// When the claim must be looked at again.
+    /// Time of the next timer.
     pub wake: Instant,
 }
 
@@ -35,24 +35,24 @@
 pub enum Stage {
     /// Votes of the replicas.
     Voting {
-        /// Votes that have come.
+        /// Votes received in this round.
         tally: Tally,
-        /// When the round ends.
+        /// Time at which the round ends.
         ends: Instant,
     },
-    /// The next round.
+    /// The end of the backoff before the next round.
     BackingOff,
-    /// What the gate of another attempt says.
+    /// The reply of the guard of the attempt that holds the key.
     QueryingGuard {
-        /// The attempt that holds the key.
+        /// Attempt that holds the key.
         holder: KeyHolder,
-        /// When the gate counts as unreachable.
+        /// Time at which the guard counts as unreachable.
         ends: Instant,
     },
 }
 
 impl PendingClaim {
-    /// Creates a claim for which nothing was sent yet.
+    /// Creates a claim for which no message was sent yet.
     pub const fn new(request: ClaimRequest, replaces: Option<AttemptId>) -> Self {
         Self {
             wake: request.deadline,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Returns until when nobody may bar the attempt.
+    /// Returns the time until which the attempt must not be barred.
     pub fn protected_until(&self) -> Instant {
         self.request.deadline + PROTECTION_GRACE
     }
 
-    /// Returns the message that asks a replica for its vote.
+    /// Returns the message that requests the vote of a replica.
     pub fn claim(&self, now: Now) -> Claim {
         let protected = self.protected_until().saturating_since(now.instant);
         Claim {
@@ -88,11 +88,11 @@
         }
     }
 
-    /// Returns the pause before the next round: drawn from the attempt's identifier, so that
-    /// racing claimants pause for different times.
+    /// Returns the backoff before the next round, derived from a hash of attempt and round, so that
+    /// racing claimants wait for different times.
     pub fn backoff(&self) -> Duration {
         let doublings = u32::from(self.round.0.min(8));
-        let longest = micros(BASE_BACKOFF) << doublings;
+        let max = micros(BASE_BACKOFF) << doublings;
         let mut hasher = Xxh3::new();
         let attempt = self.request.attempt;
         hasher.update(&attempt.call.node.0.to_le_bytes());
@@ -100,6 +100,6 @@
         hasher.update(&attempt.call.sequence.to_le_bytes());
         hasher.update(&attempt.number.to_le_bytes());
         hasher.update(&self.round.0.to_le_bytes());
-        Duration::from_micros(1 + hasher.digest() % longest)
+        Duration::from_micros(1 + hasher.digest() % max)
     }
 }
--- a/crates/rillgap-core/src/claim/claimant/tally.rs
+++ b/crates/rillgap-core/src/claim/claimant/tally.rs
@@ -1,4 +1,4 @@
-//! Counts the votes of one round and tells what they mean.
+//! Counts the votes of one round and evaluates them.
 
 use std::collections::BTreeSet;
 
@@ -11,38 +11,38 @@
     ballots: Vec<Ballot>,
 }
 
-/// One replica and its vote, if it has come.
+/// One replica and its vote; `None` until the vote is received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Ballot {
     replica: NodeId,
     vote: Option<Vote>,
 }
 
-/// What the votes of a round mean.
+/// Result of the votes of a round.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Conclusion {
-    /// Votes that may still come decide.
+    /// Undecided: outstanding votes may change the result.
     Open,
-    /// A majority granted the claim; these attempts held the key before.
+    /// A majority granted the claim.
     Won {
-        /// Attempts that held the key before and have provably not run.
+        /// Number of attempts that held the key before and have provably not run.
         spent: usize,
     },
-    /// No majority can be had because another attempt holds the key at some replicas.
+    /// No majority is possible because another attempt holds the key at some replicas.
     Lost {
-        /// The attempt that most of them name.
+        /// Holder reported by the most replicas, a completed one first.
         holder: KeyHolder,
-        /// Whether a majority names it.
+        /// Whether a majority of the group reported it.
         by_majority: bool,
     },
-    /// The attempt was barred or given back.
+    /// The attempt was released, replaced or barred.
     Dead,
-    /// No majority can be had because replicas abstain or do not answer.
+    /// No majority is possible because replicas abstain or do not reply.
     NoQuorum,
 }
 
 impl Tally {
-    /// Creates the tally of a round in which nobody has voted yet.
+    /// Creates the tally of a new round without votes.
     pub fn new(group: &[NodeId]) -> Self {
         let ballots = group
             .iter()
@@ -54,7 +54,7 @@
         Self { ballots }
     }
 
-    /// Records a vote; the first of a replica counts.
+    /// Records a vote; only the first vote of a replica counts.
     pub fn record(&mut self, replica: NodeId, vote: Vote) {
         let ballot = self
             .ballots
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns the replicas whose votes have not come.
+    /// Returns the replicas whose votes are missing.
     pub fn missing(&self) -> impl Iterator<Item = NodeId> {
         self.ballots
             .iter()
@@ -73,7 +73,7 @@
             .map(|ballot| ballot.replica)
     }
 
-    /// Returns what the votes mean; `closed` if no more are waited for.
+    /// Evaluates the votes; `closed` if no further votes will be counted.
     pub fn conclude(&self, closed: bool) -> Conclusion {
         let granted = self.granted();
         if granted >= self.majority() && granted > 0 {
@@ -99,14 +99,14 @@
                 by_majority: count >= self.majority(),
             };
         }
-        // A replica that is yet to answer may know what became of the key.
+        // A replica that has not replied yet may report the holder of the key.
         if !closed && missing > 0 {
             return Conclusion::Open;
         }
         Conclusion::NoQuorum
     }
 
-    /// Returns whether a replica abstained because its membership view is another one.
+    /// Returns whether a replica abstained because its replica group differs from the claimant's.
     pub fn views_differ(&self) -> bool {
         self.ballots
             .iter()
@@ -138,7 +138,7 @@
         attempts.len()
     }
 
-    /// Returns the holder that most replicas name, a completed one first.
+    /// Returns the holder that the most replicas report and their number, a completed one first.
     fn most_named_holder(&self) -> Option<(KeyHolder, usize)> {
         let holders: Vec<KeyHolder> = self
             .ballots
@@ -161,7 +161,8 @@
     }
 }
 
-/// Joins what several replicas say of one holder: protected if one says so, completed likewise.
+/// Merges the reports of several replicas on one holder: it is protected if any report says so, and
+/// completed if any report says so.
 fn merge<'a>(named: impl Iterator<Item = &'a KeyHolder>) -> Option<KeyHolder> {
     named.copied().reduce(|first, second| KeyHolder {
         protected: first.protected || second.protected,
--- a/crates/rillgap-core/src/claim/claimant/voting.rs
+++ b/crates/rillgap-core/src/claim/claimant/voting.rs
@@ -1,4 +1,4 @@
-//! Rounds of votes: what is sent, what the votes mean and what follows from them.
+//! Runs the voting rounds of a claim: sends claims, evaluates votes and acts on the result.
 
 use super::pending::Stage;
 use super::tally::{Conclusion, Tally};
@@ -15,7 +15,7 @@
 use crate::time::Now;
 
 impl Claimant {
-    /// Handles a vote.
+    /// Handles the vote of a replica; ignores votes of other rounds.
     pub fn on_vote(
         &mut self,
         now: Now,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Asks the replicas of the view in force for their votes.
+    /// Starts a round: requests the votes of the replicas in the current view.
     pub(super) fn begin_round(
         &mut self,
         now: Now,
@@ -63,7 +63,7 @@
         self.resend_claims(now, attempt);
     }
 
-    /// Sends the claim to the replicas that have not answered.
+    /// Sends the claim to the replicas that have not voted.
     pub(super) fn resend_claims(&mut self, now: Now, attempt: AttemptId) {
         let Some(pending) = self.pending.get(&attempt) else {
             return;
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Takes the claim into possession, or gives it back if the key's budget is spent.
+    /// Records the granted claim as held, or refuses it if its deadline has passed or the key's
+    /// budget is spent.
     fn win(
         &mut self,
         now: Now,
@@ -123,7 +124,7 @@
         }
         let extra_attempts = usize::from(settings.extra_attempts);
         if spent > extra_attempts + UNCHARGED_ATTEMPTS {
-            // Without the lease the claim may have been given to another attempt since.
+            // Without the lease, another attempt may hold the claim by now.
             let code = if electorate.may_vote(now) {
                 ResultCode::RetryBudgetSpent
             } else {
@@ -146,8 +147,8 @@
         self.report(attempt, ClaimResult::Granted { budget });
     }
 
-    /// Gives the votes of a lost round back; then asks the holder's gate, or tries again if the
-    /// holder may be another claimant that has not won either.
+    /// Releases the votes of a lost round. Then starts another round after a backoff if the holder
+    /// may be a racing claimant without a majority, or else queries the holder's guard.
     fn lose(
         &mut self,
         now: Now,
@@ -168,7 +169,7 @@
         self.query_guard(now, attempt, holder, electorate);
     }
 
-    /// Tries again after a pause if replicas may yet vote, or refuses.
+    /// Starts another round after a backoff if membership views differ, or else refuses.
     fn pause_or_refuse(&mut self, now: Now, attempt: AttemptId) {
         let Some(pending) = self.pending.get(&attempt) else {
             return;
--- a/crates/rillgap-core/src/claim/claims.rs
+++ b/crates/rillgap-core/src/claim/claims.rs
@@ -1,4 +1,4 @@
-//! Claims at one node: joins claimant, replica and the guard beside the back end.
+//! Connects claimant, replica and dispatch guard of one node.
 
 use std::collections::VecDeque;
 
@@ -16,20 +16,20 @@
 use crate::policy::Bounds;
 use crate::time::{Instant, Now};
 
-/// Claimant and replica side of the claim protocol at one node.
+/// Claimant and replica sides of the claim protocol at one node.
 #[derive(Debug)]
 pub struct Claims {
     voter: Voter,
     settings: ClaimSettings,
     claimant: Claimant,
     replica: Replica,
-    /// Questions of this node to its own guard, answered when polled.
+    /// Queries of this node to its own guard, answered at the next poll.
     local_queries: VecDeque<GuardQuery>,
     counters: ClaimCounters,
 }
 
 impl Claims {
-    /// Creates the claims of a fresh node, which remembers nothing.
+    /// Creates the state of a newly started node, without any recorded keys.
     pub fn new(node: NodeId, incarnation: Incarnation) -> Self {
         let voter = Voter { node, incarnation };
         Self {
@@ -42,39 +42,40 @@
         }
     }
 
-    /// Takes over the bounds of the policy in force.
+    /// Applies the bounds of the policy in force.
     pub const fn configure(&mut self, bounds: &Bounds) {
         self.settings.configure(bounds);
     }
 
-    /// Plants faults, to prove that tests and observers catch them.
+    /// Injects faults, to prove that tests detect them.
     pub const fn inject_faults(&mut self, faults: ClaimFaults) {
         self.settings.faults = faults;
     }
 
-    /// Returns what claims have cost since the start of the node.
+    /// Returns the counters since the start of the node.
     pub const fn counters(&self) -> ClaimCounters {
         self.counters
     }
 
-    /// Returns the number of keys that are remembered as a replica.
+    /// Returns the number of keys that this node has recorded as a replica.
     pub fn remembered_keys(&self) -> usize {
         self.replica.len()
     }
 
-    /// Returns whether a caller may be told that its request was not run, after `attempt` was
-    /// refused or given up undispatched.
+    /// Returns whether the caller may receive a "not run" result after `attempt` was refused or
+    /// ended before dispatch.
     ///
-    /// True while the granted claim is exclusively this attempt's: it was granted, neither
-    /// released nor reassigned, its deadline has not passed (or only just), and this node holds
-    /// the lease on its view. Otherwise another claimant may have barred the attempt and run the key, so
-    /// the outcome is unknown ([`crate::code::ResultCode::InProgress`]). Ask before
-    /// [`Self::release`]; tell the caller and release in the same step.
+    /// True while only this attempt holds the granted claim: the claim was neither released nor
+    /// reassigned, the deadline has not passed or has passed by less than
+    /// [`PROTECTION_GRACE`](crate::claim::settings::PROTECTION_GRACE), and this node holds the
+    /// lease on its view. Otherwise another claimant may have barred the attempt and run the key,
+    /// so the outcome is unknown ([`crate::code::ResultCode::InProgress`]). Call this before
+    /// [`Self::release`], and answer the caller and release the claim in the same step.
     pub fn holds(&self, now: Now, attempt: AttemptId, membership: &impl Electorate) -> bool {
         self.claimant.holds(now, attempt) && membership.may_vote(now)
     }
 
-    /// Asks the key's replicas for a claim; the result comes as a [`ClaimEvent`].
+    /// Requests a claim from the key's replicas; the result is returned as a [`ClaimEvent`].
     pub fn acquire(
         &mut self,
         now: Now,
@@ -88,7 +89,7 @@
         self.dispatch_outgoing(now, membership, out);
     }
 
-    /// Moves a held claim from an attempt that was refused (and will never run) to a new one.
+    /// Transfers a held claim from a refused attempt, which will never run, to a new attempt.
     pub fn reassign(
         &mut self,
         now: Now,
@@ -103,7 +104,7 @@
         self.dispatch_outgoing(now, membership, out);
     }
 
-    /// Gives a claim back: its attempt has not run and never will.
+    /// Releases a claim whose attempt has not run and never will.
     pub fn release(
         &mut self,
         now: Now,
@@ -115,7 +116,7 @@
         self.dispatch_outgoing(now, membership, out);
     }
 
-    /// Tells that the claimed attempt has completed.
+    /// Reports to the replicas that the claimed attempt has completed.
     pub fn complete(
         &mut self,
         now: Now,
@@ -127,12 +128,12 @@
         self.dispatch_outgoing(now, membership, out);
     }
 
-    /// Tells that the outcome of the claimed attempt is unknown: it stays claimed.
+    /// Drops the local state of a claim whose outcome is unknown; the replicas keep it granted.
     pub fn abandon(&mut self, _now: Now, attempt: AttemptId, _out: &mut Outbox) {
         self.claimant.abandon(attempt);
     }
 
-    /// Handles a message of a peer, as claimant, as replica or as the node beside a back end.
+    /// Handles a message from a peer, addressed to claimant, replica or dispatch guard.
     pub fn on_message(
         &mut self,
         now: Now,
@@ -145,17 +146,16 @@
         self.counters.messages_received += 1;
         match message {
             ClaimMessage::GuardQuery(query) => {
-                let answer = self.answer_guard_query(now, &query, guard);
-                self.send(from, ClaimMessage::GuardReply(answer), membership, out);
+                let reply = self.answer_guard_query(now, &query, guard);
+                self.send(from, ClaimMessage::GuardReply(reply), membership, out);
             }
             message => self.handle(now, from, message, membership, out),
         }
         self.dispatch_outgoing(now, membership, out);
     }
 
-    /// Does what is due: timeouts, repeats, forgetting of old keys.
-    ///
-    /// Questions to this node's own guard are answered here too.
+    /// Handles due timeouts and resends, drops expired keys, and answers the queries of this node
+    /// to its own guard.
     pub fn poll(
         &mut self,
         now: Now,
@@ -167,18 +167,18 @@
         self.claimant.poll(now, &self.settings, membership);
         self.dispatch_outgoing(now, membership, out);
         while let Some(query) = self.local_queries.pop_front() {
-            let answer = self.answer_guard_query(now, &query, guard);
-            self.claimant.on_guard_reply(now, answer, membership);
+            let reply = self.answer_guard_query(now, &query, guard);
+            self.claimant.on_guard_reply(now, reply, membership);
             self.dispatch_outgoing(now, membership, out);
         }
     }
 
-    /// Returns when [`Self::poll`] must be called next.
+    /// Returns when [`Self::poll`] must be called next; `None` if no claim is pending.
     pub fn next_wake(&self) -> Option<Instant> {
         self.claimant.next_wake()
     }
 
-    /// Takes the next event for the data path.
+    /// Removes and returns the next event for the data path.
     pub fn take_event(&mut self) -> Option<ClaimEvent> {
         let event = self.claimant.take_event()?;
         match event.result {
@@ -189,7 +189,8 @@
         Some(event)
     }
 
-    /// Sends what the claimant has to say; messages to this node are handled at once.
+    /// Sends the claimant's outgoing messages. Messages to this node are handled immediately,
+    /// except queries to its guard, which wait for the next poll.
     fn dispatch_outgoing(&mut self, now: Now, membership: &impl Electorate, out: &mut Outbox) {
         while let Some(Outgoing { to, message }) = self.claimant.take_outgoing() {
             if to != self.voter.node {
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Handles a message that needs no guard.
+    /// Handles any message except a [`GuardQuery`], which needs the guard.
     fn handle(
         &mut self,
         now: Now,
@@ -231,9 +232,7 @@
             }
             ClaimMessage::Release(release) => self.replica.on_release(&release),
             ClaimMessage::Complete { key, attempt } => self.replica.on_complete(key, attempt),
-            ClaimMessage::GuardReply(answer) => {
-                self.claimant.on_guard_reply(now, answer, membership)
-            }
+            ClaimMessage::GuardReply(reply) => self.claimant.on_guard_reply(now, reply, membership),
             ClaimMessage::GuardQuery(_) => {}
         }
     }
--- a/crates/rillgap-core/src/claim/counters.rs
+++ b/crates/rillgap-core/src/claim/counters.rs
@@ -1,13 +1,13 @@
-//! Counts of what claims cost.
+//! Counts claims, their results and their messages.
 
-/// Counts of what claims cost at one node, since its start.
+/// Counters of the claim protocol at one node since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClaimCounters {
-    /// Claims that the data path asked for, moved ones included.
+    /// Claims that the data path requested, including reassigned ones.
     pub acquired: u64,
-    /// Claims that were granted.
+    /// Claims that a majority granted.
     pub granted: u64,
-    /// Keys whose remembered answer was given.
+    /// Claims that ended with the stored answer of an already completed key.
     pub completed: u64,
     /// Claims that were refused.
     pub refused: u64,
@@ -15,6 +15,6 @@
     pub messages_sent: u64,
     /// Messages received from other nodes.
     pub messages_received: u64,
-    /// Messages that were not sent because their receiver is not a member.
+    /// Messages that were dropped because their receiver is not in the view.
     pub undeliverable: u64,
 }
--- a/crates/rillgap-core/src/claim/electorate.rs
+++ b/crates/rillgap-core/src/claim/electorate.rs
@@ -1,10 +1,10 @@
-//! Who may vote on a key: the replica group and the standing of its members.
+//! Chooses the replica group of a key and decides which of its members may vote.
 //!
-//! The safety of claims rests on this module. Two majorities of one group always share a
-//! replica. When the view changes and with it the group, a replica of the new group votes on a
-//! key only if it was in the key's group ever since the key can have been used, so that every
-//! majority under the new view lies within the old group too, where it meets every majority of
-//! that group.
+//! The safety of claims depends on this module. Two majorities of one group always share a
+//! replica. When a view change alters the group, a replica of the new group votes on a key only
+//! if it has been in the key's group since the earliest time at which the key can have been used.
+//! Every majority in the new view therefore consists of members of the old group, and shares a
+//! replica with every majority of that group.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
 use crate::time::{Now, WallTime};
 use crate::view::{Member, View};
 
-/// Most replicas of a key.
+/// Maximum number of replicas of a key.
 const MAX_REPLICAS: usize = 3;
 
-/// What claims need to know of the membership.
+/// Membership information that the claim protocol needs.
 pub trait Electorate {
     /// Returns the view in force.
     fn view(&self) -> &Arc<View>;
@@ -29,10 +29,11 @@
     /// Returns whether this node holds the lease on its view.
     fn may_vote(&self, now: Now) -> bool;
 
-    /// Returns the activated views of the longest key life, the latest last.
+    /// Returns the views of the maximum lifetime of a key, latest last, including those that are
+    /// not activated yet.
     fn history(&self) -> &[ActivatedView];
 
-    /// Returns the mesh address of a member.
+    /// Returns the mesh address of a member; `None` if the node is not in the view.
     fn address(&self, node: NodeId) -> Option<SocketAddr> {
         self.view().member(node).map(|member| member.mesh_address)
     }
@@ -52,8 +53,10 @@
     }
 }
 
-/// Returns the replicas of a key, the best first: three members by rendezvous hashing, in as many
-/// zones as there are, or as large an odd number as there are members.
+/// Returns the replicas of a key, chosen by rendezvous hashing, in the order of choice.
+///
+/// The group has three members, or one if the view has only one or two, so that its size is odd.
+/// Its members are in different zones as long as there are enough zones.
 pub fn replica_group(view: &View, key: IdempotencyKey) -> Vec<NodeId> {
     let mut candidates: Vec<Candidate<'_>> = view
         .members
@@ -73,7 +76,7 @@
     group.into_iter().map(|candidate| candidate.node).collect()
 }
 
-/// Returns the position of the acceptable candidate with the highest rank.
+/// Returns the position of the highest-ranked candidate that `accept` admits.
 fn highest_ranked(
     candidates: &[Candidate<'_>],
     accept: impl Fn(&Candidate<'_>) -> bool,
@@ -81,7 +84,7 @@
     let mut best: Option<(usize, (u64, NodeId))> = None;
     for (position, candidate) in candidates.iter().enumerate() {
         let rank = candidate.rank();
-        // The rank is compared first: names of zones are compared for few candidates only.
+        // Compares the rank first, so that zone names are compared for few candidates only.
         if best.is_none_or(|(_, highest)| highest < rank) && accept(candidate) {
             best = Some((position, rank));
         }
@@ -118,21 +121,21 @@
     }
 }
 
-/// One run of a node as a voter.
+/// One incarnation of a node as a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Voter {
-    /// The node.
+    /// Node that votes.
     pub node: NodeId,
-    /// Its run.
+    /// Incarnation of that node.
     pub incarnation: Incarnation,
 }
 
 impl Voter {
-    /// Returns whether this voter may vote on `key` for a claimant that sees `group`.
+    /// Checks whether this voter may vote on `key`, where `group` is the claimant's replica group.
     ///
     /// # Errors
     ///
-    /// The reason why it must abstain.
+    /// Returns the reason why the voter must abstain.
     pub fn check(
         self,
         now: Now,
@@ -156,10 +159,12 @@
         Ok(())
     }
 
-    /// Returns whether this voter was in the key's group ever since the key can have been used.
+    /// Returns whether this voter has been in the key's group since the earliest time at which the
+    /// key can have been used.
     ///
-    /// The first use is no earlier than [`MAX_CLOCK_SKEW`] before the key's own time, by the clock of
-    /// the node that took it, and that clock is within [`MAX_CLOCK_SKEW`] of this one.
+    /// The first use is at most [`MAX_CLOCK_SKEW`] before the key's timestamp by the clock of the
+    /// node that accepted the key, and that clock differs from this node's by at most
+    /// [`MAX_CLOCK_SKEW`].
     fn is_eligible(
         self,
         key: IdempotencyKey,
@@ -184,8 +189,8 @@
         false
     }
 
-    /// Returns whether this voter was a replica under an earlier view already, and majorities of
-    /// the group under that view meet those of the present group.
+    /// Returns whether this voter was already a replica in an earlier view, and majorities of the
+    /// group in that view overlap with those of the current group.
     fn was_eligible_under(self, earlier: &View, key: IdempotencyKey, group: &[NodeId]) -> bool {
         let earlier_group = replica_group(earlier, key);
         self.is_replica(earlier, &earlier_group) && majorities_overlap(group, &earlier_group)
@@ -199,14 +204,15 @@
     }
 }
 
-/// Returns whether no view lies between two views, so that none was missed.
+/// Returns whether both views are the same or consecutive, so that no view was missed.
 fn is_same_or_next(later: &View, earlier: &View) -> bool {
     later.version.0.saturating_sub(earlier.version.0) <= 1
 }
 
-/// Returns whether a majority of `later` whose members are all in `earlier` must share a member
-/// with every majority of `earlier`. It need not where a view with fewer members makes the group
-/// smaller.
+/// Returns whether a majority of `later` whose members are all in `earlier` shares a member with
+/// every majority of `earlier`.
+///
+/// This does not hold in general if a view with fewer members makes the group smaller.
 const fn majorities_overlap(later: &[NodeId], earlier: &[NodeId]) -> bool {
     majority(later) + majority(earlier) > earlier.len()
 }
--- a/crates/rillgap-core/src/claim/guard.rs
+++ b/crates/rillgap-core/src/claim/guard.rs
@@ -1,4 +1,4 @@
-//! The guard beside a back end: starts a key at most once and never a barred attempt.
+//! Starts each key at most once at a back end's node, and never starts a barred attempt.
 
 use std::collections::BTreeMap;
 
@@ -13,40 +13,40 @@
 use crate::policy::Bounds;
 use crate::time::{Now, WallTime};
 
-/// Decision of the dispatch guard on an attempt.
+/// Decision of the dispatch guard on a keyed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GuardVerdict {
-    /// The attempt may start (it is now recorded as started).
+    /// The attempt may start and is now recorded as started.
     Start,
-    /// The attempt was barred before it arrived: it has not run and never will.
+    /// The attempt was barred, or its key may have been dropped: it has not run and never will.
     Barred,
-    /// The key was already started here: the attempt has not run and never will, but the key has.
+    /// Another attempt has already started the key. This attempt has not run and never will.
     AlreadyStarted,
-    /// No room to remember another key: the attempt was not started and never will be.
+    /// The guard has no room for another key: the attempt has not run and never will.
     Full,
 }
 
-/// The guard beside a back end.
+/// Guard of a back end's node that starts each key at most once.
 ///
-/// It remembers every key that was started in this run for as long as the key can be used; with
-/// its table full it refuses new keys rather than forget one. Only answers are forgotten early.
+/// It records every key that was started in this incarnation for as long as the key can be used.
+/// A full table rejects new keys instead of evicting recorded ones. Only answers are evicted early.
 #[derive(Debug, Default)]
 pub struct DispatchGuard {
     settings: ClaimSettings,
     keys: BTreeMap<IdempotencyKey, GuardedKey>,
     answers: AnswerStore,
-    /// Keys made at this time or before may have been forgotten.
+    /// Keys created at this time or earlier may have been dropped; `None` if none was dropped.
     forgotten_until: Option<WallTime>,
 }
 
-/// What the guard knows of one key.
+/// State of one key at the guard.
 #[derive(Debug, Default)]
 struct GuardedKey {
     started: Option<StartedAttempt>,
     barred: Vec<AttemptId>,
 }
 
-/// The attempt of a key that was started.
+/// Attempt that started a key.
 #[derive(Debug)]
 struct StartedAttempt {
     attempt: AttemptId,
@@ -54,7 +54,7 @@
     progress: Progress,
 }
 
-/// How far a started attempt has come.
+/// Progress of a started attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Running,
@@ -63,32 +63,32 @@
 }
 
 impl DispatchGuard {
-    /// Takes over the bounds of the policy in force.
+    /// Applies the bounds of the policy in force.
     pub const fn configure(&mut self, bounds: &Bounds) {
         self.settings.configure(bounds);
     }
 
-    /// Plants faults, to prove that tests and observers catch them.
+    /// Injects faults, to prove that tests detect them.
     pub const fn inject_faults(&mut self, faults: ClaimFaults) {
         self.settings.faults = faults;
     }
 
-    /// Returns the number of keys that are remembered.
+    /// Returns the number of recorded keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Returns whether no key is remembered.
+    /// Returns whether no key is recorded.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Returns the bytes of the answers that are kept.
+    /// Returns the total size of the stored answers in bytes.
     pub const fn answer_bytes(&self) -> usize {
         self.answers.bytes
     }
 
-    /// Asks to start a keyed attempt.
+    /// Decides whether a keyed attempt may start, and records its start.
     pub fn start(&mut self, now: Now, attempt: AttemptId, keyed: KeyedAttempt) -> GuardVerdict {
         self.expire(now);
         let faults = self.settings.faults;
@@ -115,8 +115,8 @@
 
     /// Records that a keyed attempt was refused here and must never start.
     ///
-    /// If the attempt was started and the back end refused it before running it, the key counts
-    /// as not started again.
+    /// If the attempt was started and the back end refused it before running it, the key counts as
+    /// not started again, so that another attempt may start it.
     pub fn bar(&mut self, now: Now, attempt: AttemptId, keyed: KeyedAttempt) {
         self.expire(now);
         if self.is_forgotten(keyed.key) || !self.has_room_for(keyed.key) {
@@ -132,7 +132,9 @@
         key.bar(attempt);
     }
 
-    /// Remembers the whole answer of a started key; `None` if it is too long to keep.
+    /// Records that a started key has completed, and stores its complete answer.
+    ///
+    /// `None`, or an answer above [`MAX_ANSWER_BYTES`], records the completion only.
     pub fn complete(&mut self, _now: Now, key: IdempotencyKey, answer: Option<RememberedAnswer>) {
         if !self.record_end(key, Progress::Completed) {
             return;
@@ -147,7 +149,8 @@
         self.record_end(key, Progress::Failed);
     }
 
-    /// Answers what became of a key in this run, and bars its holder if that is asked for.
+    /// Returns the state of a key in this incarnation, and bars its holder if the query requests it
+    /// and the key was not started.
     pub(crate) fn answer_query(&mut self, now: Now, query: &GuardQuery) -> KeyState {
         self.expire(now);
         if let Some(started) = self
@@ -208,7 +211,7 @@
         self.forgotten_until >= Some(key.created_at())
     }
 
-    /// Forgets keys that nobody can use any more.
+    /// Drops keys that can no longer be used at any node.
     fn expire(&mut self, now: Now) {
         let cutoff = self.settings.forget_before(now);
         while let Some(oldest) = self.keys.first_entry() {
@@ -224,7 +227,7 @@
 }
 
 impl GuardedKey {
-    /// Bars an attempt; returns whether there was room to remember it.
+    /// Bars an attempt; returns whether there was room to record it.
     fn bar(&mut self, attempt: AttemptId) -> bool {
         if self.barred.contains(&attempt) {
             return true;
@@ -237,7 +240,7 @@
     }
 }
 
-/// Answers of completed keys, the least recently completed dropped first.
+/// Stores the answers of completed keys and evicts the least recently completed first.
 #[derive(Debug, Default)]
 struct AnswerStore {
     answers: BTreeMap<IdempotencyKey, StoredAnswer>,
@@ -246,7 +249,7 @@
     bytes: usize,
 }
 
-/// An answer and its place in the order of completion.
+/// Stored answer and its position in the order of completion.
 #[derive(Debug)]
 struct StoredAnswer {
     sequence: u64,
--- a/crates/rillgap-core/src/claim/message.rs
+++ b/crates/rillgap-core/src/claim/message.rs
@@ -1,4 +1,7 @@
-//! Messages of the claim protocol between claimant, replicas and the node beside a back end.
+//! Messages between claimant, replicas and the dispatch guard of a back end's node.
+//!
+//! They are encoded by position: the order, number and types of fields and variants are the wire
+//! format.
 
 use bitcode::{Decode, Encode};
 
@@ -8,184 +11,188 @@
 /// A message of the claim protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ClaimMessage {
-    /// Claimant to replica: asks for a vote.
+    /// Claimant to replica: requests a vote.
     Claim(Box<Claim>),
     /// Replica to claimant: answers a [`Claim`].
     Vote(Box<VoteReply>),
-    /// Claimant to replica: the attempt has not run and never will.
+    /// Claimant to replica: withdraws the votes for an attempt that has not run and never will.
     Release(Release),
-    /// Claimant to replica: the attempt has completed.
+    /// Claimant to replica: reports that the attempt has completed.
     Complete {
         /// Key of the attempt.
         key: IdempotencyKey,
-        /// The attempt.
+        /// Attempt that has completed.
         attempt: AttemptId,
     },
-    /// Claimant to the node beside a back end: asks what became of the holder of a key.
+    /// Claimant to the node of the holder's back end: queries the state of a key.
     GuardQuery(GuardQuery),
-    /// The node beside a back end to the claimant: answers a [`GuardQuery`].
+    /// Back end's node to claimant: answers a [`GuardQuery`].
     GuardReply(GuardReply),
 }
 
-/// The run of the node beside a back end that alone may start an attempt.
+/// Identifies the dispatch guard that alone may start an attempt: one incarnation of the back
+/// end's node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct GuardId {
-    /// The node.
+    /// Node of the back end.
     pub node: NodeId,
-    /// Its run.
+    /// Incarnation of that node.
     pub incarnation: Incarnation,
 }
 
-/// Number of a claimant's try to gather a majority for one attempt, from one.
+/// Number of a voting round of one attempt; the first round is 1.
 ///
-/// A vote counts in its own round only, so that a late vote that was given back in the meantime
-/// is never counted.
+/// A vote counts only in its own round, so that a late vote is not counted after it was released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Round(pub u16);
 
 impl Round {
-    /// Later than every round of a claimant.
+    /// Greater than any round that a claimant uses; a release up to it covers all rounds.
     pub const LAST: Self = Self(u16::MAX);
 }
 
-/// Asks a replica for its vote.
+/// Requests the vote of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Claim {
     /// Key that is claimed.
     pub key: IdempotencyKey,
-    /// Attempt that wants to run.
+    /// Attempt for which the key is claimed.
     pub attempt: AttemptId,
     /// Round of the attempt.
     pub round: Round,
-    /// Where the attempt would run.
+    /// Guard that would start the attempt.
     pub guard: GuardId,
-    /// Replica group by the claimant's view, best first.
+    /// Replica group of the key in the claimant's view, as [`replica_group`] orders it.
+    ///
+    /// [`replica_group`]: crate::claim::replica_group
     pub group: Vec<NodeId>,
-    /// Microseconds during which nobody may bar the attempt.
+    /// Time in microseconds for which the attempt must not be barred.
     pub protected_micros: u64,
-    /// Attempt of the same call that was refused and that this one replaces.
+    /// Refused attempt of the same call whose claim this attempt takes over; `None` if there
+    /// is none.
     pub replaces: Option<AttemptId>,
-    /// Attempt that its gate has barred.
+    /// Earlier holder of the key that its guard has barred; `None` if there is none.
     pub barred: Option<AttemptId>,
 }
 
-/// A replica's answer to a [`Claim`].
+/// Answers a [`Claim`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct VoteReply {
-    /// Attempt that asked.
+    /// Attempt that claimed the key.
     pub attempt: AttemptId,
-    /// Round in which it asked.
+    /// Round of the claim.
     pub round: Round,
-    /// The vote.
+    /// Vote of the replica.
     pub vote: Vote,
 }
 
-/// A replica's vote.
+/// Vote of a replica on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Vote {
     /// The attempt holds the key at this replica.
     Granted {
-        /// Attempts that held the key before and have provably not run.
+        /// Earlier holders that have provably not run; they count against the key's budget.
         spent: Vec<AttemptId>,
     },
     /// Another attempt holds the key at this replica.
     Held(KeyHolder),
-    /// The replica must not vote.
+    /// The replica is not allowed to vote.
     Abstained(AbstainReason),
-    /// The attempt was given back, replaced or barred before.
+    /// The attempt was released, replaced or barred and must not be granted again.
     Dead,
 }
 
-/// The attempt that holds a key at one replica.
+/// Attempt that holds a key at one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct KeyHolder {
-    /// The attempt.
+    /// Attempt that holds the key.
     pub attempt: AttemptId,
-    /// Where it may run.
+    /// Guard that may start the attempt.
     pub guard: GuardId,
-    /// Whether its caller may still be told that it was not run, so that it must not be barred.
+    /// Whether its caller may still receive a "not run" result, so that it must not be barred.
     pub protected: bool,
-    /// Whether it is known to have completed.
+    /// Whether the claimant has reported that it completed.
     pub completed: bool,
 }
 
-/// Why a replica does not vote.
+/// Reason why a replica abstains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub enum AbstainReason {
-    /// It does not hold the lease on its membership view.
+    /// The replica does not hold the lease on its membership view.
     NoLease,
-    /// It is not in the key's group, or its group is another than the claimant's.
+    /// The replica is not in the key's group, or its group differs from the claimant's.
     DifferentGroup,
-    /// It was not in the key's group for the whole life of the key.
+    /// The replica was not in the key's group for the whole lifetime of the key.
     NotEligible,
-    /// The key is from the future by its clock.
+    /// The key's timestamp is ahead of the replica's clock by more than the permitted skew.
     KeyFromFuture,
-    /// It has forgotten keys of that age.
+    /// The replica has dropped its records of keys of that age.
     KeyTooOld,
-    /// It has no room for another key, or for another attempt of this one.
+    /// The replica has no room for another key, or for another attempt of this key.
     Full,
 }
 
-/// Gives an attempt's votes back.
+/// Releases the votes of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Release {
     /// Key of the attempt.
     pub key: IdempotencyKey,
-    /// The attempt.
+    /// Attempt whose votes are released.
     pub attempt: AttemptId,
-    /// Last round that is given back.
+    /// Last round whose votes are released.
     pub round: Round,
-    /// Whether the attempt had won a majority and so counts against the key's budget.
+    /// Whether the attempt counts against the key's budget, because a majority had granted it.
     pub spent: bool,
 }
 
-/// Asks the node beside a back end what became of the holder of a key.
+/// Queries a dispatch guard for the state of a key, and may bar the key's holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct GuardQuery {
-    /// The key.
+    /// Key that is queried.
     pub key: IdempotencyKey,
-    /// Digest of the request that asks.
+    /// Fingerprint of the claimant's request.
     pub fingerprint: Fingerprint,
-    /// Attempt that holds the key.
+    /// Attempt that holds the key at the replicas.
     pub holder: AttemptId,
-    /// Run of the node for which the holder is meant.
+    /// Incarnation of the back end's node to which the holder's claim is bound.
     pub incarnation: Incarnation,
-    /// Whether the holder shall be barred if the key was not started.
+    /// Whether to bar the holder if the key was not started.
     pub bar: bool,
-    /// Attempt that asks.
+    /// Attempt on whose behalf the query is sent.
     pub claimant: AttemptId,
 }
 
 /// Answers a [`GuardQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct GuardReply {
-    /// Attempt that asked.
+    /// Attempt on whose behalf the query was sent.
     pub claimant: AttemptId,
-    /// Attempt that was asked about.
+    /// Holder named in the query.
     pub holder: AttemptId,
-    /// What became of the key.
+    /// State of the key at the guard.
     pub state: KeyState,
 }
 
-/// What the node beside a back end knows of a key.
+/// State of a key at a dispatch guard.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum KeyState {
-    /// Not started, and the holder is now barred: it never will be.
+    /// Not started; the holder is now barred and will never start.
     Barred,
     /// Not started; the holder may still arrive.
     NotStarted,
-    /// Started and not ended.
+    /// Started and not yet ended.
     Running,
     /// Completed with this answer.
     Completed(RememberedAnswer),
-    /// Completed, but the answer is not kept.
+    /// Completed, but the answer is not stored.
     AnswerForgotten,
     /// Started and failed with an unknown outcome.
     Failed,
     /// Started for a request with another fingerprint.
     OtherRequest,
-    /// This is not the run for which the holder was meant, so nothing is known.
+    /// Unknown, because the holder's claim is bound to another incarnation of the node.
     OtherIncarnation,
-    /// The holder could not be barred for want of room.
+    /// Not started, but the guard cannot record the bar: it is full, or has dropped keys of that
+    /// age.
     Full,
 }
--- a/crates/rillgap-core/src/claim/mod.rs
+++ b/crates/rillgap-core/src/claim/mod.rs
@@ -1,8 +1,9 @@
-//! Claims: at most one attempt for each idempotency key.
+//! Runs at most one attempt for each idempotency key.
 //!
-//! Two gates keep a key from running twice. Before dispatch, a majority of the key's replicas
-//! must grant the attempt ([`Claims`]); beside the back end, the [`DispatchGuard`] starts a key
-//! at most once and never an attempt that was barred. `docs/design/claims.md` argues why.
+//! Two checks prevent a key from running twice. Before dispatch, a majority of the key's replicas
+//! must grant the attempt a claim ([`Claims`]). At the back end's node, the [`DispatchGuard`]
+//! starts a key at most once and never starts a barred attempt. `docs/design/claims.md` explains
+//! why both are needed.
 
 pub mod answer;
 pub mod claimant;
@@ -28,41 +29,41 @@
 use crate::routing::Target;
 use crate::time::Instant;
 
-/// Request for a claim.
+/// Request of the data path for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// Attempt that wants to run.
+    /// Attempt for which the claim is requested.
     pub attempt: AttemptId,
-    /// Key and digest of the request.
+    /// Idempotency key and fingerprint of the request.
     pub keyed: KeyedAttempt,
-    /// Back end that shall run it; the grant names its node's run.
+    /// Back end that is to run the attempt; the claim is bound to its node's incarnation.
     pub target: Target,
     /// Deadline of the request.
     pub deadline: Instant,
 }
 
-/// What became of a claim.
+/// Result of a claim request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimResult {
     /// A majority granted the attempt: it may be dispatched to its target.
     Granted {
-        /// Extra attempts that the key has left over all its requests, this one's included.
+        /// Extra attempts that remain for the key, over all requests with this key.
         ///
-        /// A caller's repeat of the key draws on the same budget, so the data path takes the
-        /// smaller of this and the share that the request came with.
+        /// A caller's retry with the same key draws on the same budget, so the data path uses the
+        /// smaller of this value and the budget that the request arrived with.
         budget: u8,
     },
-    /// The key has completed before; this is its answer.
+    /// The key has already completed with this answer.
     Completed(RememberedAnswer),
-    /// The attempt must not be dispatched; the refusal states what is known of the key.
+    /// The attempt must not be dispatched; the result code says what is known about the key.
     Refused(Refusal),
 }
 
-/// Event of the claim protocol for the data path.
+/// Reports the result of a claim request to the data path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimEvent {
-    /// Attempt that is meant.
+    /// Attempt for which the claim was requested.
     pub attempt: AttemptId,
-    /// What became of its claim.
+    /// Result of the claim request.
     pub result: ClaimResult,
 }
--- a/crates/rillgap-core/src/claim/replica.rs
+++ b/crates/rillgap-core/src/claim/replica.rs
@@ -1,4 +1,4 @@
-//! Replica side of claims: which attempt holds a key at this node.
+//! Replica side of claims: votes and records which attempt holds each key at this node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 use crate::membership::ActivatedView;
 use crate::time::{Instant, Now, WallTime};
 
-/// Keys that this node knows of as a replica.
+/// Keys that this node has recorded as a replica.
 #[derive(Debug)]
 pub struct Replica {
     voter: Voter,
     records: BTreeMap<IdempotencyKey, KeyRecord>,
-    /// Keys made at this time or before may have been forgotten.
+    /// Keys created at this time or earlier may have been dropped; `None` if none was dropped.
     forgotten_until: Option<WallTime>,
 }
 
-/// What this node knows of one key.
+/// State of one key at this replica.
 #[derive(Debug, Default)]
 struct KeyRecord {
     holder: Option<Holder>,
     dead: Vec<DeadAttempt>,
 }
 
-/// The attempt to which this node has given its vote.
+/// Attempt for which this replica has voted.
 #[derive(Debug)]
 struct Holder {
     attempt: AttemptId,
@@ -38,7 +38,7 @@
     completed: bool,
 }
 
-/// An attempt that must not be granted any more, up to a round.
+/// Attempt that must not be granted in any round up to `round`.
 #[derive(Debug)]
 struct DeadAttempt {
     attempt: AttemptId,
@@ -47,7 +47,7 @@
 }
 
 impl Replica {
-    /// Creates the replica of a fresh node, which remembers nothing.
+    /// Creates the replica of a newly started node, without any recorded keys.
     pub const fn new(voter: Voter) -> Self {
         Self {
             voter,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Returns the number of keys that are remembered.
+    /// Returns the number of recorded keys.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether no key is remembered.
+    /// Returns whether no key is recorded.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Takes a vote back.
+    /// Withdraws the vote for a released attempt.
     pub fn on_release(&mut self, release: &Release) {
         if let Some(record) = self.records.get_mut(&release.key) {
             record.mark_dead(release.attempt, release.round, release.spent);
         }
     }
 
-    /// Records that the holder has completed.
+    /// Records that the holder of a key has completed.
     pub fn on_complete(&mut self, key: IdempotencyKey, attempt: AttemptId) {
         let holder = self
             .records
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Forgets keys that nobody can use any more.
+    /// Drops keys that can no longer be used at any node.
     pub fn expire(&mut self, now: Now, settings: &ClaimSettings) {
         let cutoff = settings.forget_before(now);
         while let Some(oldest) = self.records.first_entry() {
@@ -188,14 +188,15 @@
 }
 
 impl KeyRecord {
-    /// Buries the attempts that the claim proves to be dead.
+    /// Marks the attempts as dead that the claim reports as replaced or barred.
     fn mark_superseded_dead(&mut self, claim: &Claim) {
         for attempt in [claim.replaces, claim.barred].into_iter().flatten() {
             self.mark_dead(attempt, Round::LAST, true);
         }
     }
 
-    /// Takes the vote of an attempt back, if it has it, and gives it none up to `round` again.
+    /// Withdraws the vote for an attempt, if it holds the key, and rejects its claims up to
+    /// `round`.
     fn mark_dead(&mut self, attempt: AttemptId, round: Round, spent: bool) {
         let held = self
             .holder
@@ -209,7 +210,7 @@
             dead.spent |= spent;
             return;
         }
-        // A full record grants nothing any more, so it need not know of further dead attempts.
+        // A full record grants no further claims, so it need not record further dead attempts.
         if self.dead.len() < MAX_DEAD_ATTEMPTS {
             self.dead.push(DeadAttempt {
                 attempt,
@@ -257,10 +258,11 @@
         }
     }
 
-    /// Returns whether the claimant's node was replaced by a later run.
+    /// Returns whether the claimant's node has restarted since the claim.
     ///
-    /// Runs are not ordered, so an activated view must have named the claimant's run and the
-    /// latest another; a claimant that has only just started is in no activated view yet.
+    /// Incarnations are not ordered, so an activated view must have listed the claimant's
+    /// incarnation and the latest activated view another one. A claimant that has just started is
+    /// not yet in an activated view.
     fn claimant_was_replaced(&self, electorate: &dyn Electorate) -> bool {
         let call = self.attempt.call;
         let names_run = |entry: &ActivatedView| {
--- a/crates/rillgap-core/src/claim/settings.rs
+++ b/crates/rillgap-core/src/claim/settings.rs
@@ -1,4 +1,4 @@
-//! Bounds and intervals of the claim protocol.
+//! Limits, intervals and policy settings of the claim protocol.
 
 use std::time::Duration;
 
@@ -6,61 +6,65 @@
 use crate::policy::Bounds;
 use crate::time::{Now, WallTime};
 
-/// Most by which a caller's clock may be ahead of a node's, and two nodes' clocks apart.
+/// Maximum by which a caller's clock may be ahead of a node's clock, and by which the clocks of two
+/// nodes may differ.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(2);
 
-/// Time after its deadline during which a holder may still tell its caller 'not run', so that
-/// nobody may bar it.
+/// Time after the deadline of a claimed attempt during which its caller may still receive a
+/// "not run" result, so that the attempt must not be barred.
 pub const PROTECTION_GRACE: Duration = Duration::from_millis(250);
 
-/// Silence of a replica after which its vote is asked for again.
+/// Time without a vote from a replica after which the claim is sent to it again.
 pub const VOTE_RESEND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time after which a round ends with the votes that have come.
+/// Time after which a round ends with the votes received so far.
 pub const ROUND_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Most rounds of one attempt.
+/// Maximum number of rounds of one attempt.
 pub const MAX_ROUNDS: u16 = 6;
 
-/// Rounds after which a claimant stops racing another one.
+/// Round from which a claimant stops retrying against another claimant or a differing view.
 pub const MAX_RACING_ROUNDS: u16 = 4;
 
-/// Longest pause before the second round; it doubles with every further one.
+/// Base of the backoff before the next round: the maximum pause after round `n` is this times
+/// `2^n`, with `n` capped at 8.
 pub const BASE_BACKOFF: Duration = Duration::from_millis(4);
 
-/// Silence after which the node beside a back end is asked again.
+/// Time without a reply after which a query is sent to a guard again.
 pub const GUARD_RESEND_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Time after which the node beside a back end counts as unreachable.
+/// Time after which a guard that has not replied counts as unreachable.
 pub const GUARD_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Most keys that a replica remembers.
+/// Maximum number of keys that a replica records.
 pub const MAX_REPLICA_KEYS: usize = 32_768;
 
-/// Most attempts of one key that a replica or a guard remembers as dead.
+/// Maximum number of dead attempts that a replica records, and of barred attempts that a guard
+/// records, for one key.
 pub const MAX_DEAD_ATTEMPTS: usize = 32;
 
-/// Most keys that the guard beside a back end remembers.
+/// Maximum number of keys that a dispatch guard records.
 pub const MAX_GUARDED_KEYS: usize = 32_768;
 
-/// Longest answer that the guard keeps, headers and body, in bytes: a body of 2 KiB and its headers.
+/// Maximum size in bytes of an answer that the guard stores, headers and body: enough for a body
+/// of 2 KiB and its headers.
 pub const MAX_ANSWER_BYTES: usize = 4_096;
 
-/// Most bytes of answers that the guard keeps.
+/// Maximum total size in bytes of the answers that the guard stores.
 pub const MAX_ANSWER_STORE_BYTES: usize = 4 * 1_024 * 1_024;
 
-/// Attempts that a key has beyond its first and the extra ones of the policy: those that met a
-/// node that takes nothing are moved without charge.
+/// Attempts that a key may have beyond its first and the extra ones of the policy, because a
+/// request is rerouted free of charge from a node that accepts no requests.
 pub const UNCHARGED_ATTEMPTS: usize = crate::call::retry::MOST_REROUTES as usize;
 
-/// Bounds of the policy that concern claims.
+/// Settings of the policy that apply to claims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimSettings {
-    /// Longest life of a key.
+    /// Maximum age at which a key may be claimed.
     pub key_life: Duration,
-    /// Extra attempts of one key.
+    /// Attempts of one key beyond the first, over all its requests.
     pub extra_attempts: u8,
-    /// Faults that are planted to prove that tests and observers catch them.
+    /// Faults injected by tests.
     pub faults: ClaimFaults,
 }
 
@@ -77,13 +81,13 @@
 }
 
 impl ClaimSettings {
-    /// Takes over the bounds of a policy.
+    /// Applies the bounds of a policy.
     pub const fn configure(&mut self, bounds: &Bounds) {
         self.key_life = bounds.key_life();
         self.extra_attempts = bounds.extra_attempts;
     }
 
-    /// Returns how a key's age stands at an entry node.
+    /// Classifies the age of a key at an entry node.
     pub fn age(&self, now: Now, key: IdempotencyKey) -> KeyAge {
         let created_at = key.created_at();
         if created_at.plus(self.key_life) < now.wall {
@@ -98,33 +102,33 @@
         KeyAge::Usable
     }
 
-    /// Returns the time before which keys were made that nobody can use any more.
+    /// Returns the creation time before which keys can no longer be used at any node.
     pub fn forget_before(&self, now: Now) -> WallTime {
         now.wall.minus(self.key_life + 2 * MAX_CLOCK_SKEW)
     }
 }
 
-/// How a key's age stands at an entry node.
+/// Age of a key by the clock of an entry node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyAge {
-    /// May be claimed.
+    /// The key may be claimed.
     Usable,
-    /// Older than the longest key life.
+    /// Older than the maximum key age.
     TooOld,
-    /// Ahead of this node's clock, though a node whose clock is ahead may have taken it.
+    /// Ahead of this node's clock, but a node with a faster clock may have accepted it.
     Early,
-    /// So far ahead that no node can have taken it.
+    /// So far ahead that no node can have accepted it.
     FromFuture,
 }
 
-/// Faults that are planted to prove that tests and observers catch them; none by default.
+/// Faults that tests inject to prove that their checks detect them; none by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClaimFaults {
-    /// Replicas vote on keys that are older than their membership of the group.
+    /// Replicas vote on keys that are older than their membership in the group.
     pub ignore_voter_eligibility: bool,
     /// Replicas grant a key that another attempt holds.
     pub ignore_holder: bool,
-    /// Replicas let a holder be barred while its caller may still be told 'not run'.
+    /// Replicas let a holder be barred while its caller may still receive a "not run" result.
     pub ignore_protection: bool,
     /// Claimants count votes of earlier rounds.
     pub ignore_round: bool,
--- a/crates/rillgap-core/tests/claim_explore/data_path.rs
+++ b/crates/rillgap-core/tests/claim_explore/data_path.rs
@@ -1,4 +1,4 @@
-//! A small data path: entry nodes that claim, dispatch, retry and answer; back ends that run.
+//! Models the data path: entry nodes claim, dispatch, retry and answer; back ends run requests.
 
 use rillgap_core::action::Outbox;
 use rillgap_core::claim::{ClaimEvent, ClaimRequest, ClaimResult, GuardVerdict, RememberedAnswer};
@@ -13,9 +13,10 @@
 use crate::world::{HostEvent, MILLI, Payload, SECOND, World};
 
 const MAX_ATTEMPTS: u16 = 3;
+/// Time after its deadline for which an unanswered attempt is kept, in microseconds.
 const ORPHAN_TIMEOUT: u64 = 5 * SECOND;
 
-/// A request at its entry node.
+/// Request at its entry node.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub id: CallId,
@@ -27,7 +28,7 @@
     pub answered: bool,
 }
 
-/// An attempt on its way to a back end.
+/// Dispatch of an attempt to a back end.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
     pub attempt: AttemptId,
@@ -238,14 +239,14 @@
         let Some(call) = self.hosts[host].calls.get_mut(&attempt) else {
             return;
         };
-        let call_before = call.clone();
+        let previous = call.clone();
         call.answered = true;
-        if call_before.claiming {
+        if previous.claiming {
             self.hosts[host].calls.remove(&attempt);
-            self.reply(&call_before, ResultCode::NoQuorum);
+            self.reply(&previous, ResultCode::NoQuorum);
             self.release(host, attempt);
-        } else if !call_before.answered {
-            self.reply(&call_before, ResultCode::AnswerTimeout);
+        } else if !previous.answered {
+            self.reply(&previous, ResultCode::AnswerTimeout);
             self.at_host(host, ORPHAN_TIMEOUT, HostEvent::Deadline(attempt));
         } else {
             let now = self.now(host);
@@ -261,8 +262,8 @@
         } else if self.draws.percent(15) {
             self.refuse(host, entry, &dispatch);
         } else {
-            let longest = if self.draws.percent(10) { 1_500 } else { 50 };
-            let queued = self.draws.within(0..longest * MILLI);
+            let max_queued = if self.draws.percent(10) { 1_500 } else { 50 };
+            let queued = self.draws.within(0..max_queued * MILLI);
             self.at_host(host, queued, HostEvent::GuardStart(entry, dispatch));
         }
     }
--- a/crates/rillgap-core/tests/claim_explore/main.rs
+++ b/crates/rillgap-core/tests/claim_explore/main.rs
@@ -1,4 +1,5 @@
-//! Random runs of claims and guards under loss, delay, link_failures, pauses, restarts and view changes.
+//! Explores claims and guards in random runs with message loss, delays, link failures, process
+//! pauses, restarts and view changes.
 
 mod data_path;
 mod membership;
@@ -13,7 +14,8 @@
 use rillgap_core::message::KeyedAttempt;
 use world::{FaultPlan, KEY_LIFE_SECONDS, MILLI, SECOND, World};
 
-/// Runs of each test, unless `RILLGAP_CLAIM_RUNS` says otherwise.
+/// Number of runs of each test; `RILLGAP_CLAIM_RUNS` overrides it for the tests that search for
+/// violations.
 const DEFAULT_RUNS: u64 = 2_000;
 
 fn runs() -> u64 {
@@ -42,7 +44,8 @@
     missed_view_percent: 10,
 };
 
-/// A world in which callers repeat their keys through any entry node, some with other bodies.
+/// Creates a world in which callers retry their keys through any entry node, some with another
+/// fingerprint.
 fn world(seed: u64, fault_plan: FaultPlan, faults: ClaimFaults) -> World {
     let (hosts, zones) = [(3, 3), (7, 3), (9, 4)][(seed % 3) as usize];
     let mut world = World::new(seed, hosts, zones, fault_plan, faults);
@@ -50,8 +53,8 @@
         let first = world.draws.within(6 * SECOND..18 * SECOND);
         let created = World::wall_millis(first) + world.draws.within(0..2_000) - 1_000;
         let key = IdempotencyKey(u128::from(created) << 80 | 0x7 << 76 | number);
-        let longest = [300 * MILLI, 4 * SECOND, 2 * KEY_LIFE_SECONDS * SECOND];
-        let spread = longest[world.draws.index(3)];
+        let max_spreads = [300 * MILLI, 4 * SECOND, 2 * KEY_LIFE_SECONDS * SECOND];
+        let spread = max_spreads[world.draws.index(3)];
         for repeat in 0..world.draws.within(1..6) {
             let later = if repeat == 0 {
                 0
@@ -66,7 +69,7 @@
     world
 }
 
-/// Seeds beyond the usual ones in which a fault of the protocol was found.
+/// Seeds outside the default range whose runs found protocol faults.
 const REGRESSION_SEEDS: [u64; 4] = [6_674, 9_972, 17_381, 19_995];
 
 fn violations(faults: ClaimFaults) -> Vec<String> {
@@ -92,16 +95,16 @@
 }
 
 #[gtest]
-fn no_key_runs_twice_and_not_run_is_true() {
+fn keys_run_at_most_once_and_not_run_results_are_true() {
     let found = violations(ClaimFaults::default());
-    for f in &found {
-        println!("violation: {f}");
+    for violation in &found {
+        println!("violation: {violation}");
     }
-    expect_that!(found.len(), eq(0), "first: {:?}", found.first());
+    expect_that!(found.len(), eq(0), "first violation: {:?}", found.first());
 }
 
 #[gtest]
-fn voting_without_standing_is_caught() {
+fn vote_of_an_ineligible_replica_is_detected() {
     expect_true!(is_detected(ClaimFaults {
         ignore_voter_eligibility: true,
         ..ClaimFaults::default()
@@ -109,7 +112,7 @@
 }
 
 #[gtest]
-fn granting_a_held_key_is_caught() {
+fn grant_of_a_held_key_is_detected() {
     expect_true!(is_detected(ClaimFaults {
         ignore_holder: true,
         ..ClaimFaults::default()
@@ -117,7 +120,7 @@
 }
 
 #[gtest]
-fn barring_a_live_holder_is_caught() {
+fn barring_a_protected_holder_is_detected() {
     expect_true!(is_detected(ClaimFaults {
         ignore_protection: true,
         ..ClaimFaults::default()
@@ -125,14 +128,14 @@
 }
 
 #[gtest]
-fn starting_barred_attempts_is_caught() {
+fn start_of_a_barred_attempt_is_detected() {
     expect_true!(is_detected(ClaimFaults {
         ignore_bars: true,
         ..ClaimFaults::default()
     }));
 }
 
-/// A key that is first used after a second.
+/// Returns a key whose timestamp is one second into the run, when it is first used.
 fn early_key() -> KeyedAttempt {
     KeyedAttempt {
         key: IdempotencyKey(u128::from(World::wall_millis(SECOND)) << 80 | 0x7 << 76),
@@ -141,8 +144,8 @@
 }
 
 #[gtest]
-fn a_lone_request_is_in_no_doubt_while_at_most_one_node_is_down() {
-    let mut doubtful = 0;
+fn single_request_has_a_known_outcome_while_at_most_one_node_is_paused() {
+    let mut unknown = 0;
     for seed in 0..DEFAULT_RUNS {
         let mut world = World::new(seed, 7, 3, NO_FAULTS, ClaimFaults::default());
         if seed % 2 == 0 {
@@ -150,13 +153,13 @@
         }
         world.request(0, SECOND, early_key());
         world.run();
-        doubtful += world.oracle.claim_replies(Outcome::Unknown);
+        unknown += world.oracle.claim_replies(Outcome::Unknown);
     }
-    expect_that!(doubtful, eq(0));
+    expect_that!(unknown, eq(0));
 }
 
 #[gtest]
-fn of_racing_claimants_one_wins() {
+fn one_of_several_racing_claimants_wins() {
     let mut undecided = 0;
     for seed in 0..DEFAULT_RUNS {
         let mut world = World::new(seed, 7, 3, NO_FAULTS, ClaimFaults::default());
@@ -166,23 +169,25 @@
         }
         world.run();
         let granted = !world.oracle.dispatched.is_empty();
-        let given_back = world.oracle.claim_replies(Outcome::NotRun) > 0;
-        undecided += usize::from(!granted && !given_back);
+        let not_run = world.oracle.claim_replies(Outcome::NotRun) > 0;
+        undecided += usize::from(!granted && !not_run);
     }
     println!("undecided: {undecided} of {DEFAULT_RUNS}");
     expect_that!(undecided, eq(0));
 }
 
-/// The entry node dies around its grant; a repeat comes through another one after the deadline.
+/// The entry node restarts around the time of its grant, and the caller retries through another
+/// entry node after the deadline. The retry must end with a definite result: only `ResultLost` and
+/// `AnswerForgotten` may leave its outcome unknown.
 #[gtest]
-fn key_of_a_dead_entry_node_is_settled_after_its_deadline() {
-    let mut unsettled = 0;
+fn key_of_a_restarted_entry_node_is_resolved_after_its_deadline() {
+    let mut unresolved = 0;
     let mut ran = 0;
     for seed in 0..DEFAULT_RUNS {
         let mut world = World::new(seed, 7, 3, NO_FAULTS, ClaimFaults::default());
-        let dies_after = world.draws.within(0..8 * MILLI);
+        let restarts_after = world.draws.within(0..8 * MILLI);
         world.request(0, SECOND, early_key());
-        world.restart_at(0, SECOND + dies_after);
+        world.restart_at(0, SECOND + restarts_after);
         world.request(1, 4 * SECOND, early_key());
         world.run();
         let replies = world.oracle.replies.iter();
@@ -192,10 +197,10 @@
                 ResultCode::ResultLost | ResultCode::AnswerForgotten
             )
         });
-        unsettled += world.oracle.claim_replies(Outcome::Unknown) - ended.count();
+        unresolved += world.oracle.claim_replies(Outcome::Unknown) - ended.count();
         ran += world.oracle.executions.len();
     }
-    println!("ran: {ran} of {DEFAULT_RUNS}, unsettled: {unsettled}");
-    expect_that!(unsettled, eq(0));
+    println!("ran: {ran} of {DEFAULT_RUNS}, unresolved: {unresolved}");
+    expect_that!(unresolved, eq(0));
     expect_that!(ran, gt(DEFAULT_RUNS as usize / 2));
 }
--- a/crates/rillgap-core/tests/claim_explore/membership.rs
+++ b/crates/rillgap-core/tests/claim_explore/membership.rs
@@ -1,5 +1,5 @@
-//! Membership as claims are promised it: views change one by one, and a view is activated only
-//! once every lease on the one before it has ended.
+//! Models the membership guarantees that claims rely on: views change one at a time, and a view is
+//! activated only after every lease on the previous view has ended.
 
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 use rillgap_core::time::{Instant, Now, WallTime};
 use rillgap_core::view::View;
 
-/// Time for which a node may go on voting after a later view was agreed.
+/// Time in microseconds for which a node may still vote after a later view was agreed.
 pub const LEASE_MICROS: u64 = 500_000;
 
-/// What one node knows of the membership.
+/// Membership state of one node.
 #[derive(Debug)]
 pub struct ModelMembership {
     view: Arc<View>,
@@ -20,7 +20,7 @@
 }
 
 impl ModelMembership {
-    /// Knows a view that was agreed long ago.
+    /// Creates the state of a node whose view was activated long ago.
     pub fn with_active_view(view: Arc<View>) -> Self {
         let history = vec![ActivatedView {
             view: Arc::clone(&view),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Knows the latest view and remembers nothing.
+    /// Creates the state of a newly started node: the latest view, and no activated ones.
     pub fn without_history(view: Arc<View>) -> Self {
         Self {
             view,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A later view was agreed: the lease on this one runs out.
+    /// Records that a later view was agreed: the lease on the current view ends at `lease_ends`.
     pub fn on_superseded(&mut self, lease_ends: Instant) {
         self.lease_ends.get_or_insert(lease_ends);
     }
@@ -75,7 +75,8 @@
     }
 
     fn may_vote(&self, now: Now) -> bool {
-        self.lease_ends.is_none_or(|ends| now.instant < ends)
+        self.lease_ends
+            .is_none_or(|lease_ends| now.instant < lease_ends)
     }
 
     fn history(&self) -> &[ActivatedView] {
--- a/crates/rillgap-core/tests/claim_explore/oracle.rs
+++ b/crates/rillgap-core/tests/claim_explore/oracle.rs
@@ -1,4 +1,4 @@
-//! What really ran, against what callers were told.
+//! Compares the requests that ran with the results that callers received.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 const MAX_ATTEMPTS_OF_KEY: usize = 1 + EXTRA_ATTEMPTS as usize + UNCHARGED_ATTEMPTS;
 
-/// A request that a back end ran.
+/// Execution of a request at a back end.
 #[derive(Clone, Copy, Debug)]
 pub struct Execution {
     pub keyed: KeyedAttempt,
@@ -19,7 +19,7 @@
     pub at: u64,
 }
 
-/// What one caller was told.
+/// Result that a caller received.
 #[derive(Clone, Copy, Debug)]
 pub struct Reply {
     pub keyed: KeyedAttempt,
@@ -28,7 +28,7 @@
     pub at: u64,
 }
 
-/// Record of one run.
+/// Executions, dispatches and replies of one run.
 #[derive(Debug, Default)]
 pub struct Oracle {
     pub executions: Vec<Execution>,
@@ -38,7 +38,7 @@
 }
 
 impl Oracle {
-    /// Returns the first violation, in words.
+    /// Returns a description of the first violation.
     pub fn violation(&self) -> Option<String> {
         self.ran_twice()
             .or_else(|| self.false_not_run())
@@ -46,7 +46,7 @@
             .or_else(|| (self.wrong_answers > 0).then(|| "another request's answer".to_owned()))
     }
 
-    /// Returns how many callers were told an outcome by the claim protocol itself.
+    /// Returns how many callers received `outcome` from the claim protocol itself.
     pub fn claim_replies(&self, outcome: Outcome) -> usize {
         self.replies
             .iter()
@@ -79,7 +79,8 @@
             .map(|(key, count)| format!("{count} attempts: {key:?}"))
     }
 
-    /// "Not run" is untrue if the request itself ever ran, or the same work under its key before.
+    /// Detects false "not run" results: the request itself ran at any time, or the same request
+    /// with the same key ran before the reply.
     fn false_not_run(&self) -> Option<String> {
         self.replies
             .iter()
--- a/crates/rillgap-core/tests/claim_explore/random.rs
+++ b/crates/rillgap-core/tests/claim_explore/random.rs
@@ -1,11 +1,11 @@
-//! Seeded draws.
+//! Random numbers from a seeded generator.
 
 use std::ops::Range;
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 
-/// Seeded draws.
+/// Seeded generator; the order and number of draws determine a run.
 #[derive(Debug)]
 pub struct Draws(ChaCha8Rng);
 
--- a/crates/rillgap-core/tests/claim_explore/world.rs
+++ b/crates/rillgap-core/tests/claim_explore/world.rs
@@ -1,4 +1,6 @@
-//! Nodes with claims and guards over an unreliable network, on a virtual clock in microseconds.
+//! Simulates nodes with claims and guards over an unreliable network.
+//!
+//! All times are virtual and in microseconds, unless a name says otherwise.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -29,7 +31,7 @@
 const EPOCH_MILLIS: u64 = 1_700_000_000_000;
 const MAX_EVENTS: usize = 200_000;
 
-/// What may go wrong in a run.
+/// Number and probability of the faults in a run.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultPlan {
     pub drop_percent: u64,
@@ -38,11 +40,11 @@
     pub pauses: u64,
     pub link_failures: u64,
     pub departures: u64,
-    /// Chance that a node misses a change of views for good.
+    /// Probability that a node never receives a view change.
     pub missed_view_percent: u64,
 }
 
-/// One host with the node that runs on it.
+/// Host and the node that runs on it.
 #[derive(Debug)]
 pub struct Host {
     pub name: NodeName,
@@ -58,14 +60,14 @@
 }
 
 impl Host {
-    /// Returns the run and address of another host by this one's view.
+    /// Returns incarnation and address of another host in this host's view.
     pub fn membership_member(&self, other: &Self) -> Option<(Incarnation, SocketAddr)> {
         let member = self.membership.view().member(other.name.id())?;
         Some((member.incarnation, member.mesh_address))
     }
 }
 
-/// What travels between nodes.
+/// Message between nodes.
 #[derive(Clone, Debug)]
 pub enum Payload {
     Claim(ClaimMessage),
@@ -75,7 +77,7 @@
     Failed(AttemptId),
 }
 
-/// What happens at one host.
+/// Event at one host.
 #[derive(Clone, Debug)]
 pub enum HostEvent {
     Deliver(usize, Payload),
@@ -90,11 +92,12 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// At a host, in one run of its node if one is named.
+    /// Event at a host; if an incarnation is given, it is dropped after a restart of the node.
     Host(usize, Option<Incarnation>, HostEvent),
     Pause(usize, u64),
     Restart(usize),
     LinkFailure(usize, usize, u64),
+    /// Removes a host from the view, or adds it again.
     ToggleMembership(usize),
     Propose,
 }
@@ -147,7 +150,7 @@
         world
     }
 
-    /// Runs until nothing is left to handle.
+    /// Handles events until none is left.
     pub fn run(&mut self) {
         for _ in 0..MAX_EVENTS {
             let Some(((time, _), event)) = self.events.pop_first() else {
@@ -156,7 +159,7 @@
             self.time = time;
             self.handle(event);
         }
-        panic!("the run does not end");
+        panic!("the run did not end within {MAX_EVENTS} events");
     }
 
     pub fn now(&self, host: usize) -> Now {
@@ -167,7 +170,8 @@
         }
     }
 
-    /// Returns the time of a good clock in milliseconds, at a virtual time.
+    /// Returns the wall-clock time in milliseconds at a virtual time, by a clock in the middle of
+    /// the hosts' offsets.
     pub fn wall_millis(time: u64) -> u64 {
         EPOCH_MILLIS + time / MILLI + 1_000
     }
@@ -195,18 +199,19 @@
             return;
         }
         let late = self.draws.percent(self.fault_plan.late_percent);
-        let longest = if late { 3 * SECOND } else { 3 * MILLI };
-        let delay = self.draws.within(300..longest);
+        let max_delay = if late { 3 * SECOND } else { 3 * MILLI };
+        let delay = self.draws.within(300..max_delay);
         let deliver = HostEvent::Deliver(from, payload);
         self.push(self.time + delay, Event::Host(to, None, deliver));
     }
 
     pub fn index_of(&self, node: NodeId) -> usize {
         let position = self.hosts.iter().position(|host| host.name.id() == node);
-        position.expect("a host")
+        position.expect("host exists")
     }
 
-    /// Lets a node do what is due, and sends what it has to say.
+    /// Polls the claims of a node, sends its messages, handles its events and schedules its next
+    /// poll.
     pub fn poll_host(&mut self, host: usize, mut out: Outbox) {
         let now = self.now(host);
         let node = &mut self.hosts[host];
@@ -322,13 +327,13 @@
         guard
     }
 
-    /// Replaces a node by a fresh one; the callers that it served are left without an answer.
+    /// Restarts a node without its state; its callers receive no answer.
     fn restart(&mut self, host: usize) {
         let incarnation = Incarnation(self.hosts[host].incarnation.0 + 1);
         let name = self.hosts[host].name.clone();
         let claims = self.new_claims(&name, incarnation);
         let guard = self.new_guard();
-        let view = Arc::clone(self.views.last().expect("a view"));
+        let view = Arc::clone(self.views.last().expect("at least one view"));
         let node = &mut self.hosts[host];
         node.incarnation = incarnation;
         node.claims = claims;
@@ -339,7 +344,7 @@
         self.push(self.time + 20 * MILLI, Event::Propose);
     }
 
-    /// Agrees on a view of the hosts as they are; every node learns of it in its own time.
+    /// Adopts a view of the current hosts as agreed; each node receives it after a random delay.
     fn propose(&mut self) {
         let view = self.view_of_hosts();
         if view.members == self.views[self.views.len() - 1].members {
--- a/crates/rillgap-core/tests/claim_rules.rs
+++ b/crates/rillgap-core/tests/claim_rules.rs
@@ -1,4 +1,4 @@
-//! Rules of replica groups, guards, rounds and budgets, one by one, and what a claim costs.
+//! Tests replica groups, guards, rounds and budgets, and the messages and bytes of a claim.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -31,7 +31,7 @@
 const START_MILLIS: u64 = 1_700_000_000_000;
 const INCARNATION: Incarnation = Incarnation(0x9e37_79b9_7f4a_7c15);
 
-/// A view that was agreed long ago.
+/// Membership with a single view that was activated long ago.
 struct StaticMembership {
     history: Vec<ActivatedView>,
 }
@@ -162,7 +162,7 @@
 }
 
 #[gtest]
-fn a_lost_zone_leaves_the_other_replicas_in_the_group() {
+fn group_keeps_its_other_replicas_when_a_zone_is_lost() {
     let membership = StaticMembership::new(9, 3);
     let whole = membership.view();
     let mut rest = View::clone(whole);
@@ -177,7 +177,7 @@
 }
 
 #[gtest]
-fn groups_are_odd() {
+fn group_size_is_odd() {
     let sizes: Vec<usize> = (0..6)
         .map(|nodes| replica_group(StaticMembership::new(nodes, 2).view(), key(0)).len())
         .collect();
@@ -194,7 +194,7 @@
 }
 
 #[gtest]
-fn guard_never_starts_a_refused_attempt() {
+fn guard_never_starts_a_barred_attempt() {
     let mut guard = DispatchGuard::default();
     guard.bar(start(), attempt(1), keyed(0));
     let refused = guard.start(start(), attempt(1), keyed(0));
@@ -204,7 +204,7 @@
 }
 
 #[gtest]
-fn key_that_the_back_end_shed_may_start_again_for_another_attempt() {
+fn another_attempt_may_start_a_key_that_the_back_end_refused() {
     let mut guard = DispatchGuard::default();
     guard.start(start(), attempt(1), keyed(0));
     guard.bar(start(), attempt(1), keyed(0));
@@ -215,7 +215,7 @@
 }
 
 #[gtest]
-fn full_guard_refuses_rather_than_forgets() {
+fn full_guard_rejects_new_keys_and_keeps_recorded_ones() {
     let mut guard = DispatchGuard::default();
     for number in 0..MAX_GUARDED_KEYS as u64 {
         guard.start(start(), attempt(number), keyed(number));
@@ -227,7 +227,7 @@
 }
 
 #[gtest]
-fn forgotten_key_is_never_started() {
+fn dropped_key_is_never_started() {
     let life = Bounds::default().key_life() + 2 * MAX_CLOCK_SKEW;
     let mut guard = DispatchGuard::default();
     guard.start(start(), attempt(1), keyed(0));
@@ -239,7 +239,7 @@
 }
 
 #[gtest]
-fn guard_keeps_answers_within_its_bound() {
+fn guard_stores_answers_within_its_limits() {
     let mut guard = DispatchGuard::default();
     for number in 0..2 * (MAX_ANSWER_STORE_BYTES / MAX_ANSWER_BYTES) as u64 {
         guard.start(start(), attempt(number), keyed(number));
@@ -251,8 +251,10 @@
     expect_that!(guard.answer_bytes(), eq(MAX_ANSWER_STORE_BYTES));
 }
 
-/// Two replicas are held by others in the first round, and the third one's vote is late. It
-/// arrives in the second round, when that vote was given back and may be another attempt's.
+/// Returns whether a late vote of the first round completes a majority in the second round.
+///
+/// Other attempts hold the key at two replicas in the first round, and the vote of the third
+/// arrives in the second round. By then it was released, and may be granted to another attempt.
 fn granted_by_a_late_vote(faults: ClaimFaults) -> bool {
     let membership = StaticMembership::new(3, 3);
     let group = replica_group(membership.view(), key(0));
@@ -292,13 +294,13 @@
 }
 
 #[gtest]
-fn repeats_of_a_key_draw_on_one_budget() {
+fn retries_of_a_key_share_one_budget() {
     let membership = StaticMembership::new(1, 1);
     let node = membership.view().members[0].id();
     let mut claims = Claims::new(node, INCARNATION);
     let mut results = Vec::new();
-    let most = 1 + usize::from(Bounds::default().extra_attempts) + UNCHARGED_ATTEMPTS;
-    for sequence in 0..=most as u64 {
+    let max_attempts = 1 + usize::from(Bounds::default().extra_attempts) + UNCHARGED_ATTEMPTS;
+    for sequence in 0..=max_attempts as u64 {
         let mut out = Outbox::new();
         claims.acquire(start(), request(sequence, node), &membership, &mut out);
         results.push(claims.take_event().map(|event| event.result));
@@ -321,18 +323,18 @@
     );
 }
 
-/// Messages and bytes that one request costs whose entry node is no replica of its key.
+/// Counts the messages and bytes of one request whose entry node is not a replica of its key.
 #[gtest]
-fn cost_of_a_claim() {
+fn claim_costs_nine_messages_and_at_most_1000_bytes() {
     let membership = StaticMembership::new(4, 4);
     let group = replica_group(membership.view(), key(0));
-    let outsider = membership
+    let non_replica = membership
         .view()
         .members
         .iter()
         .map(|member| member.id())
         .find(|node| !group.contains(node));
-    let entry = outsider.expect("a fourth node");
+    let entry = non_replica.expect("fourth node exists");
     let mut claims = Claims::new(entry, INCARNATION);
     let mut guard = DispatchGuard::default();
     let (mut messages, mut bytes) = (0, 0);
@@ -359,8 +361,8 @@
     for (from, reply) in votes {
         (messages, bytes) = (messages + 1, bytes + size_of_message(&reply));
         if let PeerMessage::Claim(reply) = reply {
-            let mut nothing = Outbox::new();
-            claims.on_message(start(), from, reply, &membership, &mut guard, &mut nothing);
+            let mut unused = Outbox::new();
+            claims.on_message(start(), from, reply, &membership, &mut guard, &mut unused);
         }
     }
     expect_that!(
