--- a/crates/rillgap-core/src/claim/claimant/asking.rs
+++ b/crates/rillgap-core/src/claim/claimant/guard_query.rs
@@ -1,36 +1,36 @@
-//! Questions to the gate of the attempt that holds a key.
+//! Queries the dispatch guard of the attempt that holds a key.
 
 use super::Claimant;
 use super::pending::Stage;
 use crate::claim::ClaimResult;
 use crate::claim::electorate::Electorate;
-use crate::claim::message::{ClaimMessage, GateAnswer, GateQuestion, KeyHolder, KeyState};
-use crate::claim::settings::{GATE_RESEND, GATE_TIMEOUT};
+use crate::claim::message::{ClaimMessage, GuardQuery, GuardReply, KeyHolder, KeyState};
+use crate::claim::settings::{GUARD_RESEND_INTERVAL, GUARD_TIMEOUT};
 use crate::code::ResultCode;
 use crate::id::AttemptId;
 use crate::time::Now;
 
 impl Claimant {
-    /// Handles what a gate says of the holder of a key.
-    pub fn on_answer(&mut self, now: Now, answer: GateAnswer, electorate: &dyn Electorate) {
-        let Some(pending) = self.pending.get_mut(&answer.claimant) else {
+    /// Handles the reply of a guard about the holder of a key.
+    pub fn on_guard_reply(&mut self, now: Now, reply: GuardReply, electorate: &dyn Electorate) {
+        let Some(pending) = self.pending.get_mut(&reply.claimant) else {
             return;
         };
-        let Stage::Asking { holder, .. } = &pending.stage else {
+        let Stage::QueryingGuard { holder, .. } = &pending.stage else {
             return;
         };
-        if holder.attempt != answer.holder {
+        if holder.attempt != reply.holder {
             return;
         }
         let completed = holder.completed;
-        let code = match answer.state {
+        let code = match reply.state {
             KeyState::Barred => {
-                pending.barred = Some(answer.holder);
-                self.begin_round(now, answer.claimant, electorate);
+                pending.barred = Some(reply.holder);
+                self.begin_round(now, reply.claimant, electorate);
                 return;
             }
             KeyState::Completed(remembered) => {
-                self.finish(answer.claimant, ClaimResult::Completed(remembered));
+                self.finish(reply.claimant, ClaimResult::Completed(remembered));
                 return;
             }
             KeyState::NotStarted | KeyState::Running | KeyState::Full => ResultCode::InProgress,
@@ -39,48 +39,48 @@
             KeyState::OtherIncarnation | KeyState::Failed => ResultCode::ResultLost,
             KeyState::OtherRequest => ResultCode::KeyReused,
         };
-        self.refuse(answer.claimant, code);
+        self.refuse(reply.claimant, code);
     }
 
-    pub(super) fn ask_gate(
+    pub(super) fn query_guard(
         &mut self,
         now: Now,
         attempt: AttemptId,
         holder: KeyHolder,
         electorate: &dyn Electorate,
     ) {
-        if electorate.address(holder.gate.node).is_none() {
+        if electorate.address(holder.guard.node).is_none() {
             self.refuse(attempt, ResultCode::AnswerLost);
             return;
         }
         let Some(pending) = self.pending.get_mut(&attempt) else {
             return;
         };
-        pending.stage = Stage::Asking {
+        pending.stage = Stage::QueryingGuard {
             holder,
-            ends: now.instant + GATE_TIMEOUT,
+            ends: now.instant + GUARD_TIMEOUT,
         };
-        self.send_question(now, attempt);
+        self.send_guard_query(now, attempt);
     }
 
-    pub(super) fn send_question(&mut self, now: Now, attempt: AttemptId) {
+    pub(super) fn send_guard_query(&mut self, now: Now, attempt: AttemptId) {
         let Some(pending) = self.pending.get(&attempt) else {
             return;
         };
-        let Stage::Asking { holder, ends } = &pending.stage else {
+        let Stage::QueryingGuard { holder, ends } = &pending.stage else {
             return;
         };
-        let question = GateQuestion {
+        let query = GuardQuery {
             key: pending.request.keyed.key,
             fingerprint: pending.request.keyed.fingerprint,
             holder: holder.attempt,
-            incarnation: holder.gate.incarnation,
+            incarnation: holder.guard.incarnation,
             bar: !holder.protected && !holder.completed,
             claimant: attempt,
         };
-        let to = holder.gate.node;
-        let wake = (now.instant + GATE_RESEND).min(*ends);
-        self.send(to, ClaimMessage::Question(question));
-        self.wake_at(attempt, wake);
+        let to = holder.guard.node;
+        let wake = (now.instant + GUARD_RESEND_INTERVAL).min(*ends);
+        self.send(to, ClaimMessage::GuardQuery(query));
+        self.schedule_timer(attempt, wake);
     }
 }
--- a/crates/rillgap-core/src/node.rs
+++ b/crates/rillgap-core/src/node.rs
@@ -199,8 +199,8 @@
 
     /// Injects faults into the claim protocol, to test that an observer detects their effects.
     pub fn plant_claim_faults(&mut self, faults: ClaimFaults) {
-        self.claims.plant(faults);
-        self.call_path.guard_mut().plant(faults);
+        self.claims.inject_faults(faults);
+        self.call_path.guard_mut().inject_faults(faults);
     }
 
     /// Returns the counters of the claim protocol since the start of the node.
