--- a/crates/rillgap-forward/tests/simulation/world/callers.rs
+++ b/crates/rillgap-forward/tests/simulation/world/callers.rs
@@ -13,6 +13,8 @@
 const SINGLE_CALLER_SUFFIX: &str = "/one-caller";
 
 impl World {
+    /// Schedules the next turn of the caller at `host` and sends a request with a random target. One
+    /// caller in 20 disconnects within 100 ms.
     pub(super) fn on_caller_turn(&mut self, host: usize) {
         if self.now >= self.callers_until {
             return;
@@ -57,6 +59,7 @@
         connection
     }
 
+    /// Sends a crashing request to a random host and schedules the next one, 200 to 800 ms later.
     pub(super) fn send_crashing_request(&mut self, target: &'static str) {
         if self.now >= self.callers_until {
             return;
@@ -66,6 +69,7 @@
         self.resend_at_random_host(target.to_owned(), 1);
     }
 
+    /// Sends a request of a caller to a random host, unless the node of the host is stopped.
     pub(super) fn resend_at_random_host(&mut self, target: String, attempts: u32) {
         let size = self.size() as u64;
         let host = self.draw(size) as usize;
@@ -77,9 +81,9 @@
     /// Schedules a retry by the caller of a failed request that is idempotent or was reported as
     /// not run.
     fn schedule_caller_retry(&mut self, request: &CallerAttempt, status: u16) {
-        let may_repeat = !request.target.starts_with("/once/") || status == 503;
-        let is_wanted = status >= 500 && request.attempts < self.max_caller_attempts;
-        if is_wanted && may_repeat {
+        let is_safe_to_retry = !request.target.starts_with("/once/") || status == 503;
+        let should_retry = status >= 500 && request.attempts < self.max_caller_attempts;
+        if should_retry && is_safe_to_retry {
             let retry = WorldEvent::CallerRetry {
                 target: request.target.clone(),
                 attempts: request.attempts + 1,
