--- a/crates/rillgap-core/src/claim/guard.rs
+++ b/crates/rillgap-core/src/claim/guard.rs
@@ -20,7 +20,7 @@
     Start,
     /// The attempt was barred, or its key may have been dropped: it has not run and never will.
     Barred,
-    /// Another attempt has already started the key. This attempt has not run and never will.
+    /// The key was already started here. This attempt has not run and never will, but the key has.
     AlreadyStarted,
     /// The guard has no room for another key: the attempt has not run and never will.
     Full,
