--- a/tests/soak/src/back_end.rs
+++ b/tests/soak/src/back_end.rs
@@ -12,32 +12,32 @@
 use tokio::task::JoinSet;
 
 use crate::caller::{self, Outgoing};
+use crate::checker::{Arrived, body_of, signature_of};
 use crate::crashing;
-use crate::deployment::{DRAIN_TIME, HEARTBEAT, Layout, QUEUE, SLOTS};
-use crate::judge::{Arrived, body_of, signature_of};
+use crate::deployment::{BACK_END_SLOTS, DRAIN_TIME, HEARTBEAT_INTERVAL, Layout, QUEUE_LENGTH};
 use crate::soak::Soak;
 use crate::wire::{Connection, Request, encode_request, encode_response};
 
 /// Shortest work, and the bound of what is drawn on top, in milliseconds.
 const WORK_MILLIS: (u64, u64) = (4, 30);
 /// Time between two announcements that are not acknowledged.
-const INSIST: Duration = Duration::from_millis(300);
+const DRAIN_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// Longest time for an acknowledgement.
-const ACKNOWLEDGED_WITHIN: Duration = Duration::from_secs(1);
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after which a back end that gets no acknowledgement ends all the same.
-const UNACKNOWLEDGED_END: Duration = Duration::from_secs(6);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(6);
 /// Time for which a drained back end serves beyond the time that it must.
-const SERVES_ON: Duration = Duration::from_millis(800);
+const EXTRA_SERVING_TIME: Duration = Duration::from_millis(800);
 /// Pause before a replacement starts.
-const REPLACED_AFTER: Duration = Duration::from_millis(400);
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(400);
 /// Unix time of the start of each soak in milliseconds; only that it rises with time matters.
-const START_OF_SOAK: u64 = 1_760_000_000_000;
+const SOAK_START_UNIX_MILLIS: u64 = 1_760_000_000_000;
 /// Pause before an extra answer that comes late.
-const LATE: Duration = Duration::from_millis(60);
+const EXTRA_ANSWER_DELAY: Duration = Duration::from_millis(60);
 
 /// What happens to a back end.
 #[derive(Clone, Copy, Debug)]
-pub enum Order {
+pub enum Action {
     /// It crashes and another one starts after a while.
     Crash(Duration),
     /// It announces that it leaves; another one takes its place.
@@ -60,24 +60,24 @@
     started_at: u64,
     state: watch::Sender<State>,
     slots: Semaphore,
-    places: Semaphore,
+    capacity: Semaphore,
     /// Told when a request ends the process.
     crashed: Notify,
 }
 
 /// Keeps a back end running beside a node.
-pub async fn supervise(soak: Arc<Soak>, node: usize, mut orders: mpsc::UnboundedReceiver<Order>) {
+pub async fn supervise(soak: Arc<Soak>, node: usize, mut actions: mpsc::UnboundedReceiver<Action>) {
     let mut number = 0;
     loop {
         number += 1;
         let incarnation = Arc::new(Incarnation {
             soak: soak.clone(),
             node,
-            instance: name_of(&soak, node, number),
+            instance: instance_id(&soak, node, number),
             started_at: unix_millis(&soak),
             state: watch::Sender::new(State::Ready),
-            slots: Semaphore::new(SLOTS),
-            places: Semaphore::new(SLOTS + QUEUE),
+            slots: Semaphore::new(BACK_END_SLOTS),
+            capacity: Semaphore::new(BACK_END_SLOTS + QUEUE_LENGTH),
             crashed: Notify::new(),
         });
         let Ok(listener) = TcpListener::bind(soak.layout.back_end(node).0).await else {
@@ -87,22 +87,22 @@
         let mut tasks = JoinSet::new();
         tasks.spawn(incarnation.clone().accept(listener));
         tasks.spawn(incarnation.clone().announce());
-        let order = tokio::select! {
-            order = orders.recv() => order,
-            () = incarnation.crashed.notified() => Some(Order::Crash(crashing::AWAY)),
+        let action = tokio::select! {
+            action = actions.recv() => action,
+            () = incarnation.crashed.notified() => Some(Action::Crash(crashing::CRASH_DOWNTIME)),
         };
-        let pause = match order {
+        let pause = match action {
             None => return,
-            Some(Order::Crash(down)) => down,
-            Some(Order::Drain) => {
+            Some(Action::Crash(down)) => down,
+            Some(Action::Drain) => {
                 incarnation.drain().await;
-                REPLACED_AFTER
+                REPLACEMENT_DELAY
             }
         };
         tasks.shutdown().await;
         tokio::time::sleep(pause).await;
         // What was ordered meanwhile was meant for the one that is gone.
-        while orders.try_recv().is_ok() {}
+        while actions.try_recv().is_ok() {}
     }
 }
 
@@ -116,7 +116,9 @@
 impl Drop for RunGuard {
     fn drop(&mut self) {
         let now = self.soak.now();
-        self.soak.judge().stopped(now, &self.id, &self.instance);
+        self.soak
+            .checker()
+            .on_run_ended(now, &self.id, &self.instance);
     }
 }
 
@@ -184,16 +186,18 @@
                 .await?;
             return Ok(true);
         }
-        self.soak.judge().arrived(self.soak.now(), &arrived);
-        let Ok(_place) = self.places.try_acquire() else {
+        self.soak.checker().on_arrived(self.soak.now(), &arrived);
+        let Ok(_admission) = self.capacity.try_acquire() else {
             // What cannot be queued never gets an answer, nor does this connection.
-            connection.closed().await;
+            connection.wait_closed().await;
             return Ok(false);
         };
         let Ok(_slot) = self.slots.acquire().await else {
             return Ok(false);
         };
-        self.soak.judge().runs(self.soak.now(), &arrived);
+        self.soak
+            .checker()
+            .on_run_started(self.soak.now(), &arrived);
         let _guard = RunGuard {
             soak: self.soak.clone(),
             id: id.clone(),
@@ -208,7 +212,7 @@
             status = tokio::time::timeout(deadline, self.work(request, &id)) => {
                 status.unwrap_or(504)
             }
-            () = connection.closed() => return Ok(false),
+            () = connection.wait_closed() => return Ok(false),
         };
         self.reply(connection, &id, status).await
     }
@@ -216,19 +220,21 @@
     /// Works on a request and makes its calls; returns the status of the answer.
     async fn work(&self, request: &Request, id: &str) -> u16 {
         let machine = &self.soak.machines[self.node];
-        let (least, spread) = WORK_MILLIS;
-        let slowness = u64::from(machine.slowness.load(Ordering::Relaxed).max(1));
-        let millis = (least + self.soak.draw(spread)) * slowness;
+        let (min, spread) = WORK_MILLIS;
+        let slowdown_factor = u64::from(machine.slowdown_factor.load(Ordering::Relaxed).max(1));
+        let millis = (min + self.soak.draw(spread)) * slowdown_factor;
         tokio::time::sleep(Duration::from_millis(millis)).await;
-        if request.target.contains(crashing::MARK) {
-            self.soak.judge().crashed(self.soak.now(), &request.target);
+        if request.target.contains(crashing::CRASH_PATH) {
+            self.soak
+                .checker()
+                .on_crash(self.soak.now(), &request.target);
             self.crashed.notify_one();
             return std::future::pending().await;
         }
-        if self.soak.hits(&machine.failed_percent) {
+        if self.soak.draw_percent(&machine.failed_percent) {
             return 500;
         }
-        let Some(target) = call_of(Layout::service(self.node), &request.target) else {
+        let Some(target) = call_target(Layout::service(self.node), &request.target) else {
             return 200;
         };
         let call = Outgoing {
@@ -250,7 +256,7 @@
     /// Sends the answer, or what is left of it; returns whether the connection goes on.
     async fn reply(&self, connection: &mut Connection, id: &str, status: u16) -> io::Result<bool> {
         let machine = &self.soak.machines[self.node];
-        if self.soak.hits(&machine.lost_percent) {
+        if self.soak.draw_percent(&machine.lost_percent) {
             if self.soak.draw(2) == 0 {
                 let _ = connection.stream.set_zero_linger();
             }
@@ -263,14 +269,14 @@
             ("Keep-Alive", "timeout=5".to_owned()),
         ];
         let bytes = encode_response(status, &fields, &body);
-        if self.soak.hits(&machine.spoiled_percent) {
-            return self.spoil(connection, &bytes).await;
+        if self.soak.draw_percent(&machine.corrupted_percent) {
+            return self.corrupt(connection, &bytes).await;
         }
         connection.write(&bytes).await?;
         Ok(true)
     }
 
-    async fn spoil(&self, connection: &mut Connection, bytes: &[u8]) -> io::Result<bool> {
+    async fn corrupt(&self, connection: &mut Connection, bytes: &[u8]) -> io::Result<bool> {
         match self.soak.draw(5) {
             // Cut short.
             0 => connection.write(&bytes[..bytes.len() - 3]).await?,
@@ -289,7 +295,7 @@
             // A second answer where the next one should be.
             3 => {
                 connection.write(bytes).await?;
-                tokio::time::sleep(LATE).await;
+                tokio::time::sleep(EXTRA_ANSWER_DELAY).await;
                 connection.write(bytes).await?;
                 return Ok(true);
             }
@@ -317,12 +323,14 @@
             let acknowledged = self.heartbeat(announced, sequence).await;
             if announced == State::Draining && acknowledged {
                 let now = self.soak.now();
-                self.soak.judge().drain_acknowledged(now, &self.label());
+                self.soak
+                    .checker()
+                    .on_drain_acknowledged(now, &self.label());
                 self.state.send_replace(State::Acknowledged);
             }
             let pause = match *self.state.borrow() {
-                State::Draining => INSIST,
-                _ => HEARTBEAT,
+                State::Draining => DRAIN_RETRY_INTERVAL,
+                _ => HEARTBEAT_INTERVAL,
             };
             let _ = tokio::time::timeout(pause, state.changed()).await;
         }
@@ -340,12 +348,12 @@
             "address": self.soak.layout.back_end(self.node).1.to_string(),
             "zone": Layout::zone(self.node),
             "version": "v1",
-            "slots": SLOTS,
+            "slots": BACK_END_SLOTS,
             "state": word,
             "cold-remaining-s": 0,
             "call-seq": sequence,
         });
-        if self.soak.renews {
+        if self.soak.has_renewals {
             body["born"] = json!(self.started_at);
         }
         let path = format!("/-/instances/{}/heartbeat", self.instance);
@@ -365,7 +373,7 @@
             connection.write(&bytes).await?;
             connection.read_response().await
         };
-        let answer = tokio::time::timeout(ACKNOWLEDGED_WITHIN, call).await;
+        let answer = tokio::time::timeout(ACKNOWLEDGEMENT_TIMEOUT, call).await;
         matches!(answer, Ok(Ok(response)) if response.status == 200)
     }
 
@@ -375,11 +383,11 @@
         self.state.send_replace(State::Draining);
         let is_acknowledged = |state: &State| *state == State::Acknowledged;
         let acknowledged = state.wait_for(is_acknowledged);
-        if tokio::time::timeout(UNACKNOWLEDGED_END, acknowledged)
+        if tokio::time::timeout(DRAIN_TIMEOUT, acknowledged)
             .await
             .is_ok()
         {
-            tokio::time::sleep(DRAIN_TIME + SERVES_ON).await;
+            tokio::time::sleep(DRAIN_TIME + EXTRA_SERVING_TIME).await;
         }
         let path = format!("/-/instances/{}/leave", self.instance);
         self.control(&path, "{}").await;
@@ -387,18 +395,18 @@
 }
 
 /// Returns the identifier of a run: where back ends keep theirs, each second one has that of the run before.
-fn name_of(soak: &Soak, node: usize, run: u32) -> String {
-    let number = if soak.renews { run / 2 } else { run };
+fn instance_id(soak: &Soak, node: usize, run: u32) -> String {
+    let number = if soak.has_renewals { run / 2 } else { run };
     format!("b{node}-{number}")
 }
 
 /// Returns the time of day at this moment of the soak, as back ends tell it.
 fn unix_millis(soak: &Soak) -> u64 {
-    START_OF_SOAK + u64::try_from(soak.now().as_millis()).unwrap_or(0)
+    SOAK_START_UNIX_MILLIS + u64::try_from(soak.now().as_millis()).unwrap_or(0)
 }
 
 /// Returns the target of the call that a service makes for a request.
-fn call_of(service: &str, target: &str) -> Option<String> {
+fn call_target(service: &str, target: &str) -> Option<String> {
     if !target.contains("/calls") {
         return None;
     }
--- a/tests/soak/src/caller.rs
+++ b/tests/soak/src/caller.rs
@@ -7,23 +7,23 @@
 
 use tokio::net::TcpStream;
 
-use crate::crashing::HELD_BACK;
+use crate::checker::{Answer, Sent, prefix_of};
+use crate::crashing::QUARANTINED_CODE;
 use crate::deployment::{HOST, Layout};
-use crate::judge::{Answer, Sent, prefix_of};
 use crate::soak::Soak;
 use crate::wire::{Connection, Response, encode_request};
 
 /// Time that a caller gives a request.
 const DEADLINE: Duration = Duration::from_millis(1_500);
 /// Time beyond the deadline for which an answer is waited for.
-const PATIENCE: Duration = Duration::from_millis(700);
+const ANSWER_MARGIN: Duration = Duration::from_millis(700);
 /// Longest time to connect.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Versions whose routes stand at the same time.
-pub const STANDING_VERSIONS: u64 = 3;
+pub const ROUTED_VERSIONS: u64 = 3;
 
 /// One of so many requests shows a key that was taken away.
-const OLD_KEY_ODDS: u64 = 20;
+const REQUESTS_PER_OLD_KEY: u64 = 20;
 
 /// A request to be sent.
 #[derive(Clone, Debug)]
@@ -48,15 +48,15 @@
 pub async fn exchange(
     soak: &Arc<Soak>,
     node: usize,
-    kept: &mut Option<Connection>,
+    idle: &mut Option<Connection>,
     outgoing: &Outgoing,
 ) -> Option<Response> {
-    let was_kept = kept.is_some();
-    let mut connection = match kept.take() {
+    let was_reused = idle.is_some();
+    let mut connection = match idle.take() {
         Some(connection) => connection,
         None => connect(soak, node).await.ok()?,
     };
-    let run = soak.run_of(node);
+    let incarnation = soak.incarnation_of(node);
     let key_version = (!outgoing.is_call).then(|| draw_key_version(soak));
     let sent = Sent {
         at: soak.now(),
@@ -70,26 +70,29 @@
     };
     let sent_at = sent.at;
     let service = service_of(&outgoing.target);
-    soak.judge()
-        .sent(&outgoing.id, sent, service, outgoing.is_call);
-    let limit = outgoing.deadline + PATIENCE;
-    let talk = tokio::time::timeout(limit, talk(&mut connection, outgoing, key_version));
-    let Ok(Ok(response)) = talk.await else {
+    soak.checker()
+        .on_sent(&outgoing.id, sent, service, outgoing.is_call);
+    let answer_timeout = outgoing.deadline + ANSWER_MARGIN;
+    let exchanged = tokio::time::timeout(
+        answer_timeout,
+        send_and_receive(&mut connection, outgoing, key_version),
+    );
+    let Ok(Ok(response)) = exchanged.await else {
         let now = soak.now();
-        soak.judge()
-            .unanswered(now, &outgoing.id, outgoing.is_call, was_kept);
+        soak.checker()
+            .on_no_answer(now, &outgoing.id, outgoing.is_call, was_reused);
         return None;
     };
-    report(soak, outgoing, &response, (node, run), sent_at);
+    report(soak, outgoing, &response, (node, incarnation), sent_at);
     if !response.closes() && !connection.has_unread() {
-        *kept = Some(connection);
+        *idle = Some(connection);
     }
     Some(response)
 }
 
 async fn connect(soak: &Arc<Soak>, node: usize) -> io::Result<Connection> {
     let address = soak.layout.callers(node);
-    let connected = tokio::time::timeout(CONNECT_TIME, TcpStream::connect(address)).await;
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connected.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     Ok(Connection::new(stream))
 }
@@ -102,13 +105,13 @@
 /// Draws whose key a caller shows: mostly that of the version in force, sometimes of one before.
 fn draw_key_version(soak: &Arc<Soak>) -> u64 {
     let newest = soak.version.load(Ordering::SeqCst);
-    match soak.draw(OLD_KEY_ODDS) {
+    match soak.draw(REQUESTS_PER_OLD_KEY) {
         0 => newest.saturating_sub(1 + soak.draw(2)),
         _ => newest,
     }
 }
 
-async fn talk(
+async fn send_and_receive(
     connection: &mut Connection,
     outgoing: &Outgoing,
     key_version: Option<u64>,
@@ -133,7 +136,7 @@
     soak: &Arc<Soak>,
     outgoing: &Outgoing,
     response: &Response,
-    (node, run): (usize, u32),
+    (node, incarnation): (usize, u32),
     sent_at: Duration,
 ) {
     let now = soak.now();
@@ -144,19 +147,19 @@
         body: &response.body,
     };
     let newest = soak.version.load(Ordering::SeqCst);
-    let mut judge = soak.judge();
-    judge.answered(now, &outgoing.id, &answer, outgoing.is_call);
-    if String::from_utf8_lossy(answer.body).contains(HELD_BACK) {
-        judge.held_back(now, &outgoing.target);
+    let mut checker = soak.checker();
+    checker.on_answer(now, &outgoing.id, &answer, outgoing.is_call);
+    if String::from_utf8_lossy(answer.body).contains(QUARANTINED_CODE) {
+        checker.on_quarantined(now, &outgoing.target);
     }
     if matches!(answer.status, 408 | 421 | 429 | 503) {
-        judge.promised(now, &outgoing.id);
+        checker.on_promised_not_run(now, &outgoing.id);
     }
     if let Some(version) = version_of(&outgoing.target) {
         if answer.signature.is_some() {
-            judge.served_version(now, node, run, version);
-        } else if answer.status == 404 && version + STANDING_VERSIONS > newest {
-            judge.denied_version(sent_at, node, run, version);
+            checker.on_version_served(now, node, incarnation, version);
+        } else if answer.status == 404 && version + ROUTED_VERSIONS > newest {
+            checker.on_version_unknown(sent_at, node, incarnation, version);
         }
     }
 }
@@ -178,21 +181,21 @@
 
 /// Sends requests to one node, one after the other, until the soak ends.
 pub async fn run(soak: Arc<Soak>, node: usize) {
-    let mut kept = None;
+    let mut idle = None;
     loop {
         tokio::time::sleep(Duration::from_millis(10 + soak.draw(80))).await;
         // An open connection is used until the process is gone, ready or not; a new one is opened only
         // to a node that is ready.
-        if kept.is_none() && !soak.machines[node].is_ready.load(Ordering::Relaxed) {
+        if idle.is_none() && !soak.machines[node].is_ready.load(Ordering::Relaxed) {
             continue;
         }
         let outgoing = draw_request(&soak);
         let is_ready = soak.machines[node].is_ready.load(Ordering::Relaxed);
         if is_ready && soak.draw(25) == 0 {
-            leave_early(&soak, node, &outgoing).await;
+            cancel_early(&soak, node, &outgoing).await;
             continue;
         }
-        exchange(&soak, node, &mut kept, &outgoing).await;
+        exchange(&soak, node, &mut idle, &outgoing).await;
     }
 }
 
@@ -221,13 +224,13 @@
 }
 
 /// Sends a request and leaves before its answer.
-async fn leave_early(soak: &Arc<Soak>, node: usize, outgoing: &Outgoing) {
+async fn cancel_early(soak: &Arc<Soak>, node: usize, outgoing: &Outgoing) {
     let mut none = None;
-    let stay = Duration::from_millis(soak.draw(40));
-    let left = tokio::time::timeout(stay, exchange(soak, node, &mut none, outgoing)).await;
+    let wait = Duration::from_millis(soak.draw(40));
+    let left = tokio::time::timeout(wait, exchange(soak, node, &mut none, outgoing)).await;
     if left.is_err() {
         let now = soak.now();
-        soak.judge().left(now, &outgoing.id);
+        soak.checker().on_caller_left(now, &outgoing.id);
     }
 }
 
--- a/tests/soak/src/judge.rs
+++ b/tests/soak/src/checker.rs
@@ -6,15 +6,15 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::crashing::{self, CrashingRequests};
-use crate::deployment::{APPLY_TIME, DRAIN_TIME, REVOCATION, TENANT};
-use crate::repeats::Repeats;
+use crate::deployment::{DRAIN_TIME, MAX_APPLY_TIME, MAX_REVOCATION_TIME, TENANT};
+use crate::retries::RetryHistory;
 
 /// Violations that are kept; more are only counted.
-const MOST_VIOLATIONS: usize = 40;
+const MAX_VIOLATIONS: usize = 40;
 /// Time after its caller has left within which a repeatable request must have been stopped.
-const STOPPED_WITHIN: Duration = Duration::from_millis(700);
+const MAX_STOP_TIME: Duration = Duration::from_millis(700);
 /// Time before and after a disturbance in which a lost request may be its doing.
-const DISTURBED: Duration = Duration::from_secs(3);
+const DISTURBANCE_MARGIN: Duration = Duration::from_secs(3);
 
 /// Time since the start of the soak.
 pub type Moment = Duration;
@@ -50,12 +50,12 @@
 
 /// What became of a request.
 #[derive(Clone, Debug, Default)]
-struct Fate {
+struct RequestHistory {
     sent: Option<Sent>,
     runs: Vec<Run>,
     arrivals: u32,
-    is_repeat: bool,
-    left: Option<Moment>,
+    is_retry: bool,
+    cancelled_at: Option<Moment>,
 }
 
 /// What a back end got.
@@ -98,7 +98,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
     /// Requests of callers.
-    pub asked: u64,
+    pub requests: u64,
     /// Those answered with success.
     pub served: u64,
     /// Those refused with a promise.
@@ -106,36 +106,36 @@
     /// Those that ended otherwise.
     pub failed: u64,
     /// Those whose callers left before an answer.
-    pub left: u64,
+    pub cancelled: u64,
     /// Those with a key that was taken away, which were denied.
     pub denied: u64,
 }
 
 /// What truly happened.
 #[derive(Debug, Default)]
-pub struct Judge {
-    fates: BTreeMap<String, Fate>,
-    drained: BTreeMap<String, Moment>,
-    repeats: Repeats,
-    allowed: BTreeMap<String, BTreeSet<&'static str>>,
-    proven: BTreeMap<(usize, u32), Vec<(Moment, u64)>>,
+pub struct Checker {
+    histories: BTreeMap<String, RequestHistory>,
+    drained_at: BTreeMap<String, Moment>,
+    retries: RetryHistory,
+    allowed_services: BTreeMap<String, BTreeSet<&'static str>>,
+    served_versions: BTreeMap<(usize, u32), Vec<(Moment, u64)>>,
     disturbances: Vec<(Moment, Moment)>,
-    planned: Vec<(usize, Moment, Moment)>,
-    promised: BTreeMap<String, Moment>,
-    accepted: BTreeMap<u64, Moment>,
-    abandoned: u64,
-    not_stopped: u64,
+    planned_stops: Vec<(usize, Moment, Moment)>,
+    promised_not_run: BTreeMap<String, Moment>,
+    accepted_versions: BTreeMap<u64, Moment>,
+    cancelled_count: u64,
+    not_stopped_count: u64,
     crashing: CrashingRequests,
     violations: Vec<String>,
     violation_count: u64,
     totals: Totals,
 }
 
-impl Judge {
+impl Checker {
     /// Notes a broken promise.
-    pub fn violate(&mut self, at: Moment, text: &str) {
+    pub fn report_violation(&mut self, at: Moment, text: &str) {
         self.violation_count += 1;
-        if self.violations.len() < MOST_VIOLATIONS {
+        if self.violations.len() < MAX_VIOLATIONS {
             let seconds = at.as_secs_f64();
             self.violations.push(format!("{seconds:8.3} {text}"));
         }
@@ -157,77 +157,77 @@
     }
 
     /// Takes in that a configuration lets requests under a prefix go to a service.
-    pub fn allow(&mut self, prefix: &str, service: &'static str) {
-        self.allowed
+    pub fn allow_route(&mut self, prefix: &str, service: &'static str) {
+        self.allowed_services
             .entry(prefix.to_owned())
             .or_default()
             .insert(service);
     }
 
     /// Takes in that something unplanned goes on between two moments.
-    pub fn disturbed(&mut self, from: Moment, until: Moment) {
+    pub fn add_disturbance(&mut self, from: Moment, until: Moment) {
         self.disturbances.push((from, until));
     }
 
     /// Takes in a planned stop of a node.
-    pub fn planned_stop(&mut self, node: usize, from: Moment, until: Moment) {
-        self.planned.push((node, from, until));
+    pub fn add_planned_stop(&mut self, node: usize, from: Moment, until: Moment) {
+        self.planned_stops.push((node, from, until));
     }
 
     /// Takes in that a request is sent; `service` is where it should go.
-    pub fn sent(&mut self, id: &str, sent: Sent, service: &'static str, is_call: bool) {
+    pub fn on_sent(&mut self, id: &str, sent: Sent, service: &'static str, is_call: bool) {
         if !is_call {
-            self.totals.asked += 1;
+            self.totals.requests += 1;
         }
         let at = sent.at;
-        self.repeats.requested(at, service);
-        self.fates.entry(id.to_owned()).or_default().sent = Some(sent);
+        self.retries.on_request(at, service);
+        self.histories.entry(id.to_owned()).or_default().sent = Some(sent);
     }
 
     /// Takes in that a request reached a back end, whether or not it runs there.
-    pub fn arrived(&mut self, at: Moment, arrived: &Arrived<'_>) {
+    pub fn on_arrived(&mut self, at: Moment, arrived: &Arrived<'_>) {
         let parent = arrived.id.rsplit_once('.').map(|(parent, _)| parent);
-        let repeats_parent = parent
-            .and_then(|parent| self.fates.get(parent))
-            .is_some_and(|fate| fate.is_repeat);
-        let fate = self.fates.entry(arrived.id.to_owned()).or_default();
-        fate.arrivals += 1;
-        let is_repeat = fate.arrivals > 1 || repeats_parent;
-        fate.is_repeat |= is_repeat;
-        if is_repeat {
-            self.repeats.repeated(at, arrived.service);
+        let retries_parent = parent
+            .and_then(|parent| self.histories.get(parent))
+            .is_some_and(|history| history.is_retry);
+        let history = self.histories.entry(arrived.id.to_owned()).or_default();
+        history.arrivals += 1;
+        let is_retry = history.arrivals > 1 || retries_parent;
+        history.is_retry |= is_retry;
+        if is_retry {
+            self.retries.on_retry(at, arrived.service);
         }
     }
 
     /// Takes in that a back end begins to work on a request.
-    pub fn runs(&mut self, at: Moment, arrived: &Arrived<'_>) {
-        self.judge_content(at, arrived);
-        self.judge_route(at, arrived);
-        self.judge_drain(at, arrived);
-        self.judge_key(at, arrived);
-        self.crashing.ran(at, arrived.target);
-        let fate = self.fates.entry(arrived.id.to_owned()).or_default();
-        let is_idempotent = fate.sent.as_ref().is_none_or(|sent| sent.is_idempotent);
-        fate.runs.push(Run {
+    pub fn on_run_started(&mut self, at: Moment, arrived: &Arrived<'_>) {
+        self.check_content(at, arrived);
+        self.check_route(at, arrived);
+        self.check_drain(at, arrived);
+        self.check_key(at, arrived);
+        self.crashing.on_run_started(at, arrived.target);
+        let history = self.histories.entry(arrived.id.to_owned()).or_default();
+        let is_idempotent = history.sent.as_ref().is_none_or(|sent| sent.is_idempotent);
+        history.runs.push(Run {
             at,
             instance: arrived.instance.to_owned(),
             ended: None,
         });
-        if !is_idempotent && fate.runs.len() > 1 {
-            let runs: Vec<String> = fate
+        if !is_idempotent && history.runs.len() > 1 {
+            let runs: Vec<String> = history
                 .runs
                 .iter()
                 .map(|run| format!("{:.3} at {}", run.at.as_secs_f64(), run.instance))
                 .collect();
             let text = format!("TWICE {} ran {}", arrived.id, runs.join(", "));
-            self.violate(at, &text);
+            self.report_violation(at, &text);
         }
     }
 
     /// Takes in that a back end has stopped to work on a request.
-    pub fn stopped(&mut self, at: Moment, id: &str, instance: &str) {
-        if let Some(fate) = self.fates.get_mut(id)
-            && let Some(run) = fate
+    pub fn on_run_ended(&mut self, at: Moment, id: &str, instance: &str) {
+        if let Some(history) = self.histories.get_mut(id)
+            && let Some(run) = history
                 .runs
                 .iter_mut()
                 .rev()
@@ -238,25 +238,25 @@
     }
 
     /// Takes in that a back end ends because of a request that it works on.
-    pub fn crashed(&mut self, at: Moment, target: &str) {
-        self.crashing.crashed(at, target);
+    pub fn on_crash(&mut self, at: Moment, target: &str) {
+        self.crashing.on_crash(at, target);
     }
 
     /// Takes in that a request was refused because back ends have ended under requests like it.
-    pub fn held_back(&mut self, at: Moment, target: &str) {
-        if !target.contains(crashing::MARK) {
+    pub fn on_quarantined(&mut self, at: Moment, target: &str) {
+        if !target.contains(crashing::CRASH_PATH) {
             let text = format!("HELD {target} was refused although it ends no back end");
-            self.violate(at, &text);
+            self.report_violation(at, &text);
         }
     }
 
     /// Takes in that an incarnation's announcement that it leaves was acknowledged.
-    pub fn drain_acknowledged(&mut self, at: Moment, instance: &str) {
-        self.drained.entry(instance.to_owned()).or_insert(at);
+    pub fn on_drain_acknowledged(&mut self, at: Moment, instance: &str) {
+        self.drained_at.entry(instance.to_owned()).or_insert(at);
     }
 
     /// Takes in an answer to a request.
-    pub fn answered(&mut self, at: Moment, id: &str, answer: &Answer<'_>, is_call: bool) {
+    pub fn on_answer(&mut self, at: Moment, id: &str, answer: &Answer<'_>, is_call: bool) {
         if !is_call {
             match answer.status {
                 200..300 => self.totals.served += 1,
@@ -267,71 +267,80 @@
         }
         if answer.signature.is_some() && answer.id != Some(id) {
             let text = format!("MIXED {id} got the answer of {:?}", answer.id);
-            self.violate(at, &text);
+            self.report_violation(at, &text);
         }
         if (200..300).contains(&answer.status) {
-            self.judge_success(at, id, answer);
+            self.check_success(at, id, answer);
         }
     }
 
     /// Returns whether a request shows a key that was taken away by a version accepted meanwhile.
     fn shows_old_key(&self, id: &str) -> bool {
-        let sent = self.fates.get(id).and_then(|fate| fate.sent.as_ref());
+        let sent = self
+            .histories
+            .get(id)
+            .and_then(|history| history.sent.as_ref());
         let version = sent.and_then(|sent| sent.key_version);
-        version.is_some_and(|version| self.accepted.contains_key(&(version + 1)))
+        version.is_some_and(|version| self.accepted_versions.contains_key(&(version + 1)))
     }
 
     /// Takes in that a connection ended without an answer to a request; `was_kept` if the connection
     /// had carried another one before.
-    pub fn unanswered(&mut self, at: Moment, id: &str, is_call: bool, was_kept: bool) {
+    pub fn on_no_answer(&mut self, at: Moment, id: &str, is_call: bool, was_reused: bool) {
         if !is_call {
             self.totals.failed += 1;
         }
-        let Some(fate) = self.fates.get(id) else {
+        let Some(history) = self.histories.get(id) else {
             return;
         };
-        let Some(sent) = fate.sent.clone() else {
+        let Some(sent) = history.sent.clone() else {
             return;
         };
         // A request that crosses the close of a kept connection was not taken, unless it was passed on.
-        if was_kept && fate.arrivals == 0 {
+        if was_reused && history.arrivals == 0 {
             return;
         }
         let is_disturbed = self.is_disturbed(sent.at, at);
         let was_planned = self
-            .planned
+            .planned_stops
             .iter()
             .any(|(node, from, until)| *node == sent.node && *from <= at && *until >= sent.at);
         if was_planned && !is_disturbed {
             let since = sent.at.as_secs_f64();
             let text = format!("LOST {id}, sent {since:.3} to node {}", sent.node);
-            self.violate(at, &text);
+            self.report_violation(at, &text);
         }
     }
 
     /// Takes in that a caller has left.
-    pub fn left(&mut self, at: Moment, id: &str) {
-        if let Some(fate) = self.fates.get_mut(id) {
-            self.totals.left += 1;
-            fate.left = Some(at);
+    pub fn on_caller_left(&mut self, at: Moment, id: &str) {
+        if let Some(history) = self.histories.get_mut(id) {
+            self.totals.cancelled += 1;
+            history.cancelled_at = Some(at);
         }
     }
 
     /// Takes in that a node has served a route which came with a version.
-    pub fn served_version(&mut self, at: Moment, node: usize, run: u32, version: u64) {
-        let proven = self.proven.entry((node, run)).or_default();
-        proven.push((at, version));
+    pub fn on_version_served(&mut self, at: Moment, node: usize, incarnation: u32, version: u64) {
+        let served_versions = self.served_versions.entry((node, incarnation)).or_default();
+        served_versions.push((at, version));
     }
 
     /// Takes in that a version of the configuration is accepted.
-    pub fn accepted(&mut self, at: Moment, version: u64) {
-        self.accepted.insert(version, at);
+    pub fn on_version_accepted(&mut self, at: Moment, version: u64) {
+        self.accepted_versions.insert(version, at);
     }
 
     /// Takes in that a node does not know a route which came with a version and still stands.
-    pub fn denied_version(&mut self, sent: Moment, node: usize, run: u32, version: u64) {
-        let proven = self.proven.entry((node, run)).or_default();
-        let earlier = proven
+    pub fn on_version_unknown(
+        &mut self,
+        sent: Moment,
+        node: usize,
+        incarnation: u32,
+        version: u64,
+    ) {
+        let served_versions = self.served_versions.entry((node, incarnation)).or_default();
+        let earlier = served_versions
             .iter()
             .find(|(at, known)| *at < sent && *known >= version)
             .copied();
@@ -340,17 +349,21 @@
             let text = format!(
                 "CONFIG node {node} denies version {version}, but served {known} at {since:.3}"
             );
-            self.violate(sent, &text);
+            self.report_violation(sent, &text);
         }
-        let accepted = self.accepted.get(&version).copied().unwrap_or(sent);
+        let accepted = self
+            .accepted_versions
+            .get(&version)
+            .copied()
+            .unwrap_or(sent);
         // A disturbance excuses a node only until it has been in touch for the time that it then has.
-        let since = sent.saturating_sub(APPLY_TIME);
-        let was_planned = self.planned.iter().any(|(other, from, until)| {
-            *other == node && *from <= sent && *until + DISTURBED >= since
+        let since = sent.saturating_sub(MAX_APPLY_TIME);
+        let was_planned = self.planned_stops.iter().any(|(other, from, until)| {
+            *other == node && *from <= sent && *until + DISTURBANCE_MARGIN >= since
         });
         if accepted < since && !was_planned && !self.is_disturbed(since, sent) {
             let text = format!("CONFIG node {node} denies version {version} for too long");
-            self.violate(sent, &text);
+            self.report_violation(sent, &text);
         }
     }
 
@@ -358,53 +371,56 @@
     fn is_disturbed(&self, from: Moment, until: Moment) -> bool {
         self.disturbances
             .iter()
-            .any(|(begin, end)| *begin <= until && *end + DISTURBED >= from)
+            .any(|(begin, end)| *begin <= until && *end + DISTURBANCE_MARGIN >= from)
     }
 
     /// Judges everything that can only be judged when all is over.
     pub fn conclude(&mut self, now: Moment) {
-        self.judge_promises();
-        self.judge_budget();
-        self.judge_stopping(now);
-        self.judge_crashing();
+        self.check_promises();
+        self.check_budget();
+        self.check_stopping(now);
+        self.check_crashing();
     }
 
     /// Takes in that a request was answered with a promise that it did not run and never will.
-    pub fn promised(&mut self, at: Moment, id: &str) {
-        self.promised.insert(id.to_owned(), at);
+    pub fn on_promised_not_run(&mut self, at: Moment, id: &str) {
+        self.promised_not_run.insert(id.to_owned(), at);
     }
 
-    fn judge_crashing(&mut self) {
+    fn check_crashing(&mut self) {
         let is_disturbed = |from, until| self.is_disturbed(from, until);
-        for (at, text) in self.crashing.broken(is_disturbed) {
-            self.violate(at, &text);
+        for (at, text) in self.crashing.violations(is_disturbed) {
+            self.report_violation(at, &text);
         }
     }
 
-    fn judge_promises(&mut self) {
+    fn check_promises(&mut self) {
         let is_broken = |id: &String| {
-            self.fates.get(id).is_some_and(|fate| {
-                let once = fate.sent.as_ref().is_some_and(|sent| !sent.is_idempotent);
-                once && !fate.runs.is_empty()
+            self.histories.get(id).is_some_and(|history| {
+                let once = history
+                    .sent
+                    .as_ref()
+                    .is_some_and(|sent| !sent.is_idempotent);
+                once && !history.runs.is_empty()
             })
         };
         let broken: Vec<(String, Moment)> = self
-            .promised
+            .promised_not_run
             .iter()
             .filter(|(id, _)| is_broken(id))
             .map(|(id, at)| (id.clone(), *at))
             .collect();
         for (id, at) in broken {
             let text = format!("REFUSED {id} was promised not to have run, but has");
-            self.violate(at, &text);
+            self.report_violation(at, &text);
         }
     }
 
-    fn judge_content(&mut self, at: Moment, arrived: &Arrived<'_>) {
+    fn check_content(&mut self, at: Moment, arrived: &Arrived<'_>) {
         let sent = self
-            .fates
+            .histories
             .get(arrived.id)
-            .and_then(|fate| fate.sent.as_ref());
+            .and_then(|history| history.sent.as_ref());
         let fault = match sent {
             None => Some("nobody sent it"),
             Some(sent) if sent.method != arrived.method => Some("method changed"),
@@ -419,48 +435,51 @@
         };
         if let Some(fault) = fault {
             let text = format!("UNASKED {}: {fault}", arrived.id);
-            self.violate(at, &text);
+            self.report_violation(at, &text);
         }
     }
 
-    fn judge_route(&mut self, at: Moment, arrived: &Arrived<'_>) {
+    fn check_route(&mut self, at: Moment, arrived: &Arrived<'_>) {
         let prefix = prefix_of(arrived.target);
-        let allowed = self.allowed.get(prefix);
-        if allowed.is_none_or(|services| !services.contains(arrived.service)) {
+        let allowed_services = self.allowed_services.get(prefix);
+        if allowed_services.is_none_or(|services| !services.contains(arrived.service)) {
             let text = format!(
                 "ROUTE {} {} ran at {}",
                 arrived.id, arrived.target, arrived.service
             );
-            self.violate(at, &text);
+            self.report_violation(at, &text);
         }
     }
 
     /// A key stands in one version and must have stopped working some time after the next one.
-    fn judge_key(&mut self, at: Moment, arrived: &Arrived<'_>) {
-        let fate = self.fates.get(arrived.id);
-        let Some(sent) = fate.and_then(|fate| fate.sent.as_ref()) else {
+    fn check_key(&mut self, at: Moment, arrived: &Arrived<'_>) {
+        let history = self.histories.get(arrived.id);
+        let Some(sent) = history.and_then(|history| history.sent.as_ref()) else {
             return;
         };
         let Some(version) = sent.key_version else {
             return;
         };
-        let removed = self.accepted.get(&(version + 1)).copied();
-        if removed.is_some_and(|moment| moment + REVOCATION < sent.at) {
+        let removed = self.accepted_versions.get(&(version + 1)).copied();
+        if removed.is_some_and(|moment| moment + MAX_REVOCATION_TIME < sent.at) {
             let text = format!("REVOKED {} ran with a key of version {version}", arrived.id);
-            self.violate(at, &text);
+            self.report_violation(at, &text);
         }
     }
 
-    fn judge_drain(&mut self, at: Moment, arrived: &Arrived<'_>) {
-        let acknowledged = self.drained.get(arrived.instance).copied();
+    fn check_drain(&mut self, at: Moment, arrived: &Arrived<'_>) {
+        let acknowledged = self.drained_at.get(arrived.instance).copied();
         if acknowledged.is_some_and(|moment| moment + DRAIN_TIME < at) {
             let text = format!("DRAIN {} ran at {}", arrived.id, arrived.instance);
-            self.violate(at, &text);
+            self.report_violation(at, &text);
         }
     }
 
-    fn judge_success(&mut self, at: Moment, id: &str, answer: &Answer<'_>) {
-        let runs = self.fates.get(id).map_or(&[][..], |fate| &fate.runs[..]);
+    fn check_success(&mut self, at: Moment, id: &str, answer: &Answer<'_>) {
+        let runs = self
+            .histories
+            .get(id)
+            .map_or(&[][..], |history| &history.runs[..]);
         let is_genuine = runs.iter().any(|run| {
             let expected = body_of(id, &run.instance);
             let signature = signature_of(&expected);
@@ -469,40 +488,40 @@
         if !is_genuine {
             let length = answer.body.len();
             let text = format!("MIXED {id} got {length} bytes that no back end gave");
-            self.violate(at, &text);
+            self.report_violation(at, &text);
         }
     }
 
-    fn judge_budget(&mut self) {
-        for (at, text) in self.repeats.broken() {
-            self.violate(at, &text);
+    fn check_budget(&mut self) {
+        for (at, text) in self.retries.violations() {
+            self.report_violation(at, &text);
         }
     }
 
     /// Judges whether work for callers that have left is stopped.
-    fn judge_stopping(&mut self, now: Moment) {
-        for fate in self.fates.values() {
-            let (Some(left), Some(sent)) = (fate.left, &fate.sent) else {
+    fn check_stopping(&mut self, now: Moment) {
+        for history in self.histories.values() {
+            let (Some(cancelled_at), Some(sent)) = (history.cancelled_at, &history.sent) else {
                 continue;
             };
-            let late = left + STOPPED_WITHIN;
-            let is_calm = !self.is_disturbed(left, late);
+            let late = cancelled_at + MAX_STOP_TIME;
+            let is_calm = !self.is_disturbed(cancelled_at, late);
             if !sent.is_idempotent || !is_calm || late > now {
                 continue;
             }
-            self.abandoned += 1;
-            let goes_on = fate
+            self.cancelled_count += 1;
+            let goes_on = history
                 .runs
                 .iter()
-                .any(|run| run.at < left && run.ended.is_none_or(|ended| ended > late));
-            self.not_stopped += u64::from(goes_on);
+                .any(|run| run.at < cancelled_at && run.ended.is_none_or(|ended| ended > late));
+            self.not_stopped_count += u64::from(goes_on);
         }
-        if self.not_stopped > 4 && self.not_stopped * 4 > self.abandoned {
+        if self.not_stopped_count > 4 && self.not_stopped_count * 4 > self.cancelled_count {
             let text = format!(
                 "GONE {} of {} requests went on without their callers",
-                self.not_stopped, self.abandoned
+                self.not_stopped_count, self.cancelled_count
             );
-            self.violate(now, &text);
+            self.report_violation(now, &text);
         }
     }
 }
@@ -519,8 +538,8 @@
 /// Returns the body that an incarnation answers a request with.
 pub fn body_of(id: &str, instance: &str) -> Vec<u8> {
     let unit = format!("{id} at {instance};");
-    let repeats = 1 + xxh3_64(id.as_bytes()) % 200;
-    unit.repeat(usize::try_from(repeats).unwrap_or(1))
+    let count = 1 + xxh3_64(id.as_bytes()) % 200;
+    unit.repeat(usize::try_from(count).unwrap_or(1))
         .into_bytes()
 }
 
--- a/tests/soak/src/faults.rs
+++ b/tests/soak/src/faults.rs
@@ -12,28 +12,28 @@
 use crate::crashing::CrashingCaller;
 use crate::proxy::{Disturbance, Proxy};
 use crate::soak::Soak;
-use crate::store::Treatment;
+use crate::store::StoreFault;
 use crate::{back_end, node, operator};
 
 /// Length of the disturbed part of a cycle, in milliseconds.
 const DISTURBED_MILLIS: u64 = 13_000;
 /// Time before the end of that part from which nothing slow begins, in milliseconds.
-const LAST_SLOW_MILLIS: u64 = 7_500;
+const MIN_SLOW_WORK_MILLIS: u64 = 7_500;
 /// Time for everything to come back, in milliseconds.
 const SETTLE_MILLIS: u64 = 5_000;
 /// Time in which it is judged whether everything has come back, in milliseconds.
-const JUDGED_MILLIS: u64 = 2_500;
+const CHECK_MILLIS: u64 = 2_500;
 /// Share of requests that must be served when everything has come back, in percent.
-const SERVED_PERCENT: u64 = 95;
+const MIN_SERVED_PERCENT: u64 = 95;
 /// One cycle of so many has planned work only.
-const PLANNED_CYCLES: u64 = 3;
+const CYCLES_PER_PLANNED_CYCLE: u64 = 3;
 /// Shortest and longest stand-still in which the configuration changes, in milliseconds: peers give
 /// links up within some seconds.
-const LONG_PAUSE_MILLIS: (u64, u64) = (2_500, 6_000);
+const LONG_PAUSE_RANGE_MILLIS: (u64, u64) = (2_500, 6_000);
 /// Changes of the configuration in a series.
-const SERIES: u64 = 4;
+const CHANGES_PER_SERIES: u64 = 4;
 /// Time between two changes of a series, in milliseconds.
-const SERIES_GAP_MILLIS: u64 = 150;
+const SERIES_INTERVAL_MILLIS: u64 = 150;
 
 /// The proxies in front of a machine.
 #[derive(Clone, Debug)]
@@ -52,16 +52,16 @@
     /// Proxies, by machine.
     pub proxies: Vec<Proxies>,
     /// Processes, by machine.
-    pub nodes: Vec<UnboundedSender<node::Order>>,
+    pub nodes: Vec<UnboundedSender<node::Action>>,
     /// Back ends, by machine.
-    pub back_ends: Vec<UnboundedSender<back_end::Order>>,
+    pub back_ends: Vec<UnboundedSender<back_end::Action>>,
 }
 
 /// Time for which the store is away before it comes back from a copy.
-const STORE_AWAY: Duration = Duration::from_millis(500);
+const STORE_OUTAGE: Duration = Duration::from_millis(500);
 
 /// A share of a back end's requests that goes wrong.
-type Percent = fn(&crate::soak::Machine) -> &AtomicU32;
+type PercentField = fn(&crate::soak::Machine) -> &AtomicU32;
 
 /// Draws and plays the schedule.
 #[derive(Debug)]
@@ -85,11 +85,11 @@
 
     /// Plays one cycle.
     pub async fn cycle(&mut self) {
-        let is_planned_only = self.draw(PLANNED_CYCLES) == 0;
-        let length = DISTURBED_MILLIS + SETTLE_MILLIS + JUDGED_MILLIS;
+        let is_planned_only = self.draw(CYCLES_PER_PLANNED_CYCLE) == 0;
+        let length = DISTURBED_MILLIS + SETTLE_MILLIS + CHECK_MILLIS;
         self.crashing.begin_cycle(millis(length));
-        if self.soak.renews {
-            self.return_store();
+        if self.soak.has_renewals {
+            self.schedule_restore();
         }
         let mut elapsed = 0;
         while elapsed < DISTURBED_MILLIS {
@@ -104,33 +104,33 @@
             elapsed += pause;
         }
         sleep(millis(SETTLE_MILLIS)).await;
-        self.judge_calm().await;
+        self.check_recovery().await;
     }
 
     /// Lets the store be away for a moment within the disturbed time and come back from a copy; the operator writes the
     /// newest configuration again.
-    fn return_store(&mut self) {
-        let away_at = millis(self.draw(DISTURBED_MILLIS / 2));
-        let copy_age = millis(1_000 + self.draw(7_000));
-        let again_after = millis(100 + self.draw(600));
+    fn schedule_restore(&mut self) {
+        let outage_at = millis(self.draw(DISTURBED_MILLIS / 2));
+        let backup_age = millis(1_000 + self.draw(7_000));
+        let rewrite_after = millis(100 + self.draw(600));
         let now = self.soak.now();
-        let until = now + away_at + STORE_AWAY + again_after;
-        self.soak.judge().disturbed(now + away_at, until);
+        let until = now + outage_at + STORE_OUTAGE + rewrite_after;
+        self.soak.checker().add_disturbance(now + outage_at, until);
         let soak = self.soak.clone();
         tokio::spawn(async move {
-            sleep(away_at).await;
-            let doors = 0..soak.layout.nodes;
-            for door in doors.clone() {
-                soak.store.treat(door, Treatment::Busy);
+            sleep(outage_at).await;
+            let endpoints = 0..soak.layout.nodes;
+            for endpoint in endpoints.clone() {
+                soak.store.set_fault(endpoint, StoreFault::Busy);
             }
-            sleep(STORE_AWAY).await;
-            println!("store: back from a copy of {copy_age:?}");
-            soak.store.return_from_copy(copy_age);
-            for door in doors {
-                soak.store.treat(door, Treatment::Serve);
+            sleep(STORE_OUTAGE).await;
+            println!("store: restored from a backup of {backup_age:?}");
+            soak.store.restore_backup(backup_age);
+            for endpoint in endpoints {
+                soak.store.set_fault(endpoint, StoreFault::None);
             }
-            sleep(again_after).await;
-            operator::write_again(&soak);
+            sleep(rewrite_after).await;
+            operator::rewrite_newest(&soak);
         });
     }
 
@@ -139,11 +139,13 @@
         let node = self.draw_node();
         match self.draw(7) {
             0 | 1 => self.configure(),
-            5 => self.configure_in_series(SERIES, Duration::ZERO),
-            6 if left > LAST_SLOW_MILLIS => self.order(node, node::Order::StopWithSignals),
-            2 if left > LAST_SLOW_MILLIS => self.stop(node),
-            3 if left > LAST_SLOW_MILLIS => self.drain(node),
-            _ => self.order(node, node::Order::Reload),
+            5 => self.configure_in_series(CHANGES_PER_SERIES, Duration::ZERO),
+            6 if left > MIN_SLOW_WORK_MILLIS => {
+                self.act_on_node(node, node::Action::StopWithSignals)
+            }
+            2 if left > MIN_SLOW_WORK_MILLIS => self.stop(node),
+            3 if left > MIN_SLOW_WORK_MILLIS => self.drain(node),
+            _ => self.act_on_node(node, node::Action::Reload),
         }
     }
 
@@ -152,83 +154,85 @@
         let node = self.draw_node();
         let length = millis((300 + self.draw(3_500)).min(left));
         let now = self.soak.now();
-        self.soak.judge().disturbed(now, now + length);
+        self.soak.checker().add_disturbance(now, now + length);
         match self.draw(15) {
-            0 => self.order(node, node::Order::Kill(length)),
-            1 => self.order(node, node::Order::Pause(length)),
+            0 => self.act_on_node(node, node::Action::Kill(length)),
+            1 => self.act_on_node(node, node::Action::Pause(length)),
             2 => self.kill_many(length),
             3 => self.disturb_proxy(length, |proxies| &proxies.mesh, node),
             4 => self.disturb_proxy(length, |proxies| &proxies.back_end, node),
             5 => self.disturb_proxy(length, |proxies| &proxies.store, node),
-            6 => self.cut_off(node, length),
-            7 => self.treat_store(length),
+            6 => self.isolate(node, length),
+            7 => self.disturb_store(length),
             8 => self.soak.store.compact(),
             9 => self.crash(node, length),
-            10 => self.go_wrong(node, length, |machine| &machine.lost_percent, 30),
-            11 => self.go_wrong(node, length, |machine| &machine.spoiled_percent, 20),
+            10 => self.inject_back_end_fault(node, length, |machine| &machine.lost_percent, 30),
+            11 => {
+                self.inject_back_end_fault(node, length, |machine| &machine.corrupted_percent, 20)
+            }
             12 => self.change_while_paused(node, left),
             13 => self.signal_in_series(node, length),
-            _ => self.misbehave(node, length),
+            _ => self.fail_or_slow_down(node, length),
         }
     }
 
     fn configure(&self) {
-        self.say("configuration changes");
+        self.log("configuration changes");
         operator::configure(&self.soak);
     }
 
     /// Changes the configuration several times in quick succession, after a while.
     fn configure_in_series(&self, count: u64, after: Duration) {
-        self.say(&format!("configuration changes {count} times"));
+        self.log(&format!("configuration changes {count} times"));
         let soak = self.soak.clone();
         tokio::spawn(async move {
             sleep(after).await;
             for _ in 0..count {
                 operator::configure(&soak);
-                sleep(millis(SERIES_GAP_MILLIS)).await;
+                sleep(millis(SERIES_INTERVAL_MILLIS)).await;
             }
         });
     }
 
     /// Lets a node stand still for long while the configuration changes.
     fn change_while_paused(&mut self, node: usize, left: u64) {
-        let (shortest, longest) = LONG_PAUSE_MILLIS;
-        let length = millis((shortest + self.draw(longest - shortest)).min(left));
+        let (min, max) = LONG_PAUSE_RANGE_MILLIS;
+        let length = millis((min + self.draw(max - min)).min(left));
         let now = self.soak.now();
-        self.soak.judge().disturbed(now, now + length);
-        self.order(node, node::Order::Pause(length));
+        self.soak.checker().add_disturbance(now, now + length);
+        self.act_on_node(node, node::Action::Pause(length));
         let count = 1 + self.draw(2);
         self.configure_in_series(count, length / 4);
     }
 
     /// Sends a node several signals, each while it still carries out the one before.
     fn signal_in_series(&mut self, node: usize, length: Duration) {
-        self.order(node, node::Order::Reload);
-        self.order(node, node::Order::Pause(length / 3));
-        self.order(node, node::Order::Reload);
-        self.order(node, node::Order::Pause(length / 3));
-        self.order(node, node::Order::Kill(length / 3));
+        self.act_on_node(node, node::Action::Reload);
+        self.act_on_node(node, node::Action::Pause(length / 3));
+        self.act_on_node(node, node::Action::Reload);
+        self.act_on_node(node, node::Action::Pause(length / 3));
+        self.act_on_node(node, node::Action::Kill(length / 3));
     }
 
     fn stop(&self, node: usize) {
-        self.order(node, node::Order::Stop);
+        self.act_on_node(node, node::Action::Stop);
     }
 
     fn drain(&self, node: usize) {
-        self.say(&format!("back end of node {node} drains"));
-        let _ = self.targets.back_ends[node].send(back_end::Order::Drain);
+        self.log(&format!("back end of node {node} drains"));
+        let _ = self.targets.back_ends[node].send(back_end::Action::Drain);
     }
 
-    fn order(&self, node: usize, order: node::Order) {
-        self.say(&format!("node {node}: {order:?}"));
-        let _ = self.targets.nodes[node].send(order);
+    fn act_on_node(&self, node: usize, action: node::Action) {
+        self.log(&format!("node {node}: {action:?}"));
+        let _ = self.targets.nodes[node].send(action);
     }
 
     fn kill_many(&mut self, length: Duration) {
         let all = self.draw(3) == 0;
         for node in 0..self.soak.layout.nodes {
             if all || self.draw(2) == 0 {
-                self.order(node, node::Order::Kill(length));
+                self.act_on_node(node, node::Action::Kill(length));
             }
         }
     }
@@ -238,64 +242,70 @@
             0 => Disturbance::Delay(millis(20 + self.draw(400))),
             1 => Disturbance::HoldRequests,
             2 => Disturbance::HoldAnswers,
-            3 => Disturbance::Silence,
+            3 => Disturbance::Blackhole,
             _ => Disturbance::Reset,
         };
         let proxy = choose(&self.targets.proxies[node]).clone();
         let address = choose(&self.targets.proxies[node]).address();
-        self.say(&format!("proxy {address}: {disturbance:?} for {length:?}"));
-        proxy.disturb(disturbance);
+        self.log(&format!("proxy {address}: {disturbance:?} for {length:?}"));
+        proxy.set_disturbance(disturbance);
         tokio::spawn(async move {
             sleep(length).await;
-            proxy.disturb(Disturbance::None);
+            proxy.set_disturbance(Disturbance::None);
         });
     }
 
     /// Cuts a machine off from the store and from links that others open.
-    fn cut_off(&self, node: usize, length: Duration) {
-        self.say(&format!("node {node}: cut off for {length:?}"));
+    fn isolate(&self, node: usize, length: Duration) {
+        self.log(&format!("node {node}: cut off for {length:?}"));
         let proxies = self.targets.proxies[node].clone();
-        proxies.mesh.disturb(Disturbance::Silence);
-        proxies.store.disturb(Disturbance::Silence);
+        proxies.mesh.set_disturbance(Disturbance::Blackhole);
+        proxies.store.set_disturbance(Disturbance::Blackhole);
         tokio::spawn(async move {
             sleep(length).await;
-            proxies.mesh.disturb(Disturbance::None);
-            proxies.store.disturb(Disturbance::None);
+            proxies.mesh.set_disturbance(Disturbance::None);
+            proxies.store.set_disturbance(Disturbance::None);
         });
     }
 
     /// Lets the store treat some or all machines badly.
-    fn treat_store(&mut self, length: Duration) {
-        let treatment = match self.draw(4) {
-            0 => Treatment::Busy,
-            1 => Treatment::Throttle,
-            2 => Treatment::LoseAnswers,
-            _ => Treatment::Slow(millis(100 + self.draw(600))),
+    fn disturb_store(&mut self, length: Duration) {
+        let fault = match self.draw(4) {
+            0 => StoreFault::Busy,
+            1 => StoreFault::Throttle,
+            2 => StoreFault::LoseAnswers,
+            _ => StoreFault::Slow(millis(100 + self.draw(600))),
         };
-        let share = 1 + self.draw(3);
-        let doors: Vec<usize> = (0..self.soak.layout.nodes)
-            .filter(|_| self.draw(3) < share)
+        let chance = 1 + self.draw(3);
+        let endpoints: Vec<usize> = (0..self.soak.layout.nodes)
+            .filter(|_| self.draw(3) < chance)
             .collect();
-        self.say(&format!("store: {treatment:?} for {doors:?}, {length:?}"));
+        self.log(&format!("store: {fault:?} for {endpoints:?}, {length:?}"));
         let store = self.soak.store.clone();
-        for door in &doors {
-            store.treat(*door, treatment);
+        for endpoint in &endpoints {
+            store.set_fault(*endpoint, fault);
         }
         tokio::spawn(async move {
             sleep(length).await;
-            for door in doors {
-                store.treat(door, Treatment::Serve);
+            for endpoint in endpoints {
+                store.set_fault(endpoint, StoreFault::None);
             }
         });
     }
 
     fn crash(&self, node: usize, length: Duration) {
-        self.say(&format!("back end of node {node} crashes for {length:?}"));
-        let _ = self.targets.back_ends[node].send(back_end::Order::Crash(length));
+        self.log(&format!("back end of node {node} crashes for {length:?}"));
+        let _ = self.targets.back_ends[node].send(back_end::Action::Crash(length));
     }
 
-    fn go_wrong(&self, node: usize, length: Duration, choose: Percent, percent: u32) {
-        self.say(&format!(
+    fn inject_back_end_fault(
+        &self,
+        node: usize,
+        length: Duration,
+        choose: PercentField,
+        percent: u32,
+    ) {
+        self.log(&format!(
             "back end of node {node}: {percent}% go wrong for {length:?}"
         ));
         let soak = self.soak.clone();
@@ -307,39 +317,39 @@
     }
 
     /// Lets a back end fail many requests, or get slow.
-    fn misbehave(&mut self, node: usize, length: Duration) {
+    fn fail_or_slow_down(&mut self, node: usize, length: Duration) {
         if self.draw(2) == 0 {
-            self.go_wrong(node, length, |machine| &machine.failed_percent, 60);
+            self.inject_back_end_fault(node, length, |machine| &machine.failed_percent, 60);
         } else {
-            self.go_wrong(node, length, |machine| &machine.slowness, 10);
+            self.inject_back_end_fault(node, length, |machine| &machine.slowdown_factor, 10);
         }
     }
 
     /// Judges whether everything has come back.
-    async fn judge_calm(&self) {
-        self.say("calm");
-        let before = self.soak.judge().totals();
+    async fn check_recovery(&self) {
+        self.log("calm");
+        let before = self.soak.checker().totals();
         let newest = self.soak.version.load(Ordering::SeqCst);
-        sleep(millis(JUDGED_MILLIS)).await;
+        sleep(millis(CHECK_MILLIS)).await;
         let now = self.soak.now();
-        let mut judge = self.soak.judge();
-        let after = judge.totals();
+        let mut checker = self.soak.checker();
+        let after = checker.totals();
         // Neither those whose callers left nor those that had to be denied are owed an answer.
-        let not_owed = after.left - before.left + after.denied - before.denied;
-        let asked = (after.asked - before.asked).saturating_sub(not_owed);
+        let excused = after.cancelled - before.cancelled + after.denied - before.denied;
+        let asked = (after.requests - before.requests).saturating_sub(excused);
         let served = after.served - before.served;
-        if served * 100 < asked * SERVED_PERCENT {
+        if served * 100 < asked * MIN_SERVED_PERCENT {
             let text = format!("RECOVER {served} of {asked} served, configuration {newest}");
-            judge.violate(now, &text);
+            checker.report_violation(now, &text);
         }
         for (node, machine) in self.soak.machines.iter().enumerate() {
             if !machine.is_ready.load(Ordering::Relaxed) {
-                judge.violate(now, &format!("RECOVER node {node} is not ready"));
+                checker.report_violation(now, &format!("RECOVER node {node} is not ready"));
             }
         }
     }
 
-    fn say(&self, text: &str) {
+    fn log(&self, text: &str) {
         let seconds = self.soak.now().as_secs_f64();
         println!("{seconds:8.3} {text}");
     }
--- a/tests/soak/src/lib.rs
+++ b/tests/soak/src/lib.rs
@@ -6,14 +6,14 @@
 
 pub mod back_end;
 pub mod caller;
+pub mod checker;
 pub mod crashing;
 pub mod deployment;
 pub mod faults;
-pub mod judge;
 pub mod node;
 pub mod operator;
 pub mod proxy;
-pub mod repeats;
+pub mod retries;
 pub mod soak;
 pub mod store;
 pub mod wire;
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use rillgap_soak::deployment::{DEFAULT_NODES, Layout, MOST_NODES};
+use rillgap_soak::deployment::{DEFAULT_NODES, Layout, MAX_NODES};
 use rillgap_soak::faults::{Proxies, Schedule, Targets};
 use rillgap_soak::node::Files;
 use rillgap_soak::proxy::Proxy;
@@ -64,8 +64,8 @@
 
 /// Runs a soak; returns whether all promises were kept.
 async fn run(arguments: &Arguments) -> io::Result<bool> {
-    if arguments.nodes == 0 || arguments.nodes > MOST_NODES {
-        let text = format!("--nodes must be from 1 to {MOST_NODES}");
+    if arguments.nodes == 0 || arguments.nodes > MAX_NODES {
+        let text = format!("--nodes must be from 1 to {MAX_NODES}");
         return Err(io::Error::new(io::ErrorKind::InvalidInput, text));
     }
     let layout = Layout {
@@ -83,7 +83,7 @@
     };
     let soak = Soak::new(layout, arguments.seed, arguments.renewals);
     if arguments.renewals {
-        soak.store.keep_copies();
+        soak.store.start_backups();
     }
     operator::configure(&soak);
     let (targets, supervisors) = start(&soak, &files).await?;
@@ -118,11 +118,11 @@
     let mut supervisors = Vec::new();
     for node in 0..soak.layout.nodes {
         targets.proxies.push(start_proxies(soak, node).await?);
-        let (orders, received) = mpsc::unbounded_channel();
-        targets.back_ends.push(orders);
+        let (actions, received) = mpsc::unbounded_channel();
+        targets.back_ends.push(actions);
         tokio::spawn(back_end::supervise(soak.clone(), node, received));
-        let (orders, received) = mpsc::unbounded_channel();
-        targets.nodes.push(orders);
+        let (actions, received) = mpsc::unbounded_channel();
+        targets.nodes.push(actions);
         let process = node::supervise(soak.clone(), node, files.clone(), received);
         supervisors.push(tokio::spawn(process));
     }
@@ -143,21 +143,21 @@
 
 fn conclude(soak: &Arc<Soak>, seed: u64) -> bool {
     let now = soak.now();
-    let mut judge = soak.judge();
-    judge.conclude(now);
-    let totals = judge.totals();
+    let mut checker = soak.checker();
+    checker.conclude(now);
+    let totals = checker.totals();
     println!(
         "seed {seed}: {} asked, {} served, {} refused, {} failed, {} left, {} denied; {} broken promises",
-        totals.asked,
+        totals.requests,
         totals.served,
         totals.refused,
         totals.failed,
-        totals.left,
+        totals.cancelled,
         totals.denied,
-        judge.violation_count()
+        checker.violation_count()
     );
-    for violation in judge.violations() {
+    for violation in checker.violations() {
         println!("BROKEN {violation}");
     }
-    judge.violation_count() == 0
+    checker.violation_count() == 0
 }
--- a/tests/soak/src/node.rs
+++ b/tests/soak/src/node.rs
@@ -14,22 +14,22 @@
 use tokio::sync::mpsc;
 use tokio::time::{interval, sleep, timeout};
 
-use crate::deployment::{GRACE, Layout, MOST_MEMORY_KB};
+use crate::deployment::{GRACE_PERIOD, Layout, MAX_MEMORY_KB};
 use crate::soak::Soak;
 use crate::wire::{Connection, encode_request};
 
 /// Time beyond the grace after which a stopping process is killed.
-const GRACE_MARGIN: Duration = Duration::from_millis(500);
+const GRACE_PERIOD_MARGIN: Duration = Duration::from_millis(500);
 /// Pause before a stopped process is started again.
-const RESTARTED_AFTER: Duration = Duration::from_millis(600);
+const RESTART_DELAY: Duration = Duration::from_millis(600);
 /// Time between two signals of a series.
-const SIGNAL_GAP: Duration = Duration::from_millis(300);
+const SIGNAL_INTERVAL: Duration = Duration::from_millis(300);
 /// Time between two looks at readiness and memory.
-const LOOK: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What happens to a node's process.
 #[derive(Clone, Copy, Debug)]
-pub enum Order {
+pub enum Action {
     /// SIGTERM, then a start.
     Stop,
     /// SIGTERM with SIGHUP and a second SIGTERM while it is carried out, then a start.
@@ -60,17 +60,17 @@
     soak: Arc<Soak>,
     node: usize,
     files: Files,
-    mut orders: mpsc::UnboundedReceiver<Order>,
+    mut actions: mpsc::UnboundedReceiver<Action>,
 ) -> io::Result<()> {
     loop {
         let mut child = start(&soak, node, &files)?;
-        let pause = match live(&soak, node, &mut child, &mut orders).await {
+        let pause = match run_until_exit(&soak, node, &mut child, &mut actions).await {
             Some(pause) => pause,
             None => return Ok(()),
         };
         soak.machines[node].is_ready.store(false, Ordering::Relaxed);
         sleep(pause).await;
-        while orders.try_recv().is_ok() {}
+        while actions.try_recv().is_ok() {}
     }
 }
 
@@ -82,7 +82,9 @@
         .create(true)
         .append(true)
         .open(files.folder.join(format!("{name}.log")))?;
-    soak.machines[node].run.fetch_add(1, Ordering::Relaxed);
+    soak.machines[node]
+        .incarnation
+        .fetch_add(1, Ordering::Relaxed);
     Command::new(&files.program)
         .arg("--settings")
         .arg(&settings)
@@ -95,46 +97,46 @@
 
 /// Lets a process run until it ends; returns the pause before the next start, or `None` if the
 /// soak is over.
-async fn live(
+async fn run_until_exit(
     soak: &Arc<Soak>,
     node: usize,
     child: &mut Child,
-    orders: &mut mpsc::UnboundedReceiver<Order>,
+    actions: &mut mpsc::UnboundedReceiver<Action>,
 ) -> Option<Duration> {
-    let mut looks = interval(LOOK);
+    let mut probes = interval(PROBE_INTERVAL);
     loop {
         tokio::select! {
             biased;
-            order = orders.recv() => match order {
+            action = actions.recv() => match action {
                 None => {
                     let _ = child.kill().await;
                     return None;
                 }
-                Some(Order::Reload) => signal(child, Signal::SIGHUP),
-                Some(Order::Pause(length)) => {
+                Some(Action::Reload) => signal(child, Signal::SIGHUP),
+                Some(Action::Pause(length)) => {
                     signal(child, Signal::SIGSTOP);
                     sleep(length).await;
                     signal(child, Signal::SIGCONT);
                 }
-                Some(Order::Kill(down)) => {
+                Some(Action::Kill(down)) => {
                     let _ = child.kill().await;
                     return Some(down);
                 }
-                Some(Order::Stop) => {
+                Some(Action::Stop) => {
                     stop(soak, node, child, &[]).await;
-                    return Some(RESTARTED_AFTER);
+                    return Some(RESTART_DELAY);
                 }
-                Some(Order::StopWithSignals) => {
+                Some(Action::StopWithSignals) => {
                     stop(soak, node, child, &[Signal::SIGHUP, Signal::SIGTERM]).await;
-                    return Some(RESTARTED_AFTER);
+                    return Some(RESTART_DELAY);
                 }
             },
             status = child.wait() => {
                 let text = format!("ENDED node {node} by itself: {status:?}");
-                soak.judge().violate(soak.now(), &text);
-                return Some(RESTARTED_AFTER);
+                soak.checker().report_violation(soak.now(), &text);
+                return Some(RESTART_DELAY);
             }
-            _ = looks.tick() => look(soak, node, child).await,
+            _ = probes.tick() => probe(soak, node, child).await,
         }
     }
 }
@@ -142,27 +144,27 @@
 /// Stops a process; `more` are sent to it while it stops.
 async fn stop(soak: &Arc<Soak>, node: usize, child: &mut Child, more: &[Signal]) {
     let begin = soak.now();
-    soak.judge()
-        .planned_stop(node, begin, begin + GRACE + Duration::from_secs(1));
+    soak.checker()
+        .add_planned_stop(node, begin, begin + GRACE_PERIOD + Duration::from_secs(1));
     signal(child, Signal::SIGTERM);
     for later in more {
-        sleep(SIGNAL_GAP).await;
+        sleep(SIGNAL_INTERVAL).await;
         signal(child, *later);
     }
     // Callers learn within two looks that the node is not ready.
     let machine = &soak.machines[node];
-    let unready = async {
-        sleep(LOOK).await;
+    let mark_unready = async {
+        sleep(PROBE_INTERVAL).await;
         machine.is_ready.store(false, Ordering::Relaxed);
         std::future::pending::<()>().await;
     };
     let ended = tokio::select! {
-        ended = timeout(GRACE + GRACE_MARGIN, child.wait()) => ended.is_ok(),
-        () = unready => false,
+        ended = timeout(GRACE_PERIOD + GRACE_PERIOD_MARGIN, child.wait()) => ended.is_ok(),
+        () = mark_unready => false,
     };
     if !ended {
         let text = format!("GRACE node {node} was still there at the end of its grace");
-        soak.judge().violate(soak.now(), &text);
+        soak.checker().report_violation(soak.now(), &text);
         let _ = child.kill().await;
     }
 }
@@ -176,20 +178,20 @@
     }
 }
 
-async fn look(soak: &Arc<Soak>, node: usize, child: &Child) {
-    let is_ready = timeout(Duration::from_millis(500), ask_readiness(soak, node)).await;
+async fn probe(soak: &Arc<Soak>, node: usize, child: &Child) {
+    let is_ready = timeout(Duration::from_millis(500), fetch_readiness(soak, node)).await;
     let is_ready = matches!(is_ready, Ok(Ok(200)));
     soak.machines[node]
         .is_ready
         .store(is_ready, Ordering::Relaxed);
     let used = child.id().and_then(memory_kb).unwrap_or(0);
-    if used > MOST_MEMORY_KB {
+    if used > MAX_MEMORY_KB {
         let text = format!("MEMORY node {node} uses {used} kB");
-        soak.judge().violate(soak.now(), &text);
+        soak.checker().report_violation(soak.now(), &text);
     }
 }
 
-async fn ask_readiness(soak: &Arc<Soak>, node: usize) -> io::Result<u16> {
+async fn fetch_readiness(soak: &Arc<Soak>, node: usize) -> io::Result<u16> {
     let address = soak.layout.readiness(node);
     let stream = tokio::net::TcpStream::connect(address).await?;
     let mut connection = Connection::new(stream);
--- a/tests/soak/src/operator.rs
+++ b/tests/soak/src/operator.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-use crate::caller::{STANDING_VERSIONS, VERSION_SERVICE, key_of};
+use crate::caller::{ROUTED_VERSIONS, VERSION_SERVICE, key_of};
 use crate::deployment::{HOST, SERVICES, TENANT};
 use crate::soak::Soak;
 
@@ -18,7 +18,7 @@
         route(soak, "/once/", "middle", "non_idempotent", 0),
         route(soak, "/deep/", "deep", "safe", 1),
     ];
-    let first = (version + 1).saturating_sub(STANDING_VERSIONS).max(1);
+    let first = (version + 1).saturating_sub(ROUTED_VERSIONS).max(1);
     for standing in first..=version {
         let prefix = format!("/v{standing}/");
         resources.push(route(soak, &prefix, VERSION_SERVICE, "safe", 2));
@@ -51,19 +51,19 @@
     let spec = json!({"version": version, "resources": resources});
     *soak.configuration() = spec.clone();
     soak.store.put("config", "main", spec);
-    soak.judge().accepted(soak.now(), version);
+    soak.checker().on_version_accepted(soak.now(), version);
     // Callers use the new route only after this.
     soak.version.store(version, Ordering::SeqCst);
 }
 
 /// Writes the newest version again, which the store may have lost.
-pub fn write_again(soak: &Arc<Soak>) {
+pub fn rewrite_newest(soak: &Arc<Soak>) {
     let spec = soak.configuration().clone();
     soak.store.put("config", "main", spec);
 }
 
 fn route(soak: &Arc<Soak>, prefix: &str, service: &'static str, kind: &str, priority: u8) -> Value {
-    soak.judge().allow(prefix, service);
+    soak.checker().allow_route(prefix, service);
     json!({
         "type": "routes",
         "metadata": {"name": prefix.trim_matches('/')},
--- a/tests/soak/src/proxy.rs
+++ b/tests/soak/src/proxy.rs
@@ -25,7 +25,7 @@
     /// Bytes back to the client are held; those towards the server pass.
     HoldAnswers,
     /// Nothing passes, and nobody is told.
-    Silence,
+    Blackhole,
     /// Connections are reset, and so are new ones.
     Reset,
 }
@@ -33,7 +33,7 @@
 impl Disturbance {
     const fn holds(self, direction: Direction) -> bool {
         match self {
-            Self::Silence => true,
+            Self::Blackhole => true,
             Self::HoldRequests => matches!(direction, Direction::ToServer),
             Self::HoldAnswers => matches!(direction, Direction::ToClient),
             Self::None | Self::Delay(_) | Self::Reset => false,
@@ -76,7 +76,7 @@
     }
 
     /// Changes what happens to connections from now on.
-    pub fn disturb(&self, disturbance: Disturbance) {
+    pub fn set_disturbance(&self, disturbance: Disturbance) {
         self.mode.send_replace(disturbance);
     }
 }
@@ -102,15 +102,15 @@
     let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = upstream.into_split();
-    let forth = pass(client_read, server_write, mode.clone(), Direction::ToServer);
-    let back = pass(server_read, client_write, mode.clone(), Direction::ToClient);
-    let broken = async {
+    let to_server = pass(client_read, server_write, mode.clone(), Direction::ToServer);
+    let to_client = pass(server_read, client_write, mode.clone(), Direction::ToClient);
+    let reset_requested = async {
         let is_reset = |mode: &Disturbance| *mode == Disturbance::Reset;
         let _ = mode.wait_for(is_reset).await;
     };
     tokio::select! {
-        _ = async { tokio::join!(forth, back) } => {}
-        () = broken => {}
+        _ = async { tokio::join!(to_server, to_client) } => {}
+        () = reset_requested => {}
     }
 }
 
--- a/tests/soak/src/soak.rs
+++ b/tests/soak/src/soak.rs
@@ -8,25 +8,25 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
+use crate::checker::{Checker, Moment};
 use crate::deployment::Layout;
-use crate::judge::{Judge, Moment};
 use crate::store::Store;
 
 /// What a node's run and its back end's behaviour are at the moment.
 #[derive(Debug, Default)]
 pub struct Machine {
     /// Run of the node's process.
-    pub run: AtomicU32,
+    pub incarnation: AtomicU32,
     /// Whether the node has said that it is ready.
     pub is_ready: AtomicBool,
     /// Answers of the back end that are lost, in percent.
     pub lost_percent: AtomicU32,
     /// Answers of the back end that are spoiled, in percent.
-    pub spoiled_percent: AtomicU32,
+    pub corrupted_percent: AtomicU32,
     /// Requests that the back end fails, in percent.
     pub failed_percent: AtomicU32,
     /// How many times as long the back end works; 0 counts as 1.
-    pub slowness: AtomicU32,
+    pub slowdown_factor: AtomicU32,
 }
 
 /// What all parts of a soak share.
@@ -41,27 +41,27 @@
     /// Newest version of the configuration.
     pub version: AtomicU64,
     /// Whether the store comes back from copies, and back ends keep their identifiers over a start.
-    pub renews: bool,
+    pub has_renewals: bool,
     /// Newest configuration, as the operator has written it.
     configuration: Mutex<Value>,
     start: Instant,
-    judge: Mutex<Judge>,
+    checker: Mutex<Checker>,
     random: Mutex<ChaCha8Rng>,
     next_request: AtomicU64,
 }
 
 impl Soak {
     /// Creates a soak whose draws follow from `seed`.
-    pub fn new(layout: Layout, seed: u64, renews: bool) -> Arc<Self> {
+    pub fn new(layout: Layout, seed: u64, has_renewals: bool) -> Arc<Self> {
         Arc::new(Self {
             layout,
             store: Store::new(layout.nodes),
             machines: (0..layout.nodes).map(|_| Machine::default()).collect(),
             version: AtomicU64::new(0),
-            renews,
+            has_renewals,
             configuration: Mutex::default(),
             start: Instant::now(),
-            judge: Mutex::default(),
+            checker: Mutex::default(),
             random: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
             next_request: AtomicU64::new(0),
         })
@@ -73,8 +73,8 @@
     }
 
     /// Returns the judge.
-    pub fn judge(&self) -> MutexGuard<'_, Judge> {
-        self.judge.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn checker(&self) -> MutexGuard<'_, Checker> {
+        self.checker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the newest configuration, as the operator has written it.
@@ -91,7 +91,7 @@
     }
 
     /// Returns whether a draw hits, in percent.
-    pub fn hits(&self, percent: &AtomicU32) -> bool {
+    pub fn draw_percent(&self, percent: &AtomicU32) -> bool {
         let percent = percent.load(Ordering::Relaxed);
         percent > 0 && self.draw(100) < u64::from(percent)
     }
@@ -103,7 +103,7 @@
     }
 
     /// Returns the run of a node's process.
-    pub fn run_of(&self, node: usize) -> u32 {
-        self.machines[node].run.load(Ordering::Relaxed)
+    pub fn incarnation_of(&self, node: usize) -> u32 {
+        self.machines[node].incarnation.load(Ordering::Relaxed)
     }
 }
--- a/tests/soak/src/store.rs
+++ b/tests/soak/src/store.rs
@@ -14,16 +14,16 @@
 use crate::wire::{Connection, Request, encode_response};
 
 /// Time that an answer takes.
-const ANSWER_TIME: Duration = Duration::from_millis(4);
+const ANSWER_DELAY: Duration = Duration::from_millis(4);
 /// Longest time for which a watch waits.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
 /// How a door of the store treats its node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Treatment {
+pub enum StoreFault {
     /// Well.
     #[default]
-    Serve,
+    None,
     /// Refuses everything with 503.
     Busy,
     /// Refuses everything with 429.
@@ -59,15 +59,15 @@
 }
 
 /// Copies that are kept, and the time between two.
-const MOST_COPIES: usize = 20;
-const COPY_INTERVAL: Duration = Duration::from_millis(500);
+const MAX_BACKUPS: usize = 20;
+const BACKUP_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug, Default)]
 struct Contents {
     /// Rises by one each time the store comes back from a copy.
     epoch: u64,
     revision: u64,
-    forgotten: u64,
+    compacted_revision: u64,
     kinds: BTreeMap<String, BTreeMap<String, Object>>,
     history: Vec<Change>,
 }
@@ -78,19 +78,19 @@
     contents: Mutex<Contents>,
     revision: watch::Sender<u64>,
     /// Copies of what it held, the newest last.
-    copies: Mutex<Vec<Contents>>,
-    treatments: Vec<watch::Sender<Treatment>>,
+    backups: Mutex<Vec<Contents>>,
+    faults: Vec<watch::Sender<StoreFault>>,
 }
 
 impl Store {
     /// Creates an empty store with so many doors.
-    pub fn new(doors: usize) -> Arc<Self> {
-        let treatments = (0..doors).map(|_| watch::Sender::new(Treatment::Serve));
+    pub fn new(endpoints: usize) -> Arc<Self> {
+        let faults = (0..endpoints).map(|_| watch::Sender::new(StoreFault::None));
         Arc::new(Self {
             contents: Mutex::default(),
             revision: watch::Sender::new(0),
-            copies: Mutex::default(),
-            treatments: treatments.collect(),
+            backups: Mutex::default(),
+            faults: faults.collect(),
         })
     }
 
@@ -99,13 +99,13 @@
     /// # Errors
     ///
     /// Fails if the address cannot be bound.
-    pub async fn listen(self: &Arc<Self>, door: usize, address: SocketAddr) -> io::Result<()> {
+    pub async fn listen(self: &Arc<Self>, endpoint: usize, address: SocketAddr) -> io::Result<()> {
         let listener = TcpListener::bind(address).await?;
         let store = self.clone();
         tokio::spawn(async move {
             loop {
                 if let Ok((stream, _)) = listener.accept().await {
-                    tokio::spawn(store.clone().serve(door, stream));
+                    tokio::spawn(store.clone().serve(endpoint, stream));
                 }
             }
         });
@@ -113,8 +113,8 @@
     }
 
     /// Changes how a door treats its node from now on.
-    pub fn treat(&self, door: usize, treatment: Treatment) {
-        self.treatments[door].send_replace(treatment);
+    pub fn set_fault(&self, endpoint: usize, fault: StoreFault) {
+        self.faults[endpoint].send_replace(fault);
     }
 
     /// Writes an object, as the operator does.
@@ -128,70 +128,70 @@
     pub fn compact(&self) {
         let mut contents = self.lock();
         contents.revision += 1;
-        contents.forgotten = contents.revision;
+        contents.compacted_revision = contents.revision;
         contents.history.clear();
         self.revision.send_replace(contents.revision);
     }
 
     /// Keeps copies for as long as the store is there.
-    pub fn keep_copies(self: &Arc<Self>) {
+    pub fn start_backups(self: &Arc<Self>) {
         let store = self.clone();
         tokio::spawn(async move {
             loop {
-                store.keep_copy();
-                tokio::time::sleep(COPY_INTERVAL).await;
+                store.take_backup();
+                tokio::time::sleep(BACKUP_INTERVAL).await;
             }
         });
     }
 
-    fn keep_copy(&self) {
-        let copy = self.lock().clone();
-        let mut copies = self.copies();
-        if copies.len() >= MOST_COPIES {
-            copies.remove(0);
+    fn take_backup(&self) {
+        let backup = self.lock().clone();
+        let mut backups = self.backups();
+        if backups.len() >= MAX_BACKUPS {
+            backups.remove(0);
         }
-        copies.push(copy);
+        backups.push(backup);
     }
 
     /// Comes back from a copy of about this age: what was written since is gone, and revisions are given out again.
     /// Watches that wait are cut, or hear nothing any more.
-    pub fn return_from_copy(&self, age: Duration) {
-        let back = usize::try_from(age.as_millis() / COPY_INTERVAL.as_millis()).unwrap_or(0);
-        let copies = self.copies();
-        let Some(copy) = copies.iter().rev().nth(back).or(copies.first()) else {
+    pub fn restore_backup(&self, age: Duration) {
+        let back = usize::try_from(age.as_millis() / BACKUP_INTERVAL.as_millis()).unwrap_or(0);
+        let backups = self.backups();
+        let Some(backup) = backups.iter().rev().nth(back).or(backups.first()) else {
             return;
         };
         let mut contents = self.lock();
         let epoch = contents.epoch + 1;
-        *contents = copy.clone();
+        *contents = backup.clone();
         contents.epoch = epoch;
         self.revision.send_replace(contents.revision);
     }
 
-    fn copies(&self) -> std::sync::MutexGuard<'_, Vec<Contents>> {
-        self.copies.lock().unwrap_or_else(PoisonError::into_inner)
+    fn backups(&self) -> std::sync::MutexGuard<'_, Vec<Contents>> {
+        self.backups.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Contents> {
         self.contents.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn serve(self: Arc<Self>, door: usize, stream: TcpStream) {
+    async fn serve(self: Arc<Self>, endpoint: usize, stream: TcpStream) {
         let mut connection = Connection::new(stream);
         while let Ok(Some(request)) = connection.read_request().await {
-            let treatment = *self.treatments[door].borrow();
-            tokio::time::sleep(ANSWER_TIME).await;
-            let (status, body) = match treatment {
-                Treatment::Busy => (503, json!({"error": "busy"})),
-                Treatment::Throttle => (429, json!({"error": "too many calls"})),
+            let fault = *self.faults[endpoint].borrow();
+            tokio::time::sleep(ANSWER_DELAY).await;
+            let (status, body) = match fault {
+                StoreFault::Busy => (503, json!({"error": "busy"})),
+                StoreFault::Throttle => (429, json!({"error": "too many calls"})),
                 _ => self.answer(&request).await,
             };
-            if let Treatment::Slow(delay) = treatment {
+            if let StoreFault::Slow(delay) = fault {
                 tokio::time::sleep(delay).await;
             }
-            if *self.treatments[door].borrow() == Treatment::LoseAnswers {
+            if *self.faults[endpoint].borrow() == StoreFault::LoseAnswers {
                 // Says nothing further on this connection.
-                return connection.closed().await;
+                return connection.wait_closed().await;
             }
             let fields = [
                 ("Content-Type", "application/json".to_owned()),
@@ -228,7 +228,7 @@
             ("GET", None) => match number("watch") {
                 Some(after) => {
                     let wait = Duration::from_millis(number("wait-ms").unwrap_or(0));
-                    self.watch(kind, after, wait.min(LONGEST_WAIT)).await
+                    self.watch(kind, after, wait.min(MAX_WATCH_WAIT)).await
                 }
                 None => self.lock().list(kind),
             },
@@ -246,8 +246,8 @@
                 let Ok(body) = serde_json::from_slice::<Value>(&request.body) else {
                     return (400, json!({"error": "not JSON"}));
                 };
-                let own_name = body["metadata"]["name"].as_str().unwrap_or_default();
-                let name = name.unwrap_or(own_name).to_owned();
+                let name_in_body = body["metadata"]["name"].as_str().unwrap_or_default();
+                let name = name.unwrap_or(name_in_body).to_owned();
                 contents.put(kind, &name, &body, method == "POST")
             }
         };
@@ -348,7 +348,7 @@
 
     /// Returns the changes after a revision, and the revision now; fails if they are forgotten.
     fn events(&self, kind: &str, after: u64) -> Result<(Vec<Value>, u64), ()> {
-        if after < self.forgotten || after > self.revision {
+        if after < self.compacted_revision || after > self.revision {
             return Err(());
         }
         let events = self
--- a/tests/soak/src/wire.rs
+++ b/tests/soak/src/wire.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 
 /// Most header fields of a message.
-const MOST_FIELDS: usize = 64;
+const MAX_FIELDS: usize = 64;
 
 /// Header fields in their order.
 #[derive(Clone, Debug, Default)]
@@ -135,7 +135,7 @@
     }
 
     /// Waits until the peer has closed or broken the connection.
-    pub async fn closed(&self) {
+    pub async fn wait_closed(&self) {
         loop {
             if self.stream.readable().await.is_err() {
                 return;
@@ -197,7 +197,7 @@
 }
 
 fn parse_request(input: &mut BytesMut) -> io::Result<Option<Request>> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Request::new(&mut headers);
     let httparse::Status::Complete(head) = parsed.parse(input).map_err(malformed)? else {
         return Ok(None);
@@ -215,7 +215,7 @@
 }
 
 fn parse_response(input: &mut BytesMut) -> io::Result<Option<Response>> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut parsed = httparse::Response::new(&mut headers);
     let httparse::Status::Complete(head) = parsed.parse(input).map_err(malformed)? else {
         return Ok(None);
--- /dev/null
+++ b/tests/soak/tests/checker.rs
@@ -0,0 +1,417 @@
+//! The judge catches each kind of broken promise, and nothing else.
+
+use std::time::Duration;
+
+use googletest::prelude::*;
+use rillgap_soak::checker::{Answer, Arrived, Checker, Sent, body_of, prefix_of, signature_of};
+use rillgap_soak::deployment::TENANT;
+
+const INSTANCE: &str = "b1-1";
+
+fn at(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+fn sent(millis: u64, is_idempotent: bool) -> Sent {
+    Sent {
+        at: at(millis),
+        node: 1,
+        method: "GET",
+        target: "/front/calls".to_owned(),
+        body: Vec::new(),
+        is_idempotent,
+        caller_service: "middle",
+        key_version: None,
+    }
+}
+
+fn arrived(id: &str) -> Arrived<'_> {
+    Arrived {
+        id,
+        method: "GET",
+        target: "/front/calls",
+        body: b"",
+        caller_service: "middle",
+        tenant: None,
+        shows_credential: false,
+        service: "front",
+        instance: INSTANCE,
+    }
+}
+
+/// A judge who knows the route of [`arrived`].
+fn checker() -> Checker {
+    let mut checker = Checker::default();
+    checker.allow_route("/front/", "front");
+    checker
+}
+
+/// A judge who has seen one request begin to run.
+fn running(is_idempotent: bool) -> Checker {
+    let mut checker = checker();
+    checker.on_sent("r1", sent(0, is_idempotent), "front", false);
+    checker.on_arrived(at(1), &arrived("r1"));
+    checker.on_run_started(at(1), &arrived("r1"));
+    checker
+}
+
+fn kinds(checker: &Checker) -> Vec<String> {
+    let kind = |text: &String| {
+        text.split_whitespace()
+            .nth(1)
+            .unwrap_or_default()
+            .to_owned()
+    };
+    checker.violations().iter().map(kind).collect()
+}
+
+#[gtest]
+fn sound_request_breaks_nothing() {
+    let mut checker = running(false);
+    let body = body_of("r1", INSTANCE);
+    let signature = signature_of(&body);
+    let answer = Answer {
+        status: 200,
+        id: Some("r1"),
+        signature: Some(&signature),
+        body: &body,
+    };
+    checker.on_run_ended(at(20), "r1", INSTANCE);
+    checker.on_answer(at(21), "r1", &answer, false);
+    checker.conclude(at(10_000));
+    expect_that!(kinds(&checker), is_empty());
+    expect_that!(checker.totals().served, eq(1));
+    checker.on_sent("r2", sent(0, true), "front", false);
+    checker.on_caller_left(at(5), "r2");
+    expect_that!(
+        (checker.totals().requests, checker.totals().cancelled),
+        eq((2, 1))
+    );
+}
+
+#[gtest]
+fn second_run_is_caught_unless_the_request_may_run_again() {
+    for (is_idempotent, expected) in [(true, vec![]), (false, vec!["TWICE".to_owned()])] {
+        let mut checker = running(is_idempotent);
+        checker.on_run_started(at(30), &arrived("r1"));
+        expect_that!(kinds(&checker), eq(&expected));
+    }
+}
+
+#[gtest]
+fn false_promise_is_caught_also_if_the_run_comes_later() {
+    let mut checker = checker();
+    checker.on_sent("r1", sent(0, false), "front", false);
+    checker.on_promised_not_run(at(5), "r1");
+    checker.on_run_started(at(400), &arrived("r1"));
+    checker.conclude(at(10_000));
+    expect_that!(kinds(&checker), eq(&vec!["REFUSED".to_owned()]));
+}
+
+#[gtest]
+fn answer_of_another_request_or_cut_short_is_caught() {
+    let mut checker = running(true);
+    let foreign = body_of("r2", INSTANCE);
+    let own = body_of("r1", INSTANCE);
+    for (id, body) in [("r2", &foreign[..]), ("r1", &own[..own.len() - 1])] {
+        let signature = signature_of(body);
+        let answer = Answer {
+            status: 200,
+            id: Some(id),
+            signature: Some(&signature),
+            body,
+        };
+        checker.on_answer(at(20), "r1", &answer, false);
+    }
+    expect_that!(kinds(&checker), each(eq("MIXED")));
+    expect_that!(checker.violation_count(), eq(3));
+}
+
+#[gtest]
+fn request_that_nobody_sent_or_that_was_changed_is_caught() {
+    let mut checker = checker();
+    checker.on_run_started(at(1), &arrived("r9"));
+    checker.on_sent("r1", sent(0, true), "front", false);
+    let changes: [fn(&mut Arrived<'static>); 4] = [
+        |arrived| arrived.method = "POST",
+        |arrived| arrived.target = "/front/other",
+        |arrived| arrived.body = b"x",
+        |arrived| arrived.caller_service = "forged",
+    ];
+    for change in changes {
+        let mut changed = arrived("r1");
+        change(&mut changed);
+        checker.on_run_started(at(2), &changed);
+    }
+    expect_that!(kinds(&checker), each(eq("UNASKED")));
+    expect_that!(checker.violation_count(), eq(5));
+}
+
+#[gtest]
+fn request_at_a_service_that_no_configuration_allows_is_caught() {
+    let mut checker = running(true);
+    let elsewhere = Arrived {
+        service: "deep",
+        ..arrived("r1")
+    };
+    checker.on_run_started(at(5), &elsewhere);
+    expect_that!(kinds(&checker), eq(&vec!["ROUTE".to_owned()]));
+}
+
+#[gtest]
+fn request_at_a_drained_back_end_is_caught_after_the_drain_time() {
+    let mut checker = checker();
+    checker.on_sent("r1", sent(0, true), "front", false);
+    checker.on_drain_acknowledged(at(1_000), INSTANCE);
+    checker.on_run_started(at(2_900), &arrived("r1"));
+    expect_that!(kinds(&checker), is_empty());
+    checker.on_run_started(at(3_100), &arrived("r1"));
+    expect_that!(kinds(&checker), eq(&vec!["DRAIN".to_owned()]));
+}
+
+#[gtest]
+fn node_that_goes_back_to_an_older_configuration_is_caught() {
+    let mut checker = checker();
+    checker.on_version_accepted(at(0), 3);
+    checker.on_version_served(at(500), 1, 1, 3);
+    // Another run of the process may know less.
+    checker.on_version_unknown(at(600), 1, 2, 3);
+    expect_that!(kinds(&checker), is_empty());
+    checker.on_version_unknown(at(600), 1, 1, 3);
+    expect_that!(kinds(&checker), eq(&vec!["CONFIG".to_owned()]));
+}
+
+#[gtest]
+fn disturbance_excuses_a_late_configuration_only_until_the_node_had_its_time_in_touch() {
+    let mut checker = checker();
+    checker.on_version_accepted(at(1_000), 3);
+    checker.add_disturbance(at(500), at(5_000));
+    checker.on_version_unknown(at(9_900), 1, 1, 3);
+    expect_that!(kinds(&checker), is_empty());
+    checker.on_version_unknown(at(10_100), 1, 1, 3);
+    expect_that!(kinds(&checker), eq(&vec!["CONFIG".to_owned()]));
+}
+
+#[gtest]
+fn planned_stop_excuses_a_late_configuration_only_for_a_while() {
+    let mut checker = checker();
+    checker.on_version_accepted(at(1_000), 3);
+    checker.add_planned_stop(1, at(500), at(5_000));
+    checker.on_version_unknown(at(9_900), 1, 1, 3);
+    expect_that!(kinds(&checker), is_empty());
+    checker.on_version_unknown(at(10_100), 1, 1, 3);
+    expect_that!(kinds(&checker), eq(&vec!["CONFIG".to_owned()]));
+}
+
+#[gtest]
+fn configuration_that_comes_too_late_is_caught_unless_something_is_disturbed() {
+    let mut checker = checker();
+    checker.on_version_accepted(at(10_000), 3);
+    checker.on_version_unknown(at(11_900), 1, 1, 3);
+    expect_that!(kinds(&checker), is_empty());
+    checker.on_version_unknown(at(12_100), 1, 1, 3);
+    expect_that!(kinds(&checker), eq(&vec!["CONFIG".to_owned()]));
+    checker.add_disturbance(at(8_000), at(9_000));
+    checker.on_version_unknown(at(12_100), 1, 1, 3);
+    expect_that!(checker.violation_count(), eq(1));
+}
+
+#[gtest]
+fn request_lost_at_a_planned_stop_is_caught_unless_something_is_disturbed() {
+    let mut checker = checker();
+    checker.add_planned_stop(1, at(0), at(7_000));
+    checker.on_sent("r1", sent(1_000, true), "front", false);
+    checker.on_sent("r2", sent(20_000, true), "front", false);
+    checker.on_no_answer(at(1_200), "r1", false, false);
+    checker.on_no_answer(at(20_100), "r2", false, false);
+    expect_that!(kinds(&checker), eq(&vec!["LOST".to_owned()]));
+    checker.add_disturbance(at(500), at(900));
+    checker.on_no_answer(at(1_200), "r1", false, false);
+    expect_that!(checker.violation_count(), eq(1));
+}
+
+#[gtest]
+fn request_that_crosses_the_close_of_a_kept_connection_counts_only_if_it_was_passed_on() {
+    let mut checker = checker();
+    checker.add_planned_stop(1, at(0), at(7_000));
+    checker.on_sent("r1", sent(1_000, true), "front", false);
+    checker.on_no_answer(at(1_200), "r1", false, true);
+    expect_that!(kinds(&checker), is_empty());
+    checker.on_sent("r2", sent(1_000, true), "front", false);
+    checker.on_arrived(at(1_100), &arrived("r2"));
+    checker.on_no_answer(at(1_200), "r2", false, true);
+    expect_that!(kinds(&checker), eq(&vec!["LOST".to_owned()]));
+}
+
+#[gtest]
+fn repeats_beyond_the_budget_are_caught() {
+    let mut checker = checker();
+    for number in 0..100 {
+        let id = format!("r{number}");
+        checker.on_sent(&id, sent(number, true), "front", false);
+        checker.on_arrived(at(number), &arrived(&id));
+    }
+    for number in 0..75 {
+        checker.on_arrived(at(140), &arrived(&format!("r{number}")));
+    }
+    checker.conclude(at(20_000));
+    expect_that!(kinds(&checker), is_empty());
+    checker.on_arrived(at(150), &arrived("r99"));
+    checker.conclude(at(20_000));
+    expect_that!(kinds(&checker), eq(&vec!["BUDGET".to_owned()]));
+}
+
+#[gtest]
+fn calls_of_a_repeated_request_count_as_repeats() {
+    let mut checker = checker();
+    for number in 0..60 {
+        let id = format!("r{number}");
+        checker.on_sent(&id, sent(number, true), "other", false);
+        checker.on_arrived(at(number), &arrived(&id));
+        checker.on_arrived(at(number), &arrived(&id));
+        let call = format!("{id}.1");
+        let deep = Arrived {
+            service: "deep",
+            ..arrived(&call)
+        };
+        checker.on_arrived(at(number), &deep);
+    }
+    checker.conclude(at(20_000));
+    expect_that!(
+        checker.violations(),
+        contains(contains_substring("BUDGET deep"))
+    );
+}
+
+#[gtest]
+fn work_that_goes_on_without_its_callers_is_caught() {
+    for (stops_at, expected) in [(300, vec![]), (2_000, vec!["GONE".to_owned()])] {
+        let mut checker = checker();
+        for number in 0..8 {
+            let id = format!("r{number}");
+            checker.on_sent(&id, sent(0, true), "front", false);
+            checker.on_run_started(at(1), &arrived(&id));
+            checker.on_caller_left(at(100), &id);
+            checker.on_run_ended(at(stops_at), &id, INSTANCE);
+        }
+        checker.conclude(at(20_000));
+        expect_that!(kinds(&checker), eq(&expected));
+    }
+}
+
+#[gtest]
+fn prefix_is_the_first_segment() {
+    expect_that!(prefix_of("/v12/plain?n=1"), eq("/v12/"));
+    expect_that!(prefix_of("/none"), eq("/none"));
+}
+
+/// Lets a request with the key of a version run `millis` after the next version was accepted.
+fn run_with_old_key(millis: u64) -> Checker {
+    let mut checker = checker();
+    checker.on_version_accepted(at(1_000), 8);
+    let keyed = Sent {
+        key_version: Some(7),
+        ..sent(1_000 + millis, true)
+    };
+    checker.on_sent("r1", keyed, "front", false);
+    let arrived = Arrived {
+        tenant: Some(TENANT),
+        ..arrived("r1")
+    };
+    checker.on_run_started(at(1_010 + millis), &arrived);
+    checker
+}
+
+#[gtest]
+fn key_that_works_long_after_it_was_taken_away_is_caught() {
+    expect_that!(kinds(&run_with_old_key(4_900)), is_empty());
+    let expected = vec!["REVOKED".to_owned()];
+    expect_that!(kinds(&run_with_old_key(5_100)), eq(&expected));
+}
+
+#[gtest]
+fn other_tenant_and_passed_on_credential_are_caught() {
+    let forged = Arrived {
+        tenant: Some("forged"),
+        ..arrived("r1")
+    };
+    let leaking = Arrived {
+        shows_credential: true,
+        ..arrived("r1")
+    };
+    for arrived in [forged, leaking] {
+        let mut checker = checker();
+        checker.on_sent("r1", sent(0, true), "front", false);
+        checker.on_run_started(at(1), &arrived);
+        expect_that!(kinds(&checker), eq(&vec!["UNASKED".to_owned()]));
+    }
+}
+
+#[gtest]
+fn denial_of_a_key_is_no_failure_only_if_it_was_taken_away() {
+    for (key_version, expected) in [(7, (1, 0)), (8, (0, 1))] {
+        let mut checker = checker();
+        checker.on_version_accepted(at(1_000), 8);
+        let keyed = Sent {
+            key_version: Some(key_version),
+            ..sent(2_000, true)
+        };
+        checker.on_sent("r1", keyed, "front", false);
+        let answer = Answer {
+            status: 401,
+            id: None,
+            signature: None,
+            body: b"",
+        };
+        checker.on_answer(at(2_005), "r1", &answer, false);
+        let totals = checker.totals();
+        expect_that!((totals.denied, totals.failed), eq(expected));
+    }
+}
+
+/// A judge who sees a request that ends back ends run at these times, each of them a crash.
+fn crashing(times: &[u64]) -> Checker {
+    let mut checker = checker();
+    let target = "/front/crash?n=1";
+    for (number, time) in times.iter().enumerate() {
+        let id = format!("r{number}");
+        let mut request = sent(*time, true);
+        request.target = target.to_owned();
+        checker.on_sent(&id, request, "front", false);
+        let run = Arrived {
+            target,
+            ..arrived(&id)
+        };
+        checker.on_arrived(at(*time), &run);
+        checker.on_run_started(at(*time), &run);
+        checker.on_crash(at(*time + 50), target);
+    }
+    checker
+}
+
+#[gtest]
+fn request_that_goes_on_to_crash_back_ends_is_caught() {
+    let mut checker = crashing(&[0, 100, 1_000, 4_500, 5_000, 6_000, 7_000]);
+    checker.conclude(at(20_000));
+    expect_that!(kinds(&checker), elements_are![eq("CRASHES")]);
+}
+
+#[gtest]
+fn runs_while_nodes_may_not_know_of_the_crashes_are_not_held_against_them() {
+    let mut early = crashing(&[0, 100, 1_000, 2_000, 3_000, 4_000, 5_000]);
+    early.conclude(at(20_000));
+    expect_that!(kinds(&early), is_empty());
+    let mut disturbed = crashing(&[0, 100, 1_000, 4_500, 5_000, 6_000, 7_000]);
+    disturbed.add_disturbance(at(4_000), at(6_000));
+    disturbed.conclude(at(20_000));
+    expect_that!(kinds(&disturbed), is_empty());
+}
+
+#[gtest]
+fn refusal_of_a_request_that_ends_no_back_end_is_caught() {
+    let mut checker = checker();
+    checker.on_quarantined(at(1), "/front/crash?n=1");
+    expect_that!(kinds(&checker), is_empty());
+    checker.on_quarantined(at(2), "/front/calls");
+    expect_that!(kinds(&checker), elements_are![eq("HELD")]);
+}
--- a/tests/soak/tests/proxy.rs
+++ b/tests/soak/tests/proxy.rs
@@ -48,7 +48,7 @@
         .await
         .expect("a connection");
     expect_that!(comes_back(&mut stream, LONG).await, eq(true));
-    proxy.disturb(Disturbance::Delay(Duration::from_millis(30)));
+    proxy.set_disturbance(Disturbance::Delay(Duration::from_millis(30)));
     expect_that!(comes_back(&mut stream, LONG).await, eq(true));
 }
 
@@ -58,16 +58,16 @@
     for (last, held) in [
         (2, Disturbance::HoldRequests),
         (3, Disturbance::HoldAnswers),
-        (4, Disturbance::Silence),
+        (4, Disturbance::Blackhole),
     ] {
         let proxy = echo(last).await;
         let mut stream = TcpStream::connect(proxy.address())
             .await
             .expect("a connection");
         expect_that!(comes_back(&mut stream, LONG).await, eq(true));
-        proxy.disturb(held);
+        proxy.set_disturbance(held);
         expect_that!(comes_back(&mut stream, SHORT).await, eq(false));
-        proxy.disturb(Disturbance::None);
+        proxy.set_disturbance(Disturbance::None);
         let mut byte = [0];
         let late = timeout(LONG, stream.read_exact(&mut byte)).await;
         expect_that!(late.is_ok_and(|read| read.is_ok()), eq(true));
@@ -82,13 +82,13 @@
         .await
         .expect("a connection");
     expect_that!(comes_back(&mut stream, LONG).await, eq(true));
-    proxy.disturb(Disturbance::Reset);
+    proxy.set_disturbance(Disturbance::Reset);
     expect_that!(comes_back(&mut stream, LONG).await, eq(false));
     let mut next = TcpStream::connect(proxy.address())
         .await
         .expect("a connection");
     expect_that!(comes_back(&mut next, LONG).await, eq(false));
-    proxy.disturb(Disturbance::None);
+    proxy.set_disturbance(Disturbance::None);
     let mut again = TcpStream::connect(proxy.address())
         .await
         .expect("a connection");
