--- a/tests/soak/src/crashing.rs
+++ b/tests/soak/src/crashing.rs
@@ -1,4 +1,4 @@
-//! Requests that end each back end that works on them: how they are sent, and how often they may run.
+//! Requests that crash every back end that works on them: sends them and checks how often they run.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,26 +12,28 @@
 use crate::checker::Moment;
 use crate::soak::Soak;
 
-/// Part of a target that ends each back end that works on it.
+/// Part of a target that makes back ends crash.
 pub const CRASH_PATH: &str = "/crash";
-/// Time for which a back end that has ended so is away.
+/// Time until a back end that crashed because of a request is replaced.
 pub const CRASH_DOWNTIME: Duration = Duration::from_millis(1_500);
-/// Result code of requests that are refused because back ends have ended under requests like them.
+/// Part of the response body of a quarantined request: its result code.
 pub const QUARANTINED_CODE: &str = "\"code\":55,";
-/// Runs that such a request may have once it has ended three back ends and all nodes could know.
+/// Maximum number of runs of a crashing request after its third crash is known to all nodes.
 const MAX_RUNS_AFTER_EVIDENCE: usize = 3;
-/// Time after which nodes that are not disturbed know what others knew.
+/// Time within which evidence of a crash reaches all undisturbed nodes.
 const EVIDENCE_PROPAGATION_TIME: Duration = Duration::from_secs(3);
-/// One cycle of so many has such a request.
+/// On average one of this many cycles has a crashing request.
 const CYCLES_PER_CRASHING_REQUEST: u64 = 3;
-/// Shortest time between two of them, and the bound of what is drawn on top, in milliseconds.
+/// Time between two sends of a crashing request, in milliseconds: the minimum, and the exclusive bound of
+/// the random part added to it.
 const SEND_INTERVAL_MILLIS: (u64, u64) = (150, 500);
-/// Time that their caller waits.
+/// Deadline of crashing requests.
 const DEADLINE: Duration = Duration::from_millis(1_500);
-/// Sets the drawings apart from those of the schedule, which stay as they are.
+/// Stream of the random generator. It differs from the stream of the schedule, so that a seed draws the
+/// same schedule with or without crashing requests.
 const RANDOM_STREAM: u64 = 36;
 
-/// What became of requests that end back ends.
+/// Runs and crashes of crashing requests, by target.
 #[derive(Debug, Default)]
 pub struct CrashingRequests {
     crashes: BTreeMap<String, Vec<Moment>>,
@@ -39,19 +41,20 @@
 }
 
 impl CrashingRequests {
-    /// Takes in that a back end begins to work on a request.
+    /// Records that a back end starts to work on a request; other requests are ignored.
     pub fn on_run_started(&mut self, at: Moment, target: &str) {
         if target.contains(CRASH_PATH) {
             self.runs.entry(target.to_owned()).or_default().push(at);
         }
     }
 
-    /// Takes in that a back end ends because of a request.
+    /// Records that a back end crashed because of a request.
     pub fn on_crash(&mut self, at: Moment, target: &str) {
         self.crashes.entry(target.to_owned()).or_default().push(at);
     }
 
-    /// Returns the targets that ran too often although nothing was disturbed.
+    /// Returns a violation for each target that ran too often after its third crash. Runs during a
+    /// disturbance, as told by `is_disturbed` for a range of time, are not counted.
     pub fn violations(
         &self,
         is_disturbed: impl Fn(Moment, Moment) -> bool,
@@ -76,7 +79,7 @@
     }
 }
 
-/// Draws whether a cycle has a request that ends back ends, and sends it.
+/// Draws for each cycle whether it has a crashing request, and sends that request repeatedly.
 #[derive(Debug)]
 pub struct CrashingCaller {
     soak: Arc<Soak>,
@@ -85,7 +88,7 @@
 }
 
 impl CrashingCaller {
-    /// Creates the caller of a seed.
+    /// Creates the caller whose draws are determined by `seed`.
     pub fn new(soak: Arc<Soak>, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         random.set_stream(RANDOM_STREAM);
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Begins to send such a request at any node for this long, in one cycle of a few.
+    /// Draws whether the cycle has a crashing request; if so, sends it to random nodes for `length`.
     pub fn begin_cycle(&mut self, length: Duration) {
         if self.draw(CYCLES_PER_CRASHING_REQUEST) != 0 {
             return;
@@ -105,7 +108,7 @@
         let kind = ["/deep", "/middle", "/once"][usize::try_from(self.draw(3)).unwrap_or(0)];
         let target = format!("{kind}{CRASH_PATH}?n={}", self.number);
         let seconds = self.soak.now().as_secs_f64();
-        println!("{seconds:8.3} {target} ends back ends for {length:?}");
+        println!("{seconds:8.3} {target} crashes back ends for {length:?}");
         let (min, spread) = SEND_INTERVAL_MILLIS;
         let mut sends = Vec::new();
         let mut passed = 0;
--- a/tests/soak/src/deployment.rs
+++ b/tests/soak/src/deployment.rs
@@ -1,39 +1,39 @@
-//! The deployment that is soaked: machines in groups of three, one of each service; a group is a zone.
+//! The soaked deployment: three machines form a zone, one for each service.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Services; a request to one may call the next.
+/// Services; a back end of one may call the next.
 pub const SERVICES: [&str; 3] = ["front", "middle", "deep"];
-/// Machines, unless the command line names another number.
+/// Default number of machines.
 pub const DEFAULT_NODES: usize = 9;
-/// Most machines: each has a last byte of a loopback address of its own.
+/// Maximum number of machines: each needs its own last byte of a loopback address.
 pub const MAX_NODES: usize = 250;
 /// Host of all routes.
 pub const HOST: &str = "soak.example";
-/// Requests that a back end works on at the same time.
+/// Number of requests that a back end works on concurrently.
 pub const BACK_END_SLOTS: usize = 24;
-/// Requests that wait at a back end beyond those.
+/// Number of requests that wait at a back end for a free slot.
 pub const QUEUE_LENGTH: usize = 12;
 /// Time between two heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Time after an acknowledged announcement from which a back end gets nothing new.
+/// Time after the acknowledgement of a drain after which a back end must receive no new requests.
 pub const DRAIN_TIME: Duration = Duration::from_secs(2);
-/// Longest planned stop.
+/// Maximum duration of a planned stop.
 pub const GRACE_PERIOD: Duration = Duration::from_secs(6);
-/// Time within which an accepted configuration is in force everywhere.
+/// Maximum time until an accepted configuration is in force on all nodes.
 pub const MAX_APPLY_TIME: Duration = Duration::from_secs(2);
-/// Repeats as a share of requests, summed over all nodes.
+/// Retry budget: retries allowed per request, summed over all nodes.
 pub const RETRY_RATIO: f64 = 0.2;
-/// Repeats on top of that share.
+/// Retry budget: number of retries allowed within a window in addition to the ratio.
 pub const RETRY_SLACK: f64 = 55.0;
-/// Tenant that all callers belong to.
+/// Tenant of all callers.
 pub const TENANT: &str = "north";
-/// Time within which a key that was taken away must have stopped working.
+/// Maximum time until a revoked key stops working.
 pub const MAX_REVOCATION_TIME: Duration = Duration::from_secs(5);
-/// Window of the two.
+/// Window in which retries are counted against [`RETRY_RATIO`] and [`RETRY_SLACK`].
 pub const RETRY_WINDOW: Duration = Duration::from_secs(10);
-/// Most memory of a node, in kilobytes.
+/// Maximum peak memory of a node, in kilobytes.
 pub const MAX_MEMORY_KB: u64 = 260 * 1024;
 
 const CALLERS_PORT: u16 = 8304;
@@ -43,28 +43,28 @@
 const BACK_END_PORT: u16 = 8301;
 const STORE_PORT: u16 = 8309;
 
-/// Addresses of a deployment: each machine has a loopback address of its own, and another one for
-/// the proxies in front of it.
+/// Addresses of a deployment: each machine has one loopback address of its own and another one for the
+/// proxies in front of it.
 #[derive(Clone, Copy, Debug)]
 pub struct Layout {
-    /// Second byte of all addresses, so that soaks side by side do not meet.
+    /// Second byte of all addresses, so that concurrent soaks do not share addresses.
     pub network: u8,
     /// Number of machines.
     pub nodes: usize,
 }
 
 impl Layout {
-    /// Name of a node.
+    /// Returns the name of a node.
     pub fn name(node: usize) -> String {
         format!("node-{node}")
     }
 
-    /// Service of the back end beside a node.
+    /// Returns the service of the back end on a node's machine.
     pub const fn service(node: usize) -> &'static str {
         SERVICES[node % SERVICES.len()]
     }
 
-    /// Zone of a node.
+    /// Returns the zone of a node.
     pub fn zone(node: usize) -> String {
         format!("zone-{}", node / SERVICES.len())
     }
@@ -83,27 +83,27 @@
         SocketAddr::new(IpAddr::V4(ip), port)
     }
 
-    /// Where callers and the back end send requests.
+    /// Returns the address to which callers and the back end send requests.
     pub fn callers(self, node: usize) -> SocketAddr {
         self.machine(node, CALLERS_PORT)
     }
 
-    /// Where the back end sends heartbeats.
+    /// Returns the address to which the back end sends heartbeats.
     pub fn control(self, node: usize) -> SocketAddr {
         self.machine(node, CONTROL_PORT)
     }
 
-    /// Where readiness is asked.
+    /// Returns the address for readiness queries.
     pub fn readiness(self, node: usize) -> SocketAddr {
         self.machine(node, READINESS_PORT)
     }
 
-    /// Where the node takes links, and the proxy in front of it.
+    /// Returns the address on which the node accepts links, and that of the proxy in front of it.
     pub fn mesh(self, node: usize) -> (SocketAddr, SocketAddr) {
         (self.machine(node, MESH_PORT), self.proxy(node, MESH_PORT))
     }
 
-    /// Where the back end takes requests, and the proxy in front of it.
+    /// Returns the address on which the back end accepts requests, and that of the proxy in front of it.
     pub fn back_end(self, node: usize) -> (SocketAddr, SocketAddr) {
         (
             self.machine(node, BACK_END_PORT),
@@ -111,12 +111,12 @@
         )
     }
 
-    /// Where the store takes a node's calls, and the proxy in front of it.
+    /// Returns the address on which the store accepts a node's calls, and that of the proxy in front of it.
     pub fn store(self, node: usize) -> (SocketAddr, SocketAddr) {
         (self.machine(node, STORE_PORT), self.proxy(node, STORE_PORT))
     }
 
-    /// Settings file of a node.
+    /// Returns the content of a node's settings file.
     pub fn settings(self, node: usize) -> String {
         let (mesh, mesh_proxy) = self.mesh(node);
         format!(
--- a/tests/soak/src/lib.rs
+++ b/tests/soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! Randomized fault soak: the real program as separate processes on one machine, disturbed from
-//! outside, held against the promises of the users' pages by what callers and back ends see.
+//! Randomized fault soak: runs the real program as separate processes on one machine, injects faults
+//! from outside, and checks from the view of callers and back ends that the documented guarantees hold.
 //!
-//! The schedule follows from the seed; what processes make of it does not, so a seed that failed
-//! may need several runs to fail again.
+//! The schedule is determined by the seed, but the timing of the processes is not, so a failing seed may
+//! need several runs to fail again.
 
 pub mod back_end;
 pub mod caller;
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -17,34 +17,34 @@
 use rillgap_soak::soak::Soak;
 use rillgap_soak::{back_end, caller, node, operator};
 
-/// Time for the first start before the schedule begins.
+/// Time for the nodes to start before callers and the schedule begin.
 const START_TIME: Duration = Duration::from_secs(4);
 
-/// Soaks rillgap-fleet: real processes, disturbed by proxies and signals.
+/// Soaks rillgap-fleet: runs real processes and injects faults by proxies and signals.
 #[derive(Debug, FromArgs)]
 struct Arguments {
     /// seed of the schedule
     #[argh(option, default = "1")]
     seed: u64,
-    /// seconds for which to go on
+    /// duration in seconds; the last cycle is completed
     #[argh(option, default = "60")]
     seconds: u64,
-    /// the program
+    /// path of the rillgap-fleet program
     #[argh(option, default = "PathBuf::from(\"target/release/rillgap-fleet\")")]
     program: PathBuf,
-    /// folder for settings and logs
+    /// folder for settings files and logs
     #[argh(option, default = "PathBuf::from(\"target/soak\")")]
     folder: PathBuf,
-    /// second byte of the loopback addresses, to run several side by side
+    /// second byte of the loopback addresses, so that several soaks can run side by side
     #[argh(option, default = "77")]
     network: u8,
-    /// machines, each with a process, a back end and callers
+    /// number of machines, each with a node process, a back end and callers
     #[argh(option, default = "DEFAULT_NODES")]
     nodes: usize,
-    /// let the store come back from copies, and back ends start again under the identifier that they had
+    /// restore the store from backups, and restart back ends under the identifier that they had
     #[argh(switch)]
     renewals: bool,
-    /// callers beside each node
+    /// number of callers on each machine
     #[argh(option, default = "3")]
     callers: usize,
 }
@@ -62,7 +62,7 @@
     }
 }
 
-/// Runs a soak; returns whether all promises were kept.
+/// Runs a soak; returns whether no violation was found.
 async fn run(arguments: &Arguments) -> io::Result<bool> {
     if arguments.nodes == 0 || arguments.nodes > MAX_NODES {
         let text = format!("--nodes must be from 1 to {MAX_NODES}");
@@ -98,7 +98,7 @@
     while soak.now() < end {
         schedule.cycle().await;
     }
-    // Without anybody to order anything, the supervisors end their processes.
+    // Dropping the schedule closes the channels of actions; the supervisors then kill their processes.
     drop(schedule);
     for supervisor in supervisors {
         let _ = supervisor.await;
--- a/tests/soak/src/node.rs
+++ b/tests/soak/src/node.rs
@@ -1,4 +1,4 @@
-//! Processes of the real program: started, stopped, paused, killed by signals.
+//! Supervises the node processes: starts, stops, pauses and kills them, and probes readiness and memory.
 
 use std::fs::File;
 use std::io;
@@ -18,40 +18,40 @@
 use crate::soak::Soak;
 use crate::wire::{Connection, encode_request};
 
-/// Time beyond the grace after which a stopping process is killed.
+/// Time beyond the grace period after which a stopping process is killed.
 const GRACE_PERIOD_MARGIN: Duration = Duration::from_millis(500);
-/// Pause before a stopped process is started again.
+/// Time between the end of a process and its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(600);
-/// Time between two signals of a series.
+/// Time between two signals during a stop.
 const SIGNAL_INTERVAL: Duration = Duration::from_millis(300);
-/// Time between two looks at readiness and memory.
+/// Time between two probes of readiness and memory.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What happens to a node's process.
+/// Action of the schedule on a node's process.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
-    /// SIGTERM, then a start.
+    /// Sends SIGTERM and restarts the process after its end.
     Stop,
-    /// SIGTERM with SIGHUP and a second SIGTERM while it is carried out, then a start.
+    /// As `Stop`, with SIGHUP and a second SIGTERM while the process stops.
     StopWithSignals,
-    /// SIGKILL, then a start after a while.
+    /// Sends SIGKILL and restarts the process after this time.
     Kill(Duration),
-    /// SIGSTOP, then SIGCONT after a while.
+    /// Sends SIGSTOP, and SIGCONT after this time.
     Pause(Duration),
-    /// SIGHUP.
+    /// Sends SIGHUP, which makes the node read its settings again.
     Reload,
 }
 
-/// Where programs and files of a soak are.
+/// Paths of the program and of the files that a soak writes.
 #[derive(Clone, Debug)]
 pub struct Files {
-    /// The program.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Folder for settings and logs.
+    /// Folder for settings files and logs of the nodes.
     pub folder: PathBuf,
 }
 
-/// Keeps a node running until the soak ends.
+/// Keeps a node running until the channel of actions closes.
 ///
 /// # Errors
 ///
@@ -95,8 +95,8 @@
         .spawn()
 }
 
-/// Lets a process run until it ends; returns the pause before the next start, or `None` if the
-/// soak is over.
+/// Applies actions to a process until it ends; returns the time to wait before the restart, or `None` if
+/// the soak is over.
 async fn run_until_exit(
     soak: &Arc<Soak>,
     node: usize,
@@ -132,7 +132,7 @@
                 }
             },
             status = child.wait() => {
-                let text = format!("ENDED node {node} by itself: {status:?}");
+                let text = format!("ENDED node {node} exited unexpectedly: {status:?}");
                 soak.checker().report_violation(soak.now(), &text);
                 return Some(RESTART_DELAY);
             }
@@ -141,7 +141,8 @@
     }
 }
 
-/// Stops a process; `more` are sent to it while it stops.
+/// Stops a process with SIGTERM and reports a violation if it exceeds the grace period. The signals in
+/// `more` are sent while it stops.
 async fn stop(soak: &Arc<Soak>, node: usize, child: &mut Child, more: &[Signal]) {
     let begin = soak.now();
     soak.checker()
@@ -151,7 +152,8 @@
         sleep(SIGNAL_INTERVAL).await;
         signal(child, *later);
     }
-    // Callers learn within two looks that the node is not ready.
+    // Callers may still open connections for one probe interval, as long as the readiness that they have
+    // seen may be outdated; after it the node counts as not ready.
     let machine = &soak.machines[node];
     let mark_unready = async {
         sleep(PROBE_INTERVAL).await;
@@ -163,21 +165,22 @@
         () = mark_unready => false,
     };
     if !ended {
-        let text = format!("GRACE node {node} was still there at the end of its grace");
+        let text = format!("GRACE node {node} was still running at the end of its grace period");
         soak.checker().report_violation(soak.now(), &text);
         let _ = child.kill().await;
     }
 }
 
-/// Sends a signal to a process that this soak has started.
+/// Sends a signal to a process that this soak started.
 fn signal(child: &Child, signal: Signal) {
     let id = child.id().and_then(|id| i32::try_from(id).ok());
     if let Some(id) = id {
-        // The process may just have ended, which is noticed elsewhere.
+        // The process may have ended already; `run_until_exit` reports that.
         let _ = kill(Pid::from_raw(id), signal);
     }
 }
 
+/// Updates the readiness of a node and reports a violation if the node uses too much memory.
 async fn probe(soak: &Arc<Soak>, node: usize, child: &Child) {
     let is_ready = timeout(Duration::from_millis(500), fetch_readiness(soak, node)).await;
     let is_ready = matches!(is_ready, Ok(Ok(200)));
@@ -201,7 +204,7 @@
     Ok(connection.read_response().await?.status)
 }
 
-/// Returns the resident memory of a process at its peak, in kilobytes.
+/// Returns the peak resident memory of a process, in kilobytes.
 fn memory_kb(process: u32) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status.lines().find(|line| line.starts_with("VmHWM:"))?;
--- a/tests/soak/src/operator.rs
+++ b/tests/soak/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: writes configurations to the store.
+//! The operator: writes configurations to the fake store.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,7 +9,7 @@
 use crate::deployment::{HOST, SERVICES, TENANT};
 use crate::soak::Soak;
 
-/// Writes the next version; it is accepted when this returns.
+/// Writes the next version of the configuration; it is accepted when this returns.
 pub fn configure(soak: &Arc<Soak>) {
     let version = soak.version.load(Ordering::SeqCst) + 1;
     let mut resources = vec![
@@ -30,8 +30,8 @@
             "spec": {"health-path": "/health", "max-connections": 400},
         }));
     }
-    // Callers go over to the key of a version once that is accepted. It already stands in the version
-    // before, since not all nodes know the newest one yet.
+    // Callers use the key of a version as soon as it is accepted. The previous version already contains
+    // that key, since not all nodes have the newest version by then.
     let keys = [key_of(version), key_of(version + 1)];
     resources.push(json!({
         "type": "tenants",
@@ -52,11 +52,11 @@
     *soak.configuration() = spec.clone();
     soak.store.put("config", "main", spec);
     soak.checker().on_version_accepted(soak.now(), version);
-    // Callers use the new route only after this.
+    // Callers use the new route and key only from here on, after the checker knows the version.
     soak.version.store(version, Ordering::SeqCst);
 }
 
-/// Writes the newest version again, which the store may have lost.
+/// Writes the newest configuration again, since the store may have lost it in a restore.
 pub fn rewrite_newest(soak: &Arc<Soak>) {
     let spec = soak.configuration().clone();
     soak.store.put("config", "main", spec);
--- a/tests/soak/src/proxy.rs
+++ b/tests/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that delays, resets, cuts one way or silences what passes through it.
+//! A loopback TCP proxy that delays, holds, blackholes or resets connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,24 +9,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes passed on at a time.
+/// Maximum number of bytes read and forwarded at a time.
 const CHUNK: usize = 16 * 1024;
 
-/// What a proxy does to connections.
+/// Fault that a proxy injects into its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Disturbance {
-    /// Nothing.
+    /// Bytes are forwarded unchanged.
     #[default]
     None,
-    /// Bytes pass this much later, in both directions.
+    /// Bytes are delayed by this time in both directions.
     Delay(Duration),
-    /// Bytes towards the server are held; those back to the client pass.
+    /// Bytes to the server are held; bytes to the client are forwarded.
     HoldRequests,
-    /// Bytes back to the client are held; those towards the server pass.
+    /// Bytes to the client are held; bytes to the server are forwarded.
     HoldAnswers,
-    /// Nothing passes, and nobody is told.
+    /// Bytes are held in both directions, without closing connections.
     Blackhole,
-    /// Connections are reset, and so are new ones.
+    /// Open and new connections are reset.
     Reset,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl Proxy {
-    /// Starts a proxy.
+    /// Starts a proxy that listens on `listen` and forwards to `server`.
     ///
     /// # Errors
     ///
@@ -70,12 +70,12 @@
         })
     }
 
-    /// Returns the address of the proxy.
+    /// Returns the address on which the proxy listens.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what happens to connections from now on.
+    /// Sets the fault of all open and future connections.
     pub fn set_disturbance(&self, disturbance: Disturbance) {
         self.mode.send_replace(disturbance);
     }
@@ -92,7 +92,7 @@
 }
 
 async fn relay(client: TcpStream, server: SocketAddr, mut mode: watch::Receiver<Disturbance>) {
-    // What is silenced does not reach the server's listener, either.
+    // While requests are held, the server does not even see the connection.
     if wait_while_held(&mut mode, Direction::ToServer).await == Disturbance::Reset {
         return reset(client);
     }
@@ -114,12 +114,12 @@
     }
 }
 
-/// Closes so that the peer sees a reset.
+/// Closes a connection with a reset.
 fn reset(stream: TcpStream) {
     let _ = stream.set_zero_linger();
 }
 
-/// Waits until a direction is not held any more; returns what happens to connections then.
+/// Waits until a direction is no longer held; returns the disturbance that applies then.
 async fn wait_while_held(
     mode: &mut watch::Receiver<Disturbance>,
     direction: Direction,
--- a/tests/soak/src/retries.rs
+++ b/tests/soak/src/retries.rs
@@ -1,11 +1,11 @@
-//! Whether repeats of requests stay within the bound that all nodes share.
+//! Checks that the retries of all nodes together stay within the retry budget.
 
 use std::collections::BTreeMap;
 
 use crate::checker::Moment;
 use crate::deployment::{RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW};
 
-/// Requests for the services, and repeats that reached them.
+/// Times of requests for each service and of retries that reached it.
 #[derive(Debug, Default)]
 pub struct RetryHistory {
     requests: BTreeMap<&'static str, Vec<Moment>>,
@@ -13,17 +13,17 @@
 }
 
 impl RetryHistory {
-    /// Takes in that a request for a service is sent.
+    /// Records that a request for a service is sent.
     pub fn on_request(&mut self, at: Moment, service: &'static str) {
         self.requests.entry(service).or_default().push(at);
     }
 
-    /// Takes in that a repeat has reached a service.
+    /// Records that a retry reached a back end of a service.
     pub fn on_retry(&mut self, at: Moment, service: &'static str) {
         self.retries.entry(service).or_default().push(at);
     }
 
-    /// Returns the first window of each service in which there were more repeats than the bound allows.
+    /// Returns for each service the first window with more retries than the budget allows.
     pub fn violations(&self) -> Vec<(Moment, String)> {
         let services = self.retries.iter();
         services
@@ -36,10 +36,10 @@
         for (index, end) in retries.iter().enumerate() {
             let start = end.saturating_sub(RETRY_WINDOW);
             let count = retries[..=index].iter().filter(|at| **at > start).count();
-            let asked = max_requests(requests, *end);
-            let bound = asked as f64 * RETRY_RATIO + RETRY_SLACK;
+            let requested = max_requests(requests, *end);
+            let bound = requested as f64 * RETRY_RATIO + RETRY_SLACK;
             if count as f64 > bound {
-                let text = format!("BUDGET {service}: {count} repeats, {asked} requests");
+                let text = format!("BUDGET {service}: {count} retries, {requested} requests");
                 return Some((*end, text));
             }
         }
@@ -47,8 +47,8 @@
     }
 }
 
-/// Returns the requests in the window that ends at a moment, in the one before it or in the one half
-/// a window before it, whichever has most.
+/// Returns the largest number of requests in three windows: the one that ends at `end`, and those that
+/// end half a window and a whole window earlier. A retry may belong to a request of an earlier window.
 fn max_requests(requests: &[Moment], end: Moment) -> usize {
     let count = |end: Moment| {
         let start = end.saturating_sub(RETRY_WINDOW);
--- a/tests/soak/src/soak.rs
+++ b/tests/soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! What all parts of a soak share.
+//! State shared by all parts of a soak.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,37 +12,37 @@
 use crate::deployment::Layout;
 use crate::store::Store;
 
-/// What a node's run and its back end's behaviour are at the moment.
+/// Current state of a machine: the node's process, and the faults injected into its back end.
 #[derive(Debug, Default)]
 pub struct Machine {
-    /// Run of the node's process.
+    /// Number of starts of the node's process so far, which identifies the current incarnation.
     pub incarnation: AtomicU32,
-    /// Whether the node has said that it is ready.
+    /// Whether the node's last readiness probe succeeded.
     pub is_ready: AtomicBool,
-    /// Answers of the back end that are lost, in percent.
+    /// Percentage of the back end's responses that are lost.
     pub lost_percent: AtomicU32,
-    /// Answers of the back end that are spoiled, in percent.
+    /// Percentage of the back end's responses that are corrupted.
     pub corrupted_percent: AtomicU32,
-    /// Requests that the back end fails, in percent.
+    /// Percentage of requests that the back end answers with an error.
     pub failed_percent: AtomicU32,
-    /// How many times as long the back end works; 0 counts as 1.
+    /// Factor by which the back end's work takes longer; 0 counts as 1.
     pub slowdown_factor: AtomicU32,
 }
 
-/// What all parts of a soak share.
+/// State shared by all parts of a soak.
 #[derive(Debug)]
 pub struct Soak {
-    /// Addresses.
+    /// Number of machines and their addresses.
     pub layout: Layout,
-    /// The store.
+    /// The fake platform store.
     pub store: Arc<Store>,
-    /// Machines.
+    /// State of each machine, by index.
     pub machines: Vec<Machine>,
-    /// Newest version of the configuration.
+    /// Newest accepted version of the configuration; 0 before the first one.
     pub version: AtomicU64,
-    /// Whether the store comes back from copies, and back ends keep their identifiers over a start.
+    /// Whether the store is restored from backups and back ends may restart under their identifier.
     pub has_renewals: bool,
-    /// Newest configuration, as the operator has written it.
+    /// Newest configuration as written to the store.
     configuration: Mutex<Value>,
     start: Instant,
     checker: Mutex<Checker>,
@@ -51,7 +51,7 @@
 }
 
 impl Soak {
-    /// Creates a soak whose draws follow from `seed`.
+    /// Creates a soak whose random draws are determined by `seed`.
     pub fn new(layout: Layout, seed: u64, has_renewals: bool) -> Arc<Self> {
         Arc::new(Self {
             layout,
@@ -72,37 +72,38 @@
         self.start.elapsed()
     }
 
-    /// Returns the judge.
+    /// Locks and returns the checker.
     pub fn checker(&self) -> MutexGuard<'_, Checker> {
         self.checker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the newest configuration, as the operator has written it.
+    /// Locks and returns the newest configuration as written to the store.
     pub fn configuration(&self) -> MutexGuard<'_, Value> {
         self.configuration
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns a number below `bound`, for what need not repeat.
+    /// Draws a number below `bound`. All tasks share this generator, so the order of draws differs between
+    /// runs of one seed; the schedule has its own generator.
     pub fn draw(&self, bound: u64) -> u64 {
         let mut random = self.random.lock().unwrap_or_else(PoisonError::into_inner);
         (u64::from(random.next_u32()) * bound) >> 32
     }
 
-    /// Returns whether a draw hits, in percent.
+    /// Returns `true` with the given probability, in percent.
     pub fn draw_percent(&self, percent: &AtomicU32) -> bool {
         let percent = percent.load(Ordering::Relaxed);
         percent > 0 && self.draw(100) < u64::from(percent)
     }
 
-    /// Returns a new identifier of a request.
+    /// Returns a new request identifier.
     pub fn next_id(&self) -> String {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         format!("r{number}")
     }
 
-    /// Returns the run of a node's process.
+    /// Returns the current incarnation of a node's process.
     pub fn incarnation_of(&self, node: usize) -> u32 {
         self.machines[node].incarnation.load(Ordering::Relaxed)
     }
--- a/tests/soak/src/wire.rs
+++ b/tests/soak/src/wire.rs
@@ -1,6 +1,7 @@
-//! The little of HTTP/1.1 that stand-ins need: messages with a length, read and written whole.
+//! Minimal HTTP/1.1 for callers, back ends and the store: whole messages with a `Content-Length`.
 //!
-//! A library would hide what the stand-ins have to do wrong on purpose.
+//! An HTTP library is not used because it would prevent the protocol errors that back ends make on
+//! purpose.
 
 use std::io;
 
@@ -8,15 +9,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Most header fields of a message.
+/// Maximum number of header fields of a message.
 const MAX_FIELDS: usize = 64;
 
-/// Header fields in their order.
+/// Header fields of a message, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Fields(Vec<(String, String)>);
 
 impl Fields {
-    /// Returns the value of a field.
+    /// Returns the value of the first field with this name; case is ignored.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0
             .iter()
@@ -35,12 +36,12 @@
     }
 }
 
-/// A request.
+/// A complete HTTP request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Method.
+    /// Method as sent, such as `GET`.
     pub method: String,
-    /// Target.
+    /// Request target: path and query.
     pub target: String,
     /// Header fields.
     pub fields: Fields,
@@ -48,7 +49,7 @@
     pub body: Vec<u8>,
 }
 
-/// A response.
+/// A complete HTTP response.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
     /// Status code.
@@ -60,7 +61,7 @@
 }
 
 impl Response {
-    /// Returns whether the connection ends with this answer.
+    /// Returns whether the sender closes the connection after this response.
     pub fn closes(&self) -> bool {
         self.fields.closes()
     }
@@ -69,15 +70,15 @@
 /// A connection that reads and writes whole messages.
 #[derive(Debug)]
 pub struct Connection {
-    /// The socket.
+    /// The underlying socket.
     pub stream: TcpStream,
     input: BytesMut,
 }
 
 impl Connection {
-    /// Creates the connection of a socket.
+    /// Wraps a socket and disables Nagle's algorithm on it.
     pub fn new(stream: TcpStream) -> Self {
-        // Small messages would wait for acknowledgements; they arrive without it, too.
+        // Only a matter of latency, so an error is ignored.
         let _ = stream.set_nodelay(true);
         Self {
             stream,
@@ -85,11 +86,11 @@
         }
     }
 
-    /// Reads a request; `None` if the connection has ended before one.
+    /// Reads a request; `None` if the connection ended before its first byte.
     ///
     /// # Errors
     ///
-    /// Fails if the connection breaks within a request or carries something else.
+    /// Fails if the connection breaks within a request or the bytes are not a request.
     pub async fn read_request(&mut self) -> io::Result<Option<Request>> {
         loop {
             if let Some(request) = parse_request(&mut self.input)? {
@@ -108,7 +109,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the connection ends before the response is whole.
+    /// Fails if the connection ends before the response is complete or the bytes are not a response.
     pub async fn read_response(&mut self) -> io::Result<Response> {
         loop {
             if let Some(response) = parse_response(&mut self.input)? {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Returns whether bytes lie here that nobody has asked for.
+    /// Returns whether bytes were received beyond the last message read.
     pub fn has_unread(&self) -> bool {
         !self.input.is_empty()
     }
@@ -134,7 +135,7 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Waits until the peer has closed or broken the connection.
+    /// Waits until the peer closes or resets the connection.
     pub async fn wait_closed(&self) {
         loop {
             if self.stream.readable().await.is_err() {
@@ -143,7 +144,7 @@
             let mut byte = [0];
             match self.stream.peek(&mut byte).await {
                 Ok(0) | Err(_) => return,
-                // Bytes of a further request: closing cannot be seen behind them.
+                // Bytes of a further request hide the close, so look again later.
                 Ok(_) => tokio::time::sleep(std::time::Duration::from_millis(20)).await,
             }
         }
@@ -187,7 +188,8 @@
     Fields(headers.iter().map(pair).collect())
 }
 
-/// Takes the body behind a head out of the input, if all of it is there.
+/// Removes a head and the body behind it from the input and returns the body; `None` if the body is not
+/// complete yet.
 fn take_body(input: &mut BytesMut, head: usize, length: usize) -> Option<Vec<u8>> {
     if input.len() < head + length {
         return None;
