--- a/tests/soak/src/back_end.rs
+++ b/tests/soak/src/back_end.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the back ends: slots, a queue, hanging when full, their own calls, draining, and
-//! answers that go wrong.
+//! Fake back ends. They have slots and a queue, leave requests without a response when both are full, make
+//! calls of their own, drain, crash, and return lost or corrupted responses when a fault is injected.
 
 use std::io;
 use std::sync::Arc;
@@ -18,29 +18,31 @@
 use crate::soak::Soak;
 use crate::wire::{Connection, Request, encode_request, encode_response};
 
-/// Shortest work, and the bound of what is drawn on top, in milliseconds.
+/// Duration of the work on a request, in milliseconds: the minimum, and the exclusive bound of the random
+/// part added to it.
 const WORK_MILLIS: (u64, u64) = (4, 30);
-/// Time between two announcements that are not acknowledged.
+/// Time between two heartbeats while the announcement of a drain is not acknowledged.
 const DRAIN_RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// Longest time for an acknowledgement.
+/// Maximum time to wait for the acknowledgement of a heartbeat.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after which a back end that gets no acknowledgement ends all the same.
+/// Time after which a draining back end without an acknowledgement ends anyway.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time for which a drained back end serves beyond the time that it must.
+/// Time for which a drained back end still serves after the required [`DRAIN_TIME`].
 const EXTRA_SERVING_TIME: Duration = Duration::from_millis(800);
-/// Pause before a replacement starts.
+/// Time between the end of a drained back end and the start of its replacement.
 const REPLACEMENT_DELAY: Duration = Duration::from_millis(400);
-/// Unix time of the start of each soak in milliseconds; only that it rises with time matters.
+/// Unix time of the start of each soak, in milliseconds. The value is arbitrary: start times of back ends
+/// must only increase.
 const SOAK_START_UNIX_MILLIS: u64 = 1_760_000_000_000;
-/// Pause before an extra answer that comes late.
+/// Time between a response and the late extra copy of it.
 const EXTRA_ANSWER_DELAY: Duration = Duration::from_millis(60);
 
-/// What happens to a back end.
+/// Action of the schedule on a back end.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
-    /// It crashes and another one starts after a while.
+    /// Crashes the back end and starts another one after this time.
     Crash(Duration),
-    /// It announces that it leaves; another one takes its place.
+    /// Drains the back end and replaces it.
     Drain,
 }
 
@@ -51,21 +53,23 @@
     Acknowledged,
 }
 
-/// One incarnation.
+/// One incarnation of a back end.
 struct Incarnation {
     soak: Arc<Soak>,
     node: usize,
     instance: String,
-    /// Unix time of the start in milliseconds.
+    /// Unix time of the start, in milliseconds.
     started_at: u64,
     state: watch::Sender<State>,
+    /// Limits the requests that are worked on concurrently.
     slots: Semaphore,
+    /// Limits the requests that are worked on or queued.
     capacity: Semaphore,
-    /// Told when a request ends the process.
+    /// Notified when a request crashes the back end.
     crashed: Notify,
 }
 
-/// Keeps a back end running beside a node.
+/// Keeps a back end running on a node's machine until the channel of actions closes.
 pub async fn supervise(soak: Arc<Soak>, node: usize, mut actions: mpsc::UnboundedReceiver<Action>) {
     let mut number = 0;
     loop {
@@ -101,12 +105,12 @@
         };
         tasks.shutdown().await;
         tokio::time::sleep(pause).await;
-        // What was ordered meanwhile was meant for the one that is gone.
+        // Actions that arrived meanwhile were meant for the previous back end.
         while actions.try_recv().is_ok() {}
     }
 }
 
-/// Notes the end of a run, also if it is cut off.
+/// Reports the end of a run to the checker when dropped, so also if the run is cancelled.
 struct RunGuard {
     soak: Arc<Soak>,
     id: String,
@@ -157,7 +161,7 @@
         Ok(true)
     }
 
-    /// Answers a request; returns whether the connection goes on.
+    /// Handles a request; returns whether the connection stays open.
     async fn answer(&self, connection: &mut Connection, request: &Request) -> io::Result<bool> {
         let id = request
             .fields
@@ -188,7 +192,8 @@
         }
         self.soak.checker().on_arrived(self.soak.now(), &arrived);
         let Ok(_admission) = self.capacity.try_acquire() else {
-            // What cannot be queued never gets an answer, nor does this connection.
+            // A request that does not fit into the queue gets no response, and the connection is not used
+            // any further.
             connection.wait_closed().await;
             return Ok(false);
         };
@@ -217,7 +222,7 @@
         self.reply(connection, &id, status).await
     }
 
-    /// Works on a request and makes its calls; returns the status of the answer.
+    /// Works on a request and makes its calls; returns the status of the response.
     async fn work(&self, request: &Request, id: &str) -> u16 {
         let machine = &self.soak.machines[self.node];
         let (min, spread) = WORK_MILLIS;
@@ -253,7 +258,8 @@
         }
     }
 
-    /// Sends the answer, or what is left of it; returns whether the connection goes on.
+    /// Sends the response, unless an injected fault loses or corrupts it; returns whether the connection
+    /// stays open.
     async fn reply(&self, connection: &mut Connection, id: &str, status: u16) -> io::Result<bool> {
         let machine = &self.soak.machines[self.node];
         if self.soak.draw_percent(&machine.lost_percent) {
@@ -276,30 +282,31 @@
         Ok(true)
     }
 
+    /// Sends a response with a randomly chosen protocol error; returns whether the connection stays open.
     async fn corrupt(&self, connection: &mut Connection, bytes: &[u8]) -> io::Result<bool> {
         match self.soak.draw(5) {
-            // Cut short.
+            // Response without its last bytes.
             0 => connection.write(&bytes[..bytes.len() - 3]).await?,
-            // No answer at all.
+            // Bytes that are not a response.
             1 => {
                 connection
                     .write(b"\x16\x03\x01 this is no answer\r\n\r\n")
                     .await?
             }
-            // A second answer at once.
+            // Two copies of the response at once.
             2 => {
                 connection.write(bytes).await?;
                 connection.write(bytes).await?;
                 return Ok(true);
             }
-            // A second answer where the next one should be.
+            // A late second copy, in place of the response to the next request.
             3 => {
                 connection.write(bytes).await?;
                 tokio::time::sleep(EXTRA_ANSWER_DELAY).await;
                 connection.write(bytes).await?;
                 return Ok(true);
             }
-            // Reset in the middle.
+            // Half of the response, then a reset.
             _ => {
                 connection.write(&bytes[..bytes.len() / 2]).await?;
                 let _ = connection.stream.set_zero_linger();
@@ -308,7 +315,7 @@
         Ok(false)
     }
 
-    /// Returns what tells the run apart from all others.
+    /// Returns a label that identifies the incarnation: its identifier and start time.
     fn label(&self) -> String {
         format!("{}@{}", self.instance, self.started_at)
     }
@@ -336,7 +343,7 @@
         }
     }
 
-    /// Sends a heartbeat; returns whether it was acknowledged.
+    /// Sends a heartbeat; returns whether the node acknowledged it.
     async fn heartbeat(&self, state: State, sequence: u64) -> bool {
         let word = if state == State::Ready {
             "ready"
@@ -360,6 +367,7 @@
         self.control(&path, &body.to_string()).await
     }
 
+    /// Makes a call to the node's control address; returns whether it succeeded.
     async fn control(&self, path: &str, body: &str) -> bool {
         let address = self.soak.layout.control(self.node);
         let fields = [
@@ -377,7 +385,7 @@
         matches!(answer, Ok(Ok(response)) if response.status == 200)
     }
 
-    /// Announces that it leaves, serves on for a while and says goodbye.
+    /// Announces the drain, serves until the drain time after its acknowledgement has passed, and leaves.
     async fn drain(&self) {
         let mut state = self.state.subscribe();
         self.state.send_replace(State::Draining);
@@ -394,18 +402,18 @@
     }
 }
 
-/// Returns the identifier of a run: where back ends keep theirs, each second one has that of the run before.
+/// Returns the identifier of an incarnation. With renewals, two successive incarnations share one.
 fn instance_id(soak: &Soak, node: usize, run: u32) -> String {
     let number = if soak.has_renewals { run / 2 } else { run };
     format!("b{node}-{number}")
 }
 
-/// Returns the time of day at this moment of the soak, as back ends tell it.
+/// Returns the current Unix time as reported by back ends, in milliseconds.
 fn unix_millis(soak: &Soak) -> u64 {
     SOAK_START_UNIX_MILLIS + u64::try_from(soak.now().as_millis()).unwrap_or(0)
 }
 
-/// Returns the target of the call that a service makes for a request.
+/// Returns the target of the call that a service makes for a request, or `None` if it makes none.
 fn call_target(service: &str, target: &str) -> Option<String> {
     if !target.contains("/calls") {
         return None;
--- a/tests/soak/src/caller.rs
+++ b/tests/soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: they send requests to the node of their machine and report what they get.
+//! Callers: send requests to the node of their machine and report the outcomes to the checker.
 
 use std::io;
 use std::sync::Arc;
@@ -13,38 +13,39 @@
 use crate::soak::Soak;
 use crate::wire::{Connection, Response, encode_request};
 
-/// Time that a caller gives a request.
+/// Deadline that a caller gives a request.
 const DEADLINE: Duration = Duration::from_millis(1_500);
-/// Time beyond the deadline for which an answer is waited for.
+/// Time beyond the deadline for which the caller waits for a response.
 const ANSWER_MARGIN: Duration = Duration::from_millis(700);
-/// Longest time to connect.
+/// Maximum time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Versions whose routes stand at the same time.
+/// Number of versions whose own routes the configuration contains: the newest ones.
 pub const ROUTED_VERSIONS: u64 = 3;
 
-/// One of so many requests shows a key that was taken away.
+/// On average one of this many requests uses the key of an earlier version.
 const REQUESTS_PER_OLD_KEY: u64 = 20;
 
 /// A request to be sent.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
-    /// Identifier.
+    /// Request identifier.
     pub id: String,
-    /// Method.
+    /// Method of the request.
     pub method: &'static str,
-    /// Target.
+    /// Path and query.
     pub target: String,
-    /// Body.
+    /// Body, empty for `GET`.
     pub body: Vec<u8>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub is_idempotent: bool,
-    /// Whether a back end sends it while it works on another.
+    /// Whether a back end sends the request while it works on another one.
     pub is_call: bool,
-    /// Time that the sender waits.
+    /// Deadline sent to the node.
     pub deadline: Duration,
 }
 
-/// Sends a request to a node and reports how it ended; `None` without an answer.
+/// Sends a request to a node and reports the outcome; returns `None` if there is no response. Uses the idle
+/// connection if there is one, and returns the connection to `idle` if it can be reused.
 pub async fn exchange(
     soak: &Arc<Soak>,
     node: usize,
@@ -97,12 +98,12 @@
     Ok(Connection::new(stream))
 }
 
-/// Returns the key that the tenant goes over to with a version of the configuration.
+/// Returns the key that callers use from a version of the configuration on.
 pub fn key_of(version: u64) -> String {
     format!("key-of-version-{version}")
 }
 
-/// Draws whose key a caller shows: mostly that of the version in force, sometimes of one before.
+/// Draws the version whose key a caller uses: mostly the newest one, sometimes one of the two before it.
 fn draw_key_version(soak: &Arc<Soak>) -> u64 {
     let newest = soak.version.load(Ordering::SeqCst);
     match soak.draw(REQUESTS_PER_OLD_KEY) {
@@ -111,6 +112,7 @@
     }
 }
 
+/// Writes a request and reads its response.
 async fn send_and_receive(
     connection: &mut Connection,
     outgoing: &Outgoing,
@@ -120,7 +122,7 @@
         ("Host", HOST.to_owned()),
         ("Attempt-Id", outgoing.id.clone()),
         ("Deadline-Ms", outgoing.deadline.as_millis().to_string()),
-        // Whatever is claimed here must not be believed.
+        // The node must replace these forged values.
         ("Caller-Service", "forged".to_owned()),
         ("Tenant", "forged".to_owned()),
     ];
@@ -132,6 +134,7 @@
     connection.read_response().await
 }
 
+/// Reports a response to the checker.
 fn report(
     soak: &Arc<Soak>,
     outgoing: &Outgoing,
@@ -164,7 +167,7 @@
     }
 }
 
-/// Returns the service to which a target's route sends requests.
+/// Returns the service to which requests for a target are routed.
 fn service_of(target: &str) -> &'static str {
     match prefix_of(target) {
         "/front/" => "front",
@@ -173,19 +176,20 @@
     }
 }
 
-/// Returns the version with which a target's route came.
+/// Returns the version of the configuration that added the route of a target, or `None` for routes that all
+/// versions have.
 fn version_of(target: &str) -> Option<u64> {
     let version = prefix_of(target).strip_prefix("/v")?;
     version.strip_suffix('/')?.parse().ok()
 }
 
-/// Sends requests to one node, one after the other, until the soak ends.
+/// Sends requests to one node, one at a time, until the soak ends.
 pub async fn run(soak: Arc<Soak>, node: usize) {
     let mut idle = None;
     loop {
         tokio::time::sleep(Duration::from_millis(10 + soak.draw(80))).await;
-        // An open connection is used until the process is gone, ready or not; a new one is opened only
-        // to a node that is ready.
+        // An open connection is used as long as the node keeps it open, even if the node is not ready; a new
+        // one is opened only to a node that is ready.
         if idle.is_none() && !soak.machines[node].is_ready.load(Ordering::Relaxed) {
             continue;
         }
@@ -223,7 +227,7 @@
     }
 }
 
-/// Sends a request and leaves before its answer.
+/// Sends a request and closes the connection after a short random time, mostly before the response.
 async fn cancel_early(soak: &Arc<Soak>, node: usize, outgoing: &Outgoing) {
     let mut none = None;
     let wait = Duration::from_millis(soak.draw(40));
@@ -234,5 +238,5 @@
     }
 }
 
-/// Returns the route's service for a version's own route.
+/// Service of the routes that each version adds.
 pub const VERSION_SERVICE: &str = "deep";
--- a/tests/soak/src/checker.rs
+++ b/tests/soak/src/checker.rs
@@ -1,4 +1,7 @@
-//! What truly happened, as callers and back ends saw it, and the promises it is held against.
+//! Checks the documented guarantees against the events that callers, back ends and the operator report.
+//!
+//! Each violation begins with a word for the guarantee, such as `TWICE` for a second run of a request that
+//! is not idempotent. Guarantees that hold only without faults are not checked during disturbances.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,22 +12,22 @@
 use crate::deployment::{DRAIN_TIME, MAX_APPLY_TIME, MAX_REVOCATION_TIME, TENANT};
 use crate::retries::RetryHistory;
 
-/// Violations that are kept; more are only counted.
+/// Maximum number of violations whose texts are kept; further ones are only counted.
 const MAX_VIOLATIONS: usize = 40;
-/// Time after its caller has left within which a repeatable request must have been stopped.
+/// Maximum time until an idempotent request is stopped after its caller has left.
 const MAX_STOP_TIME: Duration = Duration::from_millis(700);
-/// Time before and after a disturbance in which a lost request may be its doing.
+/// Time after a disturbance during which its effects, such as lost requests, are still excused.
 const DISTURBANCE_MARGIN: Duration = Duration::from_secs(3);
 
 /// Time since the start of the soak.
 pub type Moment = Duration;
 
-/// A request as its sender knows it.
+/// A request as it was sent.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    /// When it was sent.
+    /// Time of the send.
     pub at: Moment,
-    /// Node that it was sent to.
+    /// Node to which the request was sent.
     pub node: usize,
     /// Method.
     pub method: &'static str,
@@ -32,11 +35,11 @@
     pub target: String,
     /// Body.
     pub body: Vec<u8>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub is_idempotent: bool,
-    /// Service of the machine on which it began.
+    /// Service of the machine from which the request was sent.
     pub caller_service: &'static str,
-    /// Version of the configuration that holds its key; `None` for a call, which shows none.
+    /// Version of the configuration to which the key belongs; `None` for a call, which has no key.
     pub key_version: Option<u64>,
 }
 
@@ -48,7 +51,7 @@
     ended: Option<Moment>,
 }
 
-/// What became of a request.
+/// Events of a request.
 #[derive(Clone, Debug, Default)]
 struct RequestHistory {
     sent: Option<Sent>,
@@ -58,7 +61,7 @@
     cancelled_at: Option<Moment>,
 }
 
-/// What a back end got.
+/// A request as a back end received it.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrived<'a> {
     /// Identifier.
@@ -69,49 +72,49 @@
     pub target: &'a str,
     /// Body.
     pub body: &'a [u8],
-    /// Service that the request is said to come from.
+    /// Value of `Caller-Service`.
     pub caller_service: &'a str,
-    /// Tenant that the request is said to belong to.
+    /// Value of `Tenant`.
     pub tenant: Option<&'a str>,
-    /// Whether the caller's credential has been passed on.
+    /// Whether the caller's credential was forwarded.
     pub shows_credential: bool,
     /// Service of the back end.
     pub service: &'static str,
-    /// Incarnation of the back end.
+    /// Label of the back end's incarnation.
     pub instance: &'a str,
 }
 
-/// What a caller got.
+/// A response as a caller received it.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer<'a> {
     /// Status code.
     pub status: u16,
-    /// Identifier that came back.
+    /// Request identifier in the response.
     pub id: Option<&'a str>,
-    /// Signature of a back end.
+    /// Signature of the body; only back ends send it.
     pub signature: Option<&'a str>,
     /// Body.
     pub body: &'a [u8],
 }
 
-/// Figures of a soak.
+/// Numbers of requests of callers, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Requests of callers.
+    /// Requests sent.
     pub requests: u64,
-    /// Those answered with success.
+    /// Requests answered with success.
     pub served: u64,
-    /// Those refused with a promise.
+    /// Requests refused with a status that promises that they did not run.
     pub refused: u64,
-    /// Those that ended otherwise.
+    /// Requests with any other response or none.
     pub failed: u64,
-    /// Those whose callers left before an answer.
+    /// Requests whose callers left before the response.
     pub cancelled: u64,
-    /// Those with a key that was taken away, which were denied.
+    /// Requests refused because of a revoked key.
     pub denied: u64,
 }
 
-/// What truly happened.
+/// Records the events of a soak and reports violations of the guarantees.
 #[derive(Debug, Default)]
 pub struct Checker {
     histories: BTreeMap<String, RequestHistory>,
@@ -132,7 +135,7 @@
 }
 
 impl Checker {
-    /// Notes a broken promise.
+    /// Records a violation.
     pub fn report_violation(&mut self, at: Moment, text: &str) {
         self.violation_count += 1;
         if self.violations.len() < MAX_VIOLATIONS {
@@ -141,22 +144,22 @@
         }
     }
 
-    /// Returns the broken promises.
+    /// Returns the texts of the violations that are kept.
     pub fn violations(&self) -> &[String] {
         &self.violations
     }
 
-    /// Returns the number of broken promises.
+    /// Returns the number of all violations.
     pub const fn violation_count(&self) -> u64 {
         self.violation_count
     }
 
-    /// Returns the figures so far.
+    /// Returns the numbers of requests so far.
     pub const fn totals(&self) -> Totals {
         self.totals
     }
 
-    /// Takes in that a configuration lets requests under a prefix go to a service.
+    /// Allows requests under a prefix to run at a service.
     pub fn allow_route(&mut self, prefix: &str, service: &'static str) {
         self.allowed_services
             .entry(prefix.to_owned())
@@ -164,17 +167,17 @@
             .insert(service);
     }
 
-    /// Takes in that something unplanned goes on between two moments.
+    /// Records a disturbance that lasts from `from` until `until`.
     pub fn add_disturbance(&mut self, from: Moment, until: Moment) {
         self.disturbances.push((from, until));
     }
 
-    /// Takes in a planned stop of a node.
+    /// Records a planned stop of a node that ends by `until`.
     pub fn add_planned_stop(&mut self, node: usize, from: Moment, until: Moment) {
         self.planned_stops.push((node, from, until));
     }
 
-    /// Takes in that a request is sent; `service` is where it should go.
+    /// Records that a request is sent; `service` is the service to which its route leads.
     pub fn on_sent(&mut self, id: &str, sent: Sent, service: &'static str, is_call: bool) {
         if !is_call {
             self.totals.requests += 1;
@@ -184,7 +187,7 @@
         self.histories.entry(id.to_owned()).or_default().sent = Some(sent);
     }
 
-    /// Takes in that a request reached a back end, whether or not it runs there.
+    /// Records that a request reached a back end, whether or not it runs there.
     pub fn on_arrived(&mut self, at: Moment, arrived: &Arrived<'_>) {
         let parent = arrived.id.rsplit_once('.').map(|(parent, _)| parent);
         let retries_parent = parent
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Takes in that a back end begins to work on a request.
+    /// Records that a back end starts to work on a request, and checks all guarantees about runs.
     pub fn on_run_started(&mut self, at: Moment, arrived: &Arrived<'_>) {
         self.check_content(at, arrived);
         self.check_route(at, arrived);
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Takes in that a back end has stopped to work on a request.
+    /// Records that a back end no longer works on a request.
     pub fn on_run_ended(&mut self, at: Moment, id: &str, instance: &str) {
         if let Some(history) = self.histories.get_mut(id)
             && let Some(run) = history
@@ -237,25 +240,25 @@
         }
     }
 
-    /// Takes in that a back end ends because of a request that it works on.
+    /// Records that a back end crashes because of a request.
     pub fn on_crash(&mut self, at: Moment, target: &str) {
         self.crashing.on_crash(at, target);
     }
 
-    /// Takes in that a request was refused because back ends have ended under requests like it.
+    /// Checks that a request refused as quarantined is one that crashes back ends.
     pub fn on_quarantined(&mut self, at: Moment, target: &str) {
         if !target.contains(crashing::CRASH_PATH) {
-            let text = format!("HELD {target} was refused although it ends no back end");
+            let text = format!("HELD {target} was quarantined although it crashes no back end");
             self.report_violation(at, &text);
         }
     }
 
-    /// Takes in that an incarnation's announcement that it leaves was acknowledged.
+    /// Records the first acknowledgement of an incarnation's drain.
     pub fn on_drain_acknowledged(&mut self, at: Moment, instance: &str) {
         self.drained_at.entry(instance.to_owned()).or_insert(at);
     }
 
-    /// Takes in an answer to a request.
+    /// Records a response to a request, and checks that it belongs to the request.
     pub fn on_answer(&mut self, at: Moment, id: &str, answer: &Answer<'_>, is_call: bool) {
         if !is_call {
             match answer.status {
@@ -274,7 +277,7 @@
         }
     }
 
-    /// Returns whether a request shows a key that was taken away by a version accepted meanwhile.
+    /// Returns whether a request uses a key that an accepted version has revoked.
     fn shows_old_key(&self, id: &str) -> bool {
         let sent = self
             .histories
@@ -284,8 +287,8 @@
         version.is_some_and(|version| self.accepted_versions.contains_key(&(version + 1)))
     }
 
-    /// Takes in that a connection ended without an answer to a request; `was_kept` if the connection
-    /// had carried another one before.
+    /// Records that a request got no response, and checks that it was not lost to a planned stop.
+    /// `was_reused` tells whether the connection had carried an earlier request.
     pub fn on_no_answer(&mut self, at: Moment, id: &str, is_call: bool, was_reused: bool) {
         if !is_call {
             self.totals.failed += 1;
@@ -296,7 +299,8 @@
         let Some(sent) = history.sent.clone() else {
             return;
         };
-        // A request that crosses the close of a kept connection was not taken, unless it was passed on.
+        // The node may close an idle connection while a request is on its way. Such a request was not
+        // accepted, unless it reached a back end.
         if was_reused && history.arrivals == 0 {
             return;
         }
@@ -312,7 +316,7 @@
         }
     }
 
-    /// Takes in that a caller has left.
+    /// Records that a caller left before the response to its request.
     pub fn on_caller_left(&mut self, at: Moment, id: &str) {
         if let Some(history) = self.histories.get_mut(id) {
             self.totals.cancelled += 1;
@@ -320,18 +324,19 @@
         }
     }
 
-    /// Takes in that a node has served a route which came with a version.
+    /// Records that an incarnation of a node served a route that a version added.
     pub fn on_version_served(&mut self, at: Moment, node: usize, incarnation: u32, version: u64) {
         let served_versions = self.served_versions.entry((node, incarnation)).or_default();
         served_versions.push((at, version));
     }
 
-    /// Takes in that a version of the configuration is accepted.
+    /// Records that a version of the configuration is accepted.
     pub fn on_version_accepted(&mut self, at: Moment, version: u64) {
         self.accepted_versions.insert(version, at);
     }
 
-    /// Takes in that a node does not know a route which came with a version and still stands.
+    /// Checks whether a node may lack a route that a version added and that is still configured: it must not
+    /// have served that version or a later one before, and must not be too late in applying it.
     pub fn on_version_unknown(
         &mut self,
         sent: Moment,
@@ -356,7 +361,7 @@
             .get(&version)
             .copied()
             .unwrap_or(sent);
-        // A disturbance excuses a node only until it has been in touch for the time that it then has.
+        // The node has the whole apply time after a disturbance or a planned stop, but not longer.
         let since = sent.saturating_sub(MAX_APPLY_TIME);
         let was_planned = self.planned_stops.iter().any(|(other, from, until)| {
             *other == node && *from <= sent && *until + DISTURBANCE_MARGIN >= since
@@ -367,14 +372,14 @@
         }
     }
 
-    /// Returns whether something unplanned went on between two moments, or shortly before.
+    /// Returns whether there was a disturbance between two times or within [`DISTURBANCE_MARGIN`] before.
     fn is_disturbed(&self, from: Moment, until: Moment) -> bool {
         self.disturbances
             .iter()
             .any(|(begin, end)| *begin <= until && *end + DISTURBANCE_MARGIN >= from)
     }
 
-    /// Judges everything that can only be judged when all is over.
+    /// Checks the guarantees that can only be checked at the end of the soak.
     pub fn conclude(&mut self, now: Moment) {
         self.check_promises();
         self.check_budget();
@@ -382,7 +387,7 @@
         self.check_crashing();
     }
 
-    /// Takes in that a request was answered with a promise that it did not run and never will.
+    /// Records that a request was refused with a promise that it did not run and never will.
     pub fn on_promised_not_run(&mut self, at: Moment, id: &str) {
         self.promised_not_run.insert(id.to_owned(), at);
     }
@@ -411,7 +416,7 @@
             .map(|(id, at)| (id.clone(), *at))
             .collect();
         for (id, at) in broken {
-            let text = format!("REFUSED {id} was promised not to have run, but has");
+            let text = format!("REFUSED {id} was refused as not run, but has run");
             self.report_violation(at, &text);
         }
     }
@@ -422,14 +427,16 @@
             .get(arrived.id)
             .and_then(|history| history.sent.as_ref());
         let fault = match sent {
-            None => Some("nobody sent it"),
+            None => Some("never sent"),
             Some(sent) if sent.method != arrived.method => Some("method changed"),
             Some(sent) if sent.target != arrived.target => Some("target changed"),
             Some(sent) if sent.body != arrived.body => Some("body changed"),
-            Some(sent) if sent.caller_service != arrived.caller_service => Some("other caller"),
-            Some(_) if arrived.shows_credential => Some("credential passed on"),
+            Some(sent) if sent.caller_service != arrived.caller_service => {
+                Some("caller service changed")
+            }
+            Some(_) if arrived.shows_credential => Some("credential forwarded"),
             Some(sent) if arrived.tenant != sent.key_version.map(|_| TENANT) => {
-                Some("other tenant")
+                Some("wrong tenant")
             }
             Some(_) => None,
         };
@@ -451,7 +458,8 @@
         }
     }
 
-    /// A key stands in one version and must have stopped working some time after the next one.
+    /// Checks that no request with a revoked key runs: the version after that of the key revokes it, and the
+    /// key must stop working within [`MAX_REVOCATION_TIME`].
     fn check_key(&mut self, at: Moment, arrived: &Arrived<'_>) {
         let history = self.histories.get(arrived.id);
         let Some(sent) = history.and_then(|history| history.sent.as_ref()) else {
@@ -487,7 +495,7 @@
         });
         if !is_genuine {
             let length = answer.body.len();
-            let text = format!("MIXED {id} got {length} bytes that no back end gave");
+            let text = format!("MIXED {id} got {length} bytes that no back end sent");
             self.report_violation(at, &text);
         }
     }
@@ -498,7 +506,7 @@
         }
     }
 
-    /// Judges whether work for callers that have left is stopped.
+    /// Checks that work for callers that have left is stopped; single exceptions are tolerated.
     fn check_stopping(&mut self, now: Moment) {
         for history in self.histories.values() {
             let (Some(cancelled_at), Some(sent)) = (history.cancelled_at, &history.sent) else {
@@ -518,7 +526,7 @@
         }
         if self.not_stopped_count > 4 && self.not_stopped_count * 4 > self.cancelled_count {
             let text = format!(
-                "GONE {} of {} requests went on without their callers",
+                "GONE {} of {} requests kept running after their callers had left",
                 self.not_stopped_count, self.cancelled_count
             );
             self.report_violation(now, &text);
@@ -526,7 +534,7 @@
     }
 }
 
-/// Returns the first segment of a target, which names its route.
+/// Returns the first segment of a target, with its slashes; it is the path prefix of a route.
 pub fn prefix_of(target: &str) -> &str {
     let end = target
         .char_indices()
@@ -535,7 +543,7 @@
     end.map_or(target, |(index, _)| &target[..=index])
 }
 
-/// Returns the body that an incarnation answers a request with.
+/// Returns the body with which an incarnation responds to a request. Its length depends on the identifier.
 pub fn body_of(id: &str, instance: &str) -> Vec<u8> {
     let unit = format!("{id} at {instance};");
     let count = 1 + xxh3_64(id.as_bytes()) % 200;
--- a/tests/soak/src/faults.rs
+++ b/tests/soak/src/faults.rs
@@ -1,4 +1,7 @@
-//! The schedule: cycles of disturbance and calm, drawn from the seed.
+//! The schedule of faults: cycles of a disturbed and a calm part, drawn from the seed.
+//!
+//! In the disturbed part faults and planned work begin at random times. In the calm part everything must
+//! recover, which is checked at its end.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -17,20 +20,21 @@
 
 /// Length of the disturbed part of a cycle, in milliseconds.
 const DISTURBED_MILLIS: u64 = 13_000;
-/// Time before the end of that part from which nothing slow begins, in milliseconds.
+/// Time that must be left of the disturbed part for slow planned work (a stop or a drain) to begin, in
+/// milliseconds.
 const MIN_SLOW_WORK_MILLIS: u64 = 7_500;
-/// Time for everything to come back, in milliseconds.
+/// Time for everything to recover after the disturbed part, in milliseconds.
 const SETTLE_MILLIS: u64 = 5_000;
-/// Time in which it is judged whether everything has come back, in milliseconds.
+/// Time over which the recovery is checked, in milliseconds.
 const CHECK_MILLIS: u64 = 2_500;
-/// Share of requests that must be served when everything has come back, in percent.
+/// Minimum percentage of requests that must be served after the recovery.
 const MIN_SERVED_PERCENT: u64 = 95;
-/// One cycle of so many has planned work only.
+/// On average one of this many cycles has planned work only, without faults.
 const CYCLES_PER_PLANNED_CYCLE: u64 = 3;
-/// Shortest and longest stand-still in which the configuration changes, in milliseconds: peers give
-/// links up within some seconds.
+/// Duration of a process pause during which the configuration changes, in milliseconds: minimum and
+/// exclusive maximum. Peers close their links to a paused node within a few seconds.
 const LONG_PAUSE_RANGE_MILLIS: (u64, u64) = (2_500, 6_000);
-/// Changes of the configuration in a series.
+/// Number of changes of the configuration in a series.
 const CHANGES_PER_SERIES: u64 = 4;
 /// Time between two changes of a series, in milliseconds.
 const SERIES_INTERVAL_MILLIS: u64 = 150;
@@ -38,32 +42,32 @@
 /// The proxies in front of a machine.
 #[derive(Clone, Debug)]
 pub struct Proxies {
-    /// In front of its links.
+    /// Proxy in front of the node's links.
     pub mesh: Proxy,
-    /// In front of its back end.
+    /// Proxy in front of the back end.
     pub back_end: Proxy,
-    /// In front of the store.
+    /// Proxy in front of the node's store endpoint.
     pub store: Proxy,
 }
 
-/// What the schedule acts on.
+/// Targets of the schedule's faults and planned work, by machine.
 #[derive(Debug)]
 pub struct Targets {
-    /// Proxies, by machine.
+    /// Proxies of each machine.
     pub proxies: Vec<Proxies>,
-    /// Processes, by machine.
+    /// Channels to the supervisors of the node processes.
     pub nodes: Vec<UnboundedSender<node::Action>>,
-    /// Back ends, by machine.
+    /// Channels to the supervisors of the back ends.
     pub back_ends: Vec<UnboundedSender<back_end::Action>>,
 }
 
-/// Time for which the store is away before it comes back from a copy.
+/// Time for which the store is unavailable before it is restored from a backup.
 const STORE_OUTAGE: Duration = Duration::from_millis(500);
 
-/// A share of a back end's requests that goes wrong.
+/// Selects the field of a machine that controls a fault of its back end.
 type PercentField = fn(&crate::soak::Machine) -> &AtomicU32;
 
-/// Draws and plays the schedule.
+/// Draws the schedule and carries it out.
 #[derive(Debug)]
 pub struct Schedule {
     soak: Arc<Soak>,
@@ -73,7 +77,7 @@
 }
 
 impl Schedule {
-    /// Creates the schedule of a seed.
+    /// Creates the schedule that `seed` determines.
     pub fn new(soak: Arc<Soak>, targets: Targets, seed: u64) -> Self {
         Self {
             crashing: CrashingCaller::new(soak.clone(), seed),
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Plays one cycle.
+    /// Carries out one cycle.
     pub async fn cycle(&mut self) {
         let is_planned_only = self.draw(CYCLES_PER_PLANNED_CYCLE) == 0;
         let length = DISTURBED_MILLIS + SETTLE_MILLIS + CHECK_MILLIS;
@@ -107,8 +111,8 @@
         self.check_recovery().await;
     }
 
-    /// Lets the store be away for a moment within the disturbed time and come back from a copy; the operator writes the
-    /// newest configuration again.
+    /// Schedules an outage of the store within the disturbed part that ends with a restore from a backup; the
+    /// operator then writes the newest configuration again.
     fn schedule_restore(&mut self) {
         let outage_at = millis(self.draw(DISTURBED_MILLIS / 2));
         let backup_age = millis(1_000 + self.draw(7_000));
@@ -134,7 +138,8 @@
         });
     }
 
-    /// Begins planned work.
+    /// Begins planned work on a random node; slow work only if enough of the remaining time, in milliseconds,
+    /// is left.
     fn plan(&mut self, left: u64) {
         let node = self.draw_node();
         match self.draw(7) {
@@ -149,7 +154,7 @@
         }
     }
 
-    /// Begins a disturbance that ends within the time that is left.
+    /// Begins a disturbance that ends within the remaining time, in milliseconds.
     fn disturb(&mut self, left: u64) {
         let node = self.draw_node();
         let length = millis((300 + self.draw(3_500)).min(left));
@@ -181,7 +186,7 @@
         operator::configure(&self.soak);
     }
 
-    /// Changes the configuration several times in quick succession, after a while.
+    /// Changes the configuration several times in quick succession, beginning after a delay.
     fn configure_in_series(&self, count: u64, after: Duration) {
         self.log(&format!("configuration changes {count} times"));
         let soak = self.soak.clone();
@@ -194,7 +199,7 @@
         });
     }
 
-    /// Lets a node stand still for long while the configuration changes.
+    /// Pauses a node's process for a long time while the configuration changes.
     fn change_while_paused(&mut self, node: usize, left: u64) {
         let (min, max) = LONG_PAUSE_RANGE_MILLIS;
         let length = millis((min + self.draw(max - min)).min(left));
@@ -205,7 +210,8 @@
         self.configure_in_series(count, length / 4);
     }
 
-    /// Sends a node several signals, each while it still carries out the one before.
+    /// Queues several actions on a node's process, so that each signal arrives while the node may still be
+    /// handling the previous one.
     fn signal_in_series(&mut self, node: usize, length: Duration) {
         self.act_on_node(node, node::Action::Reload);
         self.act_on_node(node, node::Action::Pause(length / 3));
@@ -255,7 +261,7 @@
         });
     }
 
-    /// Cuts a machine off from the store and from links that others open.
+    /// Isolates a node from the store and from links that other nodes open.
     fn isolate(&self, node: usize, length: Duration) {
         self.log(&format!("node {node}: cut off for {length:?}"));
         let proxies = self.targets.proxies[node].clone();
@@ -268,7 +274,7 @@
         });
     }
 
-    /// Lets the store treat some or all machines badly.
+    /// Injects a fault into the store endpoints of some or all machines.
     fn disturb_store(&mut self, length: Duration) {
         let fault = match self.draw(4) {
             0 => StoreFault::Busy,
@@ -298,6 +304,7 @@
         let _ = self.targets.back_ends[node].send(back_end::Action::Crash(length));
     }
 
+    /// Sets a fault of a back end to `percent` for a while.
     fn inject_back_end_fault(
         &self,
         node: usize,
@@ -316,7 +323,7 @@
         });
     }
 
-    /// Lets a back end fail many requests, or get slow.
+    /// Makes a back end fail many requests, or slow down.
     fn fail_or_slow_down(&mut self, node: usize, length: Duration) {
         if self.draw(2) == 0 {
             self.inject_back_end_fault(node, length, |machine| &machine.failed_percent, 60);
@@ -325,7 +332,7 @@
         }
     }
 
-    /// Judges whether everything has come back.
+    /// Checks that all nodes are ready and nearly all requests are served.
     async fn check_recovery(&self) {
         self.log("calm");
         let before = self.soak.checker().totals();
@@ -334,12 +341,12 @@
         let now = self.soak.now();
         let mut checker = self.soak.checker();
         let after = checker.totals();
-        // Neither those whose callers left nor those that had to be denied are owed an answer.
+        // Cancelled requests and requests with a revoked key need not be served.
         let excused = after.cancelled - before.cancelled + after.denied - before.denied;
-        let asked = (after.requests - before.requests).saturating_sub(excused);
+        let expected = (after.requests - before.requests).saturating_sub(excused);
         let served = after.served - before.served;
-        if served * 100 < asked * MIN_SERVED_PERCENT {
-            let text = format!("RECOVER {served} of {asked} served, configuration {newest}");
+        if served * 100 < expected * MIN_SERVED_PERCENT {
+            let text = format!("RECOVER {served} of {expected} served, configuration {newest}");
             checker.report_violation(now, &text);
         }
         for (node, machine) in self.soak.machines.iter().enumerate() {
--- a/tests/soak/src/node.rs
+++ b/tests/soak/src/node.rs
@@ -152,8 +152,8 @@
         sleep(SIGNAL_INTERVAL).await;
         signal(child, *later);
     }
-    // Callers may still open connections for one probe interval, as long as the readiness that they have
-    // seen may be outdated; after it the node counts as not ready.
+    // No probe runs during the stop. The node is marked as not ready after one probe interval, so that
+    // callers see this at most two intervals after the last probe.
     let machine = &soak.machines[node];
     let mark_unready = async {
         sleep(PROBE_INTERVAL).await;
--- a/tests/soak/src/retries.rs
+++ b/tests/soak/src/retries.rs
@@ -48,7 +48,7 @@
 }
 
 /// Returns the largest number of requests in three windows: the one that ends at `end`, and those that
-/// end half a window and a whole window earlier. A retry may belong to a request of an earlier window.
+/// end half a window and a whole window earlier.
 fn max_requests(requests: &[Moment], end: Moment) -> usize {
     let count = |end: Moment| {
         let start = end.saturating_sub(RETRY_WINDOW);
--- a/tests/soak/src/store.rs
+++ b/tests/soak/src/store.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the platform's store: objects with revisions, lists, watches; one door a node, each
-//! of which can misbehave for itself.
+//! Fake platform store: objects with revisions, lists and watches. Each node has its own endpoint, into which
+//! faults can be injected independently.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,24 +13,24 @@
 
 use crate::wire::{Connection, Request, encode_response};
 
-/// Time that an answer takes.
+/// Delay of each response.
 const ANSWER_DELAY: Duration = Duration::from_millis(4);
-/// Longest time for which a watch waits.
+/// Maximum time for which a watch waits for changes.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
-/// How a door of the store treats its node.
+/// Fault of a store endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Well.
+    /// Calls are answered normally.
     #[default]
     None,
-    /// Refuses everything with 503.
+    /// All calls are refused with 503.
     Busy,
-    /// Refuses everything with 429.
+    /// All calls are refused with 429.
     Throttle,
-    /// Does what is asked and says nothing.
+    /// Calls are performed, but not answered.
     LoseAnswers,
-    /// Takes this much longer.
+    /// Responses are delayed by this time.
     Slow(Duration),
 }
 
@@ -58,32 +58,35 @@
     gone: bool,
 }
 
-/// Copies that are kept, and the time between two.
+/// Maximum number of backups that are kept.
 const MAX_BACKUPS: usize = 20;
+/// Time between two backups.
 const BACKUP_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug, Default)]
 struct Contents {
-    /// Rises by one each time the store comes back from a copy.
+    /// Increases by one each time the store is restored from a backup.
     epoch: u64,
+    /// Revision of the last change.
     revision: u64,
+    /// Revision up to which the history has been discarded.
     compacted_revision: u64,
     kinds: BTreeMap<String, BTreeMap<String, Object>>,
     history: Vec<Change>,
 }
 
-/// The store.
+/// The fake store.
 #[derive(Debug)]
 pub struct Store {
     contents: Mutex<Contents>,
     revision: watch::Sender<u64>,
-    /// Copies of what it held, the newest last.
+    /// Backups of the contents, newest last.
     backups: Mutex<Vec<Contents>>,
     faults: Vec<watch::Sender<StoreFault>>,
 }
 
 impl Store {
-    /// Creates an empty store with so many doors.
+    /// Creates an empty store with this number of endpoints.
     pub fn new(endpoints: usize) -> Arc<Self> {
         let faults = (0..endpoints).map(|_| watch::Sender::new(StoreFault::None));
         Arc::new(Self {
@@ -94,7 +97,7 @@
         })
     }
 
-    /// Opens a door.
+    /// Accepts calls to an endpoint at `address`.
     ///
     /// # Errors
     ///
@@ -112,19 +115,19 @@
         Ok(())
     }
 
-    /// Changes how a door treats its node from now on.
+    /// Sets the fault of an endpoint.
     pub fn set_fault(&self, endpoint: usize, fault: StoreFault) {
         self.faults[endpoint].send_replace(fault);
     }
 
-    /// Writes an object, as the operator does.
+    /// Writes an object on behalf of the operator.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         let mut contents = self.lock();
         contents.write(kind, name, spec);
         self.revision.send_replace(contents.revision);
     }
 
-    /// Forgets all history, and lets waiting watches know.
+    /// Discards the whole history and wakes up waiting watches, which then fail with 410.
     pub fn compact(&self) {
         let mut contents = self.lock();
         contents.revision += 1;
@@ -133,7 +136,7 @@
         self.revision.send_replace(contents.revision);
     }
 
-    /// Keeps copies for as long as the store is there.
+    /// Starts a task that takes backups periodically.
     pub fn start_backups(self: &Arc<Self>) {
         let store = self.clone();
         tokio::spawn(async move {
@@ -153,8 +156,8 @@
         backups.push(backup);
     }
 
-    /// Comes back from a copy of about this age: what was written since is gone, and revisions are given out again.
-    /// Watches that wait are cut, or hear nothing any more.
+    /// Restores a backup of about this age, or the oldest one if all are younger: later writes are lost and revisions are reused. Waiting
+    /// watches after a lost revision fail with 410; others see no change until a later revision is written.
     pub fn restore_backup(&self, age: Duration) {
         let back = usize::try_from(age.as_millis() / BACKUP_INTERVAL.as_millis()).unwrap_or(0);
         let backups = self.backups();
@@ -190,7 +193,7 @@
                 tokio::time::sleep(delay).await;
             }
             if *self.faults[endpoint].borrow() == StoreFault::LoseAnswers {
-                // Says nothing further on this connection.
+                // The connection stays open without any further response.
                 return connection.wait_closed().await;
             }
             let fields = [
@@ -346,7 +349,8 @@
         (200, body)
     }
 
-    /// Returns the changes after a revision, and the revision now; fails if they are forgotten.
+    /// Returns the changes after a revision and the current revision. Fails if these changes have been
+    /// discarded, or if the revision is newer than the store's.
     fn events(&self, kind: &str, after: u64) -> Result<(Vec<Value>, u64), ()> {
         if after < self.compacted_revision || after > self.revision {
             return Err(());
--- a/tests/soak/src/wire.rs
+++ b/tests/soak/src/wire.rs
@@ -78,7 +78,8 @@
 impl Connection {
     /// Wraps a socket and disables Nagle's algorithm on it.
     pub fn new(stream: TcpStream) -> Self {
-        // Only a matter of latency, so an error is ignored.
+        // Without this option small messages wait for acknowledgements; they still arrive, so an error is
+        // ignored.
         let _ = stream.set_nodelay(true);
         Self {
             stream,
--- a/tests/soak/tests/checker.rs
+++ b/tests/soak/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The judge catches each kind of broken promise, and nothing else.
+//! Tests that the checker reports each kind of violation, and only real ones.
 
 use std::time::Duration;
 
@@ -39,14 +39,14 @@
     }
 }
 
-/// A judge who knows the route of [`arrived`].
+/// Creates a checker that allows the route of [`arrived`].
 fn checker() -> Checker {
     let mut checker = Checker::default();
     checker.allow_route("/front/", "front");
     checker
 }
 
-/// A judge who has seen one request begin to run.
+/// Creates a checker in which one request has started to run.
 fn running(is_idempotent: bool) -> Checker {
     let mut checker = checker();
     checker.on_sent("r1", sent(0, is_idempotent), "front", false);
@@ -66,7 +66,7 @@
 }
 
 #[gtest]
-fn sound_request_breaks_nothing() {
+fn correct_request_is_no_violation() {
     let mut checker = running(false);
     let body = body_of("r1", INSTANCE);
     let signature = signature_of(&body);
@@ -90,7 +90,7 @@
 }
 
 #[gtest]
-fn second_run_is_caught_unless_the_request_may_run_again() {
+fn second_run_is_reported_unless_the_request_is_idempotent() {
     for (is_idempotent, expected) in [(true, vec![]), (false, vec!["TWICE".to_owned()])] {
         let mut checker = running(is_idempotent);
         checker.on_run_started(at(30), &arrived("r1"));
@@ -99,7 +99,7 @@
 }
 
 #[gtest]
-fn false_promise_is_caught_also_if_the_run_comes_later() {
+fn run_after_a_refusal_as_not_run_is_reported() {
     let mut checker = checker();
     checker.on_sent("r1", sent(0, false), "front", false);
     checker.on_promised_not_run(at(5), "r1");
@@ -109,7 +109,7 @@
 }
 
 #[gtest]
-fn answer_of_another_request_or_cut_short_is_caught() {
+fn response_of_another_request_or_truncated_response_is_reported() {
     let mut checker = running(true);
     let foreign = body_of("r2", INSTANCE);
     let own = body_of("r1", INSTANCE);
@@ -128,7 +128,7 @@
 }
 
 #[gtest]
-fn request_that_nobody_sent_or_that_was_changed_is_caught() {
+fn request_that_was_never_sent_or_was_changed_is_reported() {
     let mut checker = checker();
     checker.on_run_started(at(1), &arrived("r9"));
     checker.on_sent("r1", sent(0, true), "front", false);
@@ -148,7 +148,7 @@
 }
 
 #[gtest]
-fn request_at_a_service_that_no_configuration_allows_is_caught() {
+fn request_at_a_service_that_no_configuration_allows_is_reported() {
     let mut checker = running(true);
     let elsewhere = Arrived {
         service: "deep",
@@ -159,7 +159,7 @@
 }
 
 #[gtest]
-fn request_at_a_drained_back_end_is_caught_after_the_drain_time() {
+fn request_at_a_drained_back_end_is_reported_after_the_drain_time() {
     let mut checker = checker();
     checker.on_sent("r1", sent(0, true), "front", false);
     checker.on_drain_acknowledged(at(1_000), INSTANCE);
@@ -170,11 +170,11 @@
 }
 
 #[gtest]
-fn node_that_goes_back_to_an_older_configuration_is_caught() {
+fn node_that_reverts_to_an_older_configuration_is_reported() {
     let mut checker = checker();
     checker.on_version_accepted(at(0), 3);
     checker.on_version_served(at(500), 1, 1, 3);
-    // Another run of the process may know less.
+    // A new incarnation may start with an older configuration.
     checker.on_version_unknown(at(600), 1, 2, 3);
     expect_that!(kinds(&checker), is_empty());
     checker.on_version_unknown(at(600), 1, 1, 3);
@@ -182,7 +182,7 @@
 }
 
 #[gtest]
-fn disturbance_excuses_a_late_configuration_only_until_the_node_had_its_time_in_touch() {
+fn disturbance_excuses_a_late_configuration_only_for_the_apply_time_after_it() {
     let mut checker = checker();
     checker.on_version_accepted(at(1_000), 3);
     checker.add_disturbance(at(500), at(5_000));
@@ -193,7 +193,7 @@
 }
 
 #[gtest]
-fn planned_stop_excuses_a_late_configuration_only_for_a_while() {
+fn planned_stop_excuses_a_late_configuration_only_for_the_apply_time_after_it() {
     let mut checker = checker();
     checker.on_version_accepted(at(1_000), 3);
     checker.add_planned_stop(1, at(500), at(5_000));
@@ -204,7 +204,7 @@
 }
 
 #[gtest]
-fn configuration_that_comes_too_late_is_caught_unless_something_is_disturbed() {
+fn late_configuration_is_reported_unless_there_is_a_disturbance() {
     let mut checker = checker();
     checker.on_version_accepted(at(10_000), 3);
     checker.on_version_unknown(at(11_900), 1, 1, 3);
@@ -217,7 +217,7 @@
 }
 
 #[gtest]
-fn request_lost_at_a_planned_stop_is_caught_unless_something_is_disturbed() {
+fn request_lost_at_a_planned_stop_is_reported_unless_there_is_a_disturbance() {
     let mut checker = checker();
     checker.add_planned_stop(1, at(0), at(7_000));
     checker.on_sent("r1", sent(1_000, true), "front", false);
@@ -231,7 +231,7 @@
 }
 
 #[gtest]
-fn request_that_crosses_the_close_of_a_kept_connection_counts_only_if_it_was_passed_on() {
+fn request_lost_on_a_closing_idle_connection_is_reported_only_if_it_was_forwarded() {
     let mut checker = checker();
     checker.add_planned_stop(1, at(0), at(7_000));
     checker.on_sent("r1", sent(1_000, true), "front", false);
@@ -244,7 +244,7 @@
 }
 
 #[gtest]
-fn repeats_beyond_the_budget_are_caught() {
+fn retries_beyond_the_budget_are_reported() {
     let mut checker = checker();
     for number in 0..100 {
         let id = format!("r{number}");
@@ -262,7 +262,7 @@
 }
 
 #[gtest]
-fn calls_of_a_repeated_request_count_as_repeats() {
+fn calls_of_a_retried_request_count_as_retries() {
     let mut checker = checker();
     for number in 0..60 {
         let id = format!("r{number}");
@@ -284,7 +284,7 @@
 }
 
 #[gtest]
-fn work_that_goes_on_without_its_callers_is_caught() {
+fn work_that_continues_after_its_callers_left_is_reported() {
     for (stops_at, expected) in [(300, vec![]), (2_000, vec!["GONE".to_owned()])] {
         let mut checker = checker();
         for number in 0..8 {
@@ -305,7 +305,7 @@
     expect_that!(prefix_of("/none"), eq("/none"));
 }
 
-/// Lets a request with the key of a version run `millis` after the next version was accepted.
+/// Runs a request with the key of a version, sent `millis` after the next version was accepted.
 fn run_with_old_key(millis: u64) -> Checker {
     let mut checker = checker();
     checker.on_version_accepted(at(1_000), 8);
@@ -323,14 +323,14 @@
 }
 
 #[gtest]
-fn key_that_works_long_after_it_was_taken_away_is_caught() {
+fn key_that_works_too_long_after_its_revocation_is_reported() {
     expect_that!(kinds(&run_with_old_key(4_900)), is_empty());
     let expected = vec!["REVOKED".to_owned()];
     expect_that!(kinds(&run_with_old_key(5_100)), eq(&expected));
 }
 
 #[gtest]
-fn other_tenant_and_passed_on_credential_are_caught() {
+fn wrong_tenant_and_forwarded_credential_are_reported() {
     let forged = Arrived {
         tenant: Some("forged"),
         ..arrived("r1")
@@ -348,7 +348,7 @@
 }
 
 #[gtest]
-fn denial_of_a_key_is_no_failure_only_if_it_was_taken_away() {
+fn refusal_of_a_key_is_a_failure_unless_the_key_was_revoked() {
     for (key_version, expected) in [(7, (1, 0)), (8, (0, 1))] {
         let mut checker = checker();
         checker.on_version_accepted(at(1_000), 8);
@@ -369,7 +369,7 @@
     }
 }
 
-/// A judge who sees a request that ends back ends run at these times, each of them a crash.
+/// Creates a checker in which a crashing request runs at these times and crashes a back end each time.
 fn crashing(times: &[u64]) -> Checker {
     let mut checker = checker();
     let target = "/front/crash?n=1";
@@ -390,14 +390,14 @@
 }
 
 #[gtest]
-fn request_that_goes_on_to_crash_back_ends_is_caught() {
+fn request_that_continues_to_crash_back_ends_is_reported() {
     let mut checker = crashing(&[0, 100, 1_000, 4_500, 5_000, 6_000, 7_000]);
     checker.conclude(at(20_000));
     expect_that!(kinds(&checker), elements_are![eq("CRASHES")]);
 }
 
 #[gtest]
-fn runs_while_nodes_may_not_know_of_the_crashes_are_not_held_against_them() {
+fn runs_before_the_evidence_of_crashes_has_spread_are_no_violation() {
     let mut early = crashing(&[0, 100, 1_000, 2_000, 3_000, 4_000, 5_000]);
     early.conclude(at(20_000));
     expect_that!(kinds(&early), is_empty());
@@ -408,7 +408,7 @@
 }
 
 #[gtest]
-fn refusal_of_a_request_that_ends_no_back_end_is_caught() {
+fn quarantine_of_a_request_that_crashes_no_back_end_is_reported() {
     let mut checker = checker();
     checker.on_quarantined(at(1), "/front/crash?n=1");
     expect_that!(kinds(&checker), is_empty());
--- a/tests/soak/tests/proxy.rs
+++ b/tests/soak/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy does to connections what it is told.
+//! Tests the faults that the proxy injects into connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Far longer than anything takes that is to happen.
+/// Timeout for bytes that must arrive.
 const LONG: Duration = Duration::from_secs(20);
-/// Time in which something that is held would have arrived.
+/// Time within which bytes would arrive if they were not held.
 const SHORT: Duration = Duration::from_millis(100);
 
-/// Starts a server that sends back what it gets, and a proxy in front of it.
+/// Starts an echo server and a proxy in front of it.
 async fn echo(last: u8) -> Proxy {
     let server = SocketAddr::from(([127, 76, 1, last], 7_000));
     let listener = TcpListener::bind(server).await.expect("an address");
@@ -32,7 +32,7 @@
     Proxy::start(listen, server).await.expect("an address")
 }
 
-/// Sends a byte; returns whether it comes back within the time.
+/// Sends a byte; returns whether it is echoed within the given time.
 async fn comes_back(stream: &mut TcpStream, within: Duration) -> bool {
     let mut byte = [0];
     let sent = stream.write_all(b"x").await;
