--- a/tests/soak/src/back_end.rs
+++ b/tests/soak/src/back_end.rs
@@ -1,5 +1,6 @@
-//! Fake back ends. They have slots and a queue, leave requests without a response when both are full, make
-//! calls of their own, drain, crash, and return lost or corrupted responses when a fault is injected.
+//! Fake back ends. They have slots and a queue, leave requests without a response when both are
+//! full, make calls of their own, drain, crash, and return lost or corrupted responses when a fault
+//! is injected.
 
 use std::io;
 use std::sync::Arc;
@@ -18,8 +19,8 @@
 use crate::soak::Soak;
 use crate::wire::{Connection, Request, encode_request, encode_response};
 
-/// Duration of the work on a request, in milliseconds: the minimum, and the exclusive bound of the random
-/// part added to it.
+/// Duration of the work on a request, in milliseconds: the minimum, and the exclusive bound of the
+/// random part added to it.
 const WORK_MILLIS: (u64, u64) = (4, 30);
 /// Time between two heartbeats while the announcement of a drain is not acknowledged.
 const DRAIN_RETRY_INTERVAL: Duration = Duration::from_millis(300);
@@ -31,8 +32,8 @@
 const EXTRA_SERVING_TIME: Duration = Duration::from_millis(800);
 /// Time between the end of a drained back end and the start of its replacement.
 const REPLACEMENT_DELAY: Duration = Duration::from_millis(400);
-/// Unix time of the start of each soak, in milliseconds. The value is arbitrary: start times of back ends
-/// must only increase.
+/// Unix time of the start of each soak, in milliseconds. The value is arbitrary: start times of
+/// back ends must only increase.
 const SOAK_START_UNIX_MILLIS: u64 = 1_760_000_000_000;
 /// Time between a response and the late extra copy of it.
 const EXTRA_ANSWER_DELAY: Duration = Duration::from_millis(60);
@@ -175,7 +176,7 @@
             body: &request.body,
             caller_service: request.fields.get("Caller-Service").unwrap_or_default(),
             tenant: request.fields.get("Tenant"),
-            shows_credential: request.fields.get("Authorization").is_some(),
+            has_credential: request.fields.get("Authorization").is_some(),
             service: Layout::service(self.node),
             instance: &self.label(),
         };
@@ -192,8 +193,8 @@
         }
         self.soak.checker().on_arrived(self.soak.now(), &arrived);
         let Ok(_admission) = self.capacity.try_acquire() else {
-            // A request that does not fit into the queue gets no response, and the connection is not used
-            // any further.
+            // A request that does not fit into the queue gets no response, and the connection is
+            // not used any further.
             connection.wait_closed().await;
             return Ok(false);
         };
@@ -258,8 +259,8 @@
         }
     }
 
-    /// Sends the response, unless an injected fault loses or corrupts it; returns whether the connection
-    /// stays open.
+    /// Sends the response, unless an injected fault loses or corrupts it; returns whether the
+    /// connection stays open.
     async fn reply(&self, connection: &mut Connection, id: &str, status: u16) -> io::Result<bool> {
         let machine = &self.soak.machines[self.node];
         if self.soak.draw_percent(&machine.lost_percent) {
@@ -282,7 +283,8 @@
         Ok(true)
     }
 
-    /// Sends a response with a randomly chosen protocol error; returns whether the connection stays open.
+    /// Sends a response with a randomly chosen protocol error; returns whether the connection stays
+    /// open.
     async fn corrupt(&self, connection: &mut Connection, bytes: &[u8]) -> io::Result<bool> {
         match self.soak.draw(5) {
             // Response without its last bytes.
@@ -385,7 +387,8 @@
         matches!(answer, Ok(Ok(response)) if response.status == 200)
     }
 
-    /// Announces the drain, serves until the drain time after its acknowledgement has passed, and leaves.
+    /// Announces the drain, serves until the drain time after its acknowledgement has passed, and
+    /// leaves.
     async fn drain(&self) {
         let mut state = self.state.subscribe();
         self.state.send_replace(State::Draining);
--- a/tests/soak/src/caller.rs
+++ b/tests/soak/src/caller.rs
@@ -44,8 +44,8 @@
     pub deadline: Duration,
 }
 
-/// Sends a request to a node and reports the outcome; returns `None` if there is no response. Uses the idle
-/// connection if there is one, and returns the connection to `idle` if it can be reused.
+/// Sends a request to a node and reports the outcome; returns `None` if there is no response. Uses
+/// the idle connection if there is one, and returns the connection to `idle` if it can be reused.
 pub async fn exchange(
     soak: &Arc<Soak>,
     node: usize,
@@ -103,7 +103,8 @@
     format!("key-of-version-{version}")
 }
 
-/// Draws the version whose key a caller uses: mostly the newest one, sometimes one of the two before it.
+/// Draws the version whose key a caller uses: mostly the newest one, sometimes one of the two
+/// before it.
 fn draw_key_version(soak: &Arc<Soak>) -> u64 {
     let newest = soak.version.load(Ordering::SeqCst);
     match soak.draw(REQUESTS_PER_OLD_KEY) {
@@ -176,8 +177,8 @@
     }
 }
 
-/// Returns the version of the configuration that added the route of a target, or `None` for routes that all
-/// versions have.
+/// Returns the version of the configuration that added the route of a target, or `None` for routes
+/// that all versions have.
 fn version_of(target: &str) -> Option<u64> {
     let version = prefix_of(target).strip_prefix("/v")?;
     version.strip_suffix('/')?.parse().ok()
@@ -188,8 +189,8 @@
     let mut idle = None;
     loop {
         tokio::time::sleep(Duration::from_millis(10 + soak.draw(80))).await;
-        // An open connection is used as long as the node keeps it open, even if the node is not ready; a new
-        // one is opened only to a node that is ready.
+        // An open connection is used as long as the node keeps it open, even if the node is not
+        // ready; a new one is opened only to a node that is ready.
         if idle.is_none() && !soak.machines[node].is_ready.load(Ordering::Relaxed) {
             continue;
         }
--- a/tests/soak/src/checker.rs
+++ b/tests/soak/src/checker.rs
@@ -1,7 +1,9 @@
-//! Checks the documented guarantees against the events that callers, back ends and the operator report.
+//! Checks the documented guarantees against the events that callers, back ends and the operator
+//! report.
 //!
-//! Each violation begins with a word for the guarantee, such as `TWICE` for a second run of a request that
-//! is not idempotent. Guarantees that hold only without faults are not checked during disturbances.
+//! Each violation begins with a word for the guarantee, such as `TWICE` for a second run of a
+//! request that is not idempotent. Guarantees that hold only without faults are not checked during
+//! disturbances.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -77,7 +79,7 @@
     /// Value of `Tenant`.
     pub tenant: Option<&'a str>,
     /// Whether the caller's credential was forwarded.
-    pub shows_credential: bool,
+    pub has_credential: bool,
     /// Service of the back end.
     pub service: &'static str,
     /// Label of the back end's incarnation.
@@ -177,7 +179,8 @@
         self.planned_stops.push((node, from, until));
     }
 
-    /// Records that a request is sent; `service` is the service to which its route leads.
+    /// Records that a request is sent; `service` is the service to which its route leads. Calls of
+    /// back ends are not counted in the totals.
     pub fn on_sent(&mut self, id: &str, sent: Sent, service: &'static str, is_call: bool) {
         if !is_call {
             self.totals.requests += 1;
@@ -190,12 +193,12 @@
     /// Records that a request reached a back end, whether or not it runs there.
     pub fn on_arrived(&mut self, at: Moment, arrived: &Arrived<'_>) {
         let parent = arrived.id.rsplit_once('.').map(|(parent, _)| parent);
-        let retries_parent = parent
+        let is_parent_retry = parent
             .and_then(|parent| self.histories.get(parent))
             .is_some_and(|history| history.is_retry);
         let history = self.histories.entry(arrived.id.to_owned()).or_default();
         history.arrivals += 1;
-        let is_retry = history.arrivals > 1 || retries_parent;
+        let is_retry = history.arrivals > 1 || is_parent_retry;
         history.is_retry |= is_retry;
         if is_retry {
             self.retries.on_retry(at, arrived.service);
@@ -264,12 +267,12 @@
             match answer.status {
                 200..300 => self.totals.served += 1,
                 408 | 421 | 429 | 503 => self.totals.refused += 1,
-                401 if self.shows_old_key(id) => self.totals.denied += 1,
+                401 if self.uses_revoked_key(id) => self.totals.denied += 1,
                 _ => self.totals.failed += 1,
             }
         }
         if answer.signature.is_some() && answer.id != Some(id) {
-            let text = format!("MIXED {id} got the answer of {:?}", answer.id);
+            let text = format!("MIXED {id} got the response of {:?}", answer.id);
             self.report_violation(at, &text);
         }
         if (200..300).contains(&answer.status) {
@@ -278,7 +281,7 @@
     }
 
     /// Returns whether a request uses a key that an accepted version has revoked.
-    fn shows_old_key(&self, id: &str) -> bool {
+    fn uses_revoked_key(&self, id: &str) -> bool {
         let sent = self
             .histories
             .get(id)
@@ -299,8 +302,8 @@
         let Some(sent) = history.sent.clone() else {
             return;
         };
-        // The node may close an idle connection while a request is on its way. Such a request was not
-        // accepted, unless it reached a back end.
+        // The node may close an idle connection while a request is on its way. Such a request was
+        // not accepted, unless it reached a back end.
         if was_reused && history.arrivals == 0 {
             return;
         }
@@ -335,8 +338,9 @@
         self.accepted_versions.insert(version, at);
     }
 
-    /// Checks whether a node may lack a route that a version added and that is still configured: it must not
-    /// have served that version or a later one before, and must not be too late in applying it.
+    /// Checks whether a node may lack a route that a version added and that is still configured: it
+    /// must not have served that version or a later one before, and must not be too late in
+    /// applying it.
     pub fn on_version_unknown(
         &mut self,
         sent: Moment,
@@ -352,7 +356,7 @@
         if let Some((at, known)) = earlier {
             let since = at.as_secs_f64();
             let text = format!(
-                "CONFIG node {node} denies version {version}, but served {known} at {since:.3}"
+                "CONFIG node {node} lacks version {version}, but served {known} at {since:.3}"
             );
             self.report_violation(sent, &text);
         }
@@ -361,18 +365,20 @@
             .get(&version)
             .copied()
             .unwrap_or(sent);
-        // The node has the whole apply time after a disturbance or a planned stop, but not longer.
+        // A disturbance or a planned stop excuses a node until the margin and then the whole apply
+        // time have passed.
         let since = sent.saturating_sub(MAX_APPLY_TIME);
         let was_planned = self.planned_stops.iter().any(|(other, from, until)| {
             *other == node && *from <= sent && *until + DISTURBANCE_MARGIN >= since
         });
         if accepted < since && !was_planned && !self.is_disturbed(since, sent) {
-            let text = format!("CONFIG node {node} denies version {version} for too long");
+            let text = format!("CONFIG node {node} lacks version {version} for too long");
             self.report_violation(sent, &text);
         }
     }
 
-    /// Returns whether there was a disturbance between two times or within [`DISTURBANCE_MARGIN`] before.
+    /// Returns whether there was a disturbance between two times or within [`DISTURBANCE_MARGIN`]
+    /// before.
     fn is_disturbed(&self, from: Moment, until: Moment) -> bool {
         self.disturbances
             .iter()
@@ -434,7 +440,7 @@
             Some(sent) if sent.caller_service != arrived.caller_service => {
                 Some("caller service changed")
             }
-            Some(_) if arrived.shows_credential => Some("credential forwarded"),
+            Some(_) if arrived.has_credential => Some("credential forwarded"),
             Some(sent) if arrived.tenant != sent.key_version.map(|_| TENANT) => {
                 Some("wrong tenant")
             }
@@ -458,8 +464,8 @@
         }
     }
 
-    /// Checks that no request with a revoked key runs: the version after that of the key revokes it, and the
-    /// key must stop working within [`MAX_REVOCATION_TIME`].
+    /// Checks that no request with a revoked key runs: the version after that of the key revokes
+    /// it, and the key must stop working within [`MAX_REVOCATION_TIME`].
     fn check_key(&mut self, at: Moment, arrived: &Arrived<'_>) {
         let history = self.histories.get(arrived.id);
         let Some(sent) = history.and_then(|history| history.sent.as_ref()) else {
@@ -543,7 +549,8 @@
     end.map_or(target, |(index, _)| &target[..=index])
 }
 
-/// Returns the body with which an incarnation responds to a request. Its length depends on the identifier.
+/// Returns the body with which an incarnation responds to a request. Its length depends on the
+/// identifier.
 pub fn body_of(id: &str, instance: &str) -> Vec<u8> {
     let unit = format!("{id} at {instance};");
     let count = 1 + xxh3_64(id.as_bytes()) % 200;
--- a/tests/soak/src/crashing.rs
+++ b/tests/soak/src/crashing.rs
@@ -24,13 +24,13 @@
 const EVIDENCE_PROPAGATION_TIME: Duration = Duration::from_secs(3);
 /// On average one of this many cycles has a crashing request.
 const CYCLES_PER_CRASHING_REQUEST: u64 = 3;
-/// Time between two sends of a crashing request, in milliseconds: the minimum, and the exclusive bound of
-/// the random part added to it.
+/// Time between two sends of a crashing request, in milliseconds: the minimum, and the exclusive
+/// bound of the random part added to it.
 const SEND_INTERVAL_MILLIS: (u64, u64) = (150, 500);
 /// Deadline of crashing requests.
 const DEADLINE: Duration = Duration::from_millis(1_500);
-/// Stream of the random generator. It differs from the stream of the schedule, so that a seed draws the
-/// same schedule with or without crashing requests.
+/// Stream of the random generator. It differs from the stream of the schedule, so that a seed draws
+/// the same schedule with or without crashing requests.
 const RANDOM_STREAM: u64 = 36;
 
 /// Runs and crashes of crashing requests, by target.
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Draws whether the cycle has a crashing request; if so, sends it to random nodes for `length`.
+    /// Draws whether the cycle has a crashing request; if so, sends it to random nodes for
+    /// `length`.
     pub fn begin_cycle(&mut self, length: Duration) {
         if self.draw(CYCLES_PER_CRASHING_REQUEST) != 0 {
             return;
--- a/tests/soak/src/deployment.rs
+++ b/tests/soak/src/deployment.rs
@@ -43,8 +43,8 @@
 const BACK_END_PORT: u16 = 8301;
 const STORE_PORT: u16 = 8309;
 
-/// Addresses of a deployment: each machine has one loopback address of its own and another one for the
-/// proxies in front of it.
+/// Addresses of a deployment: each machine has one loopback address of its own and another one for
+/// the proxies in front of it.
 #[derive(Clone, Copy, Debug)]
 pub struct Layout {
     /// Second byte of all addresses, so that concurrent soaks do not share addresses.
@@ -103,7 +103,8 @@
         (self.machine(node, MESH_PORT), self.proxy(node, MESH_PORT))
     }
 
-    /// Returns the address on which the back end accepts requests, and that of the proxy in front of it.
+    /// Returns the address on which the back end accepts requests, and that of the proxy in front
+    /// of it.
     pub fn back_end(self, node: usize) -> (SocketAddr, SocketAddr) {
         (
             self.machine(node, BACK_END_PORT),
@@ -111,7 +112,8 @@
         )
     }
 
-    /// Returns the address on which the store accepts a node's calls, and that of the proxy in front of it.
+    /// Returns the address on which the store accepts a node's calls, and that of the proxy in
+    /// front of it.
     pub fn store(self, node: usize) -> (SocketAddr, SocketAddr) {
         (self.machine(node, STORE_PORT), self.proxy(node, STORE_PORT))
     }
--- a/tests/soak/src/faults.rs
+++ b/tests/soak/src/faults.rs
@@ -1,7 +1,7 @@
 //! The schedule of faults: cycles of a disturbed and a calm part, drawn from the seed.
 //!
-//! In the disturbed part faults and planned work begin at random times. In the calm part everything must
-//! recover, which is checked at its end.
+//! In the disturbed part faults and planned work begin at random times. In the calm part everything
+//! must recover, which is checked at its end.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -20,8 +20,8 @@
 
 /// Length of the disturbed part of a cycle, in milliseconds.
 const DISTURBED_MILLIS: u64 = 13_000;
-/// Time that must be left of the disturbed part for slow planned work (a stop or a drain) to begin, in
-/// milliseconds.
+/// Time that must be left of the disturbed part for slow planned work (a stop or a drain) to begin,
+/// in milliseconds.
 const MIN_SLOW_WORK_MILLIS: u64 = 7_500;
 /// Time for everything to recover after the disturbed part, in milliseconds.
 const SETTLE_MILLIS: u64 = 5_000;
@@ -111,8 +111,8 @@
         self.check_recovery().await;
     }
 
-    /// Schedules an outage of the store within the disturbed part that ends with a restore from a backup; the
-    /// operator then writes the newest configuration again.
+    /// Schedules an outage of the store within the disturbed part that ends with a restore from a
+    /// backup; the operator then writes the newest configuration again.
     fn schedule_restore(&mut self) {
         let outage_at = millis(self.draw(DISTURBED_MILLIS / 2));
         let backup_age = millis(1_000 + self.draw(7_000));
@@ -138,8 +138,8 @@
         });
     }
 
-    /// Begins planned work on a random node; slow work only if enough of the remaining time, in milliseconds,
-    /// is left.
+    /// Begins planned work on a random node; slow work only if enough of the remaining time, in
+    /// milliseconds, is left.
     fn plan(&mut self, left: u64) {
         let node = self.draw_node();
         match self.draw(7) {
@@ -210,8 +210,8 @@
         self.configure_in_series(count, length / 4);
     }
 
-    /// Queues several actions on a node's process, so that each signal arrives while the node may still be
-    /// handling the previous one.
+    /// Queues several actions on a node's process, so that each signal arrives while the node may
+    /// still be handling the previous one.
     fn signal_in_series(&mut self, node: usize, length: Duration) {
         self.act_on_node(node, node::Action::Reload);
         self.act_on_node(node, node::Action::Pause(length / 3));
@@ -304,7 +304,8 @@
         let _ = self.targets.back_ends[node].send(back_end::Action::Crash(length));
     }
 
-    /// Sets a fault of a back end to `percent` for a while.
+    /// Sets a fault of a back end to `percent` for `length`. For the slowdown the value is a
+    /// factor.
     fn inject_back_end_fault(
         &self,
         node: usize,
--- a/tests/soak/src/lib.rs
+++ b/tests/soak/src/lib.rs
@@ -1,8 +1,9 @@
-//! Randomized fault soak: runs the real program as separate processes on one machine, injects faults
-//! from outside, and checks from the view of callers and back ends that the documented guarantees hold.
+//! Randomized fault soak: runs the real program as separate processes on one machine, injects
+//! faults from outside, and checks from the view of callers and back ends that the documented
+//! guarantees hold.
 //!
-//! The schedule is determined by the seed, but the timing of the processes is not, so a failing seed may
-//! need several runs to fail again.
+//! The schedule is determined by the seed, but the timing of the processes is not, so a failing
+//! seed may need several runs to fail again.
 
 pub mod back_end;
 pub mod caller;
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -98,7 +98,8 @@
     while soak.now() < end {
         schedule.cycle().await;
     }
-    // Dropping the schedule closes the channels of actions; the supervisors then kill their processes.
+    // Dropping the schedule closes the channels of actions; the supervisors then kill their
+    // processes.
     drop(schedule);
     for supervisor in supervisors {
         let _ = supervisor.await;
--- a/tests/soak/src/node.rs
+++ b/tests/soak/src/node.rs
@@ -1,4 +1,5 @@
-//! Supervises the node processes: starts, stops, pauses and kills them, and probes readiness and memory.
+//! Supervises the node processes: starts, stops, pauses and kills them, and probes readiness and
+//! memory.
 
 use std::fs::File;
 use std::io;
@@ -95,8 +96,8 @@
         .spawn()
 }
 
-/// Applies actions to a process until it ends; returns the time to wait before the restart, or `None` if
-/// the soak is over.
+/// Applies actions to a process until it ends; returns the time to wait before the restart, or
+/// `None` if the soak is over.
 async fn run_until_exit(
     soak: &Arc<Soak>,
     node: usize,
@@ -141,8 +142,8 @@
     }
 }
 
-/// Stops a process with SIGTERM and reports a violation if it exceeds the grace period. The signals in
-/// `more` are sent while it stops.
+/// Stops a process with SIGTERM and reports a violation if it exceeds the grace period. The signals
+/// in `more` are sent while it stops.
 async fn stop(soak: &Arc<Soak>, node: usize, child: &mut Child, more: &[Signal]) {
     let begin = soak.now();
     soak.checker()
@@ -152,8 +153,8 @@
         sleep(SIGNAL_INTERVAL).await;
         signal(child, *later);
     }
-    // No probe runs during the stop. The node is marked as not ready after one probe interval, so that
-    // callers see this at most two intervals after the last probe.
+    // No probe runs during the stop. The node is marked as not ready after one probe interval, so
+    // that callers see this at most two intervals after the last probe.
     let machine = &soak.machines[node];
     let mark_unready = async {
         sleep(PROBE_INTERVAL).await;
--- a/tests/soak/src/operator.rs
+++ b/tests/soak/src/operator.rs
@@ -30,8 +30,8 @@
             "spec": {"health-path": "/health", "max-connections": 400},
         }));
     }
-    // Callers use the key of a version as soon as it is accepted. The previous version already contains
-    // that key, since not all nodes have the newest version by then.
+    // Callers use the key of a version as soon as it is accepted. The previous version already
+    // contains that key, since not all nodes have the newest version by then.
     let keys = [key_of(version), key_of(version + 1)];
     resources.push(json!({
         "type": "tenants",
--- a/tests/soak/src/retries.rs
+++ b/tests/soak/src/retries.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// Returns the largest number of requests in three windows: the one that ends at `end`, and those that
-/// end half a window and a whole window earlier.
+/// Returns the largest number of requests in three windows: the one that ends at `end`, and those
+/// that end half a window and a whole window earlier.
 fn max_requests(requests: &[Moment], end: Moment) -> usize {
     let count = |end: Moment| {
         let start = end.saturating_sub(RETRY_WINDOW);
--- a/tests/soak/src/soak.rs
+++ b/tests/soak/src/soak.rs
@@ -84,8 +84,8 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Draws a number below `bound`. All tasks share this generator, so the order of draws differs between
-    /// runs of one seed; the schedule has its own generator.
+    /// Draws a number below `bound`. All tasks share this generator, so the order of draws differs
+    /// between runs of one seed; the schedule has its own generator.
     pub fn draw(&self, bound: u64) -> u64 {
         let mut random = self.random.lock().unwrap_or_else(PoisonError::into_inner);
         (u64::from(random.next_u32()) * bound) >> 32
--- a/tests/soak/src/store.rs
+++ b/tests/soak/src/store.rs
@@ -1,5 +1,5 @@
-//! Fake platform store: objects with revisions, lists and watches. Each node has its own endpoint, into which
-//! faults can be injected independently.
+//! Fake platform store: objects with revisions, lists and watches. Each node has its own endpoint,
+//! into which faults can be injected independently.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -156,8 +156,9 @@
         backups.push(backup);
     }
 
-    /// Restores a backup of about this age, or the oldest one if all are younger: later writes are lost and revisions are reused. Waiting
-    /// watches after a lost revision fail with 410; others see no change until a later revision is written.
+    /// Restores a backup of about this age, or the oldest one if all are younger: later writes are
+    /// lost and revisions are reused. Waiting watches after a lost revision fail with 410; others
+    /// see no change until a later revision is written.
     pub fn restore_backup(&self, age: Duration) {
         let back = usize::try_from(age.as_millis() / BACKUP_INTERVAL.as_millis()).unwrap_or(0);
         let backups = self.backups();
@@ -349,8 +350,8 @@
         (200, body)
     }
 
-    /// Returns the changes after a revision and the current revision. Fails if these changes have been
-    /// discarded, or if the revision is newer than the store's.
+    /// Returns the changes after a revision and the current revision. Fails if these changes have
+    /// been discarded, or if the revision is newer than the store's.
     fn events(&self, kind: &str, after: u64) -> Result<(Vec<Value>, u64), ()> {
         if after < self.compacted_revision || after > self.revision {
             return Err(());
--- a/tests/soak/src/wire.rs
+++ b/tests/soak/src/wire.rs
@@ -78,8 +78,8 @@
 impl Connection {
     /// Wraps a socket and disables Nagle's algorithm on it.
     pub fn new(stream: TcpStream) -> Self {
-        // Without this option small messages wait for acknowledgements; they still arrive, so an error is
-        // ignored.
+        // Without this option small messages wait for acknowledgements; they still arrive, so an
+        // error is ignored.
         let _ = stream.set_nodelay(true);
         Self {
             stream,
@@ -110,7 +110,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the connection ends before the response is complete or the bytes are not a response.
+    /// Fails if the connection ends before the response is complete or the bytes are not a
+    /// response.
     pub async fn read_response(&mut self) -> io::Result<Response> {
         loop {
             if let Some(response) = parse_response(&mut self.input)? {
@@ -189,8 +190,8 @@
     Fields(headers.iter().map(pair).collect())
 }
 
-/// Removes a head and the body behind it from the input and returns the body; `None` if the body is not
-/// complete yet.
+/// Removes a head and the body behind it from the input and returns the body; `None` if the body is
+/// not complete yet.
 fn take_body(input: &mut BytesMut, head: usize, length: usize) -> Option<Vec<u8>> {
     if input.len() < head + length {
         return None;
--- a/tests/soak/tests/checker.rs
+++ b/tests/soak/tests/checker.rs
@@ -33,7 +33,7 @@
         body: b"",
         caller_service: "middle",
         tenant: None,
-        shows_credential: false,
+        has_credential: false,
         service: "front",
         instance: INSTANCE,
     }
@@ -182,7 +182,7 @@
 }
 
 #[gtest]
-fn disturbance_excuses_a_late_configuration_only_for_the_apply_time_after_it() {
+fn disturbance_excuses_a_late_configuration_only_for_a_limited_time() {
     let mut checker = checker();
     checker.on_version_accepted(at(1_000), 3);
     checker.add_disturbance(at(500), at(5_000));
@@ -193,7 +193,7 @@
 }
 
 #[gtest]
-fn planned_stop_excuses_a_late_configuration_only_for_the_apply_time_after_it() {
+fn planned_stop_excuses_a_late_configuration_only_for_a_limited_time() {
     let mut checker = checker();
     checker.on_version_accepted(at(1_000), 3);
     checker.add_planned_stop(1, at(500), at(5_000));
@@ -336,7 +336,7 @@
         ..arrived("r1")
     };
     let leaking = Arrived {
-        shows_credential: true,
+        has_credential: true,
         ..arrived("r1")
     };
     for arrived in [forged, leaking] {
@@ -369,7 +369,8 @@
     }
 }
 
-/// Creates a checker in which a crashing request runs at these times and crashes a back end each time.
+/// Creates a checker in which a crashing request runs at these times and crashes a back end each
+/// time.
 fn crashing(times: &[u64]) -> Checker {
     let mut checker = checker();
     let target = "/front/crash?n=1";
