--- a/crates/rillgap-core/src/membership/change.rs
+++ b/crates/rillgap-core/src/membership/change.rs
@@ -8,7 +8,7 @@
 use crate::id::{Incarnation, NodeId, ViewVersion};
 use crate::view::{Member, View};
 
-use super::timing::LOG_LIMIT;
+use super::timing::MAX_LOGGED_CHANGES;
 use super::topology::ZoneId;
 
 /// First byte of the object in the store: version of its format.
@@ -104,7 +104,7 @@
     }
 
     fn trim(&mut self) {
-        while self.changes.len() > LOG_LIMIT {
+        while self.changes.len() > MAX_LOGGED_CHANGES {
             self.changes.pop_front();
         }
     }
@@ -150,7 +150,12 @@
 
     /// Returns an upper bound on the members that a zone has in view `counted` and not in view
     /// `wanted`, or `None` if the log does not reach far enough.
-    pub fn foreign(&self, zone: ZoneId, counted: ViewVersion, wanted: ViewVersion) -> Option<u32> {
+    pub fn max_nonmembers(
+        &self,
+        zone: ZoneId,
+        counted: ViewVersion,
+        wanted: ViewVersion,
+    ) -> Option<u32> {
         if counted == wanted {
             return Some(0);
         }
--- a/crates/rillgap-core/src/membership/contact.rs
+++ b/crates/rillgap-core/src/membership/contact.rs
@@ -5,7 +5,7 @@
 use crate::id::NodeId;
 use crate::time::Instant;
 
-use super::timing::{SILENT_AFTER, SILENT_RETRY};
+use super::timing::{PEER_TIMEOUT, SILENT_PEER_RETRY_INTERVAL};
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Contact {
@@ -35,7 +35,7 @@
     /// Records that the run of a peer that the view names has ended.
     pub fn ended(&mut self, now: Instant, peer: NodeId) {
         let contact = self.peers.entry(peer).or_default();
-        contact.unanswered_since = Some(now - 2 * SILENT_AFTER);
+        contact.unanswered_since = Some(now - 2 * PEER_TIMEOUT);
         contact.last_sent = Some(now);
     }
 
@@ -44,7 +44,7 @@
         self.peers
             .get(&peer)
             .and_then(|contact| contact.unanswered_since)
-            .is_some_and(|since| now.saturating_since(since) > SILENT_AFTER)
+            .is_some_and(|since| now.saturating_since(since) > PEER_TIMEOUT)
     }
 
     /// Returns whether a silent peer is due for another attempt.
@@ -52,7 +52,7 @@
         self.peers
             .get(&peer)
             .and_then(|contact| contact.last_sent)
-            .is_none_or(|sent| now.saturating_since(sent) >= SILENT_RETRY)
+            .is_none_or(|sent| now.saturating_since(sent) >= SILENT_PEER_RETRY_INTERVAL)
     }
 
     /// Returns the first `count` peers of an order that are not silent, and the silent ones
--- a/crates/rillgap-core/src/membership/detector.rs
+++ b/crates/rillgap-core/src/membership/detector.rs
@@ -9,15 +9,15 @@
 
 use super::digest::age_millis;
 use super::message::{VersionCount, ZoneDigest};
-use super::timing::{DIGEST_LIMIT, NAMED_LIMIT, SUSPECT_AFTER};
+use super::timing::{MAX_HEARTBEAT_AGE, MAX_LISTED_NODES, SUSPICION_TIMEOUT};
 use super::topology::ZoneId;
 
 /// Most different versions that a digest counts; members at others are not counted.
-const COUNTED_VERSIONS: usize = 8;
+const MAX_VERSION_COUNTS: usize = 8;
 
 /// What a heartbeat tells of its sender.
 #[derive(Clone, Copy, Debug)]
-pub struct Heard {
+pub struct HeartbeatRecord {
     /// Run of the sender.
     pub incarnation: Incarnation,
     /// When it was received.
@@ -46,8 +46,8 @@
 /// Failure detector of a relay for its own zone.
 #[derive(Debug, Default)]
 pub struct Detector {
-    heard: BTreeMap<NodeId, Heard>,
-    watching_since: Option<Instant>,
+    heartbeats: BTreeMap<NodeId, HeartbeatRecord>,
+    relay_since: Option<Instant>,
     last_dated: Option<Instant>,
 }
 
@@ -55,25 +55,27 @@
     /// Tells whether this node is a relay now; a fresh one gives everybody time to be heard.
     pub fn watch(&mut self, now: Instant, is_relay: bool) {
         if is_relay {
-            self.watching_since.get_or_insert(now);
+            self.relay_since.get_or_insert(now);
         } else {
-            self.watching_since = None;
+            self.relay_since = None;
         }
     }
 
     /// Takes in a heartbeat.
-    pub fn heard(&mut self, node: NodeId, heard: Heard) {
-        self.last_dated = self.last_dated.max(heard.sent);
-        self.heard.insert(node, heard);
+    pub fn record(&mut self, node: NodeId, heartbeat: HeartbeatRecord) {
+        self.last_dated = self.last_dated.max(heartbeat.sent);
+        self.heartbeats.insert(node, heartbeat);
     }
 
     /// Returns for how long a member has been silent; zero if this node is no relay.
     pub fn silence(&self, now: Instant, node: NodeId, incarnation: Incarnation) -> Duration {
-        let Some(since) = self.watching_since else {
+        let Some(since) = self.relay_since else {
             return Duration::ZERO;
         };
-        let heard = self.of_run(node, incarnation).map(|heard| heard.at);
-        now.saturating_since(heard.map_or(since, |heard| heard.max(since)))
+        let last = self
+            .record_of_run(node, incarnation)
+            .map(|heartbeat| heartbeat.at);
+        now.saturating_since(last.map_or(since, |last| last.max(since)))
     }
 
     /// Returns the latest time of a dated heartbeat, which shows that others hear this node.
@@ -86,43 +88,43 @@
         &self,
         now: Instant,
         origin: DigestOrigin<'_>,
-        own: (NodeId, Heard),
+        own: (NodeId, HeartbeatRecord),
     ) -> ZoneDigest {
         let mut counter = DigestCounter::default();
         for &node in origin.members {
             let Some(member) = origin.view.member(node) else {
                 continue;
             };
-            let heard = if node == own.0 {
+            let heartbeat = if node == own.0 {
                 Some(&own.1)
             } else {
-                self.of_run(node, member.incarnation)
+                self.record_of_run(node, member.incarnation)
             };
             let is_silent =
-                node != own.0 && self.silence(now, node, member.incarnation) > SUSPECT_AFTER;
-            counter.add(now, node, heard, is_silent);
+                node != own.0 && self.silence(now, node, member.incarnation) > SUSPICION_TIMEOUT;
+            counter.add(now, node, heartbeat, is_silent);
         }
         counter.finish(now, origin)
     }
 
     /// Forgets everything: this host was frozen and must accuse nobody.
     pub fn reset(&mut self, now: Instant) {
-        self.heard.clear();
+        self.heartbeats.clear();
         self.last_dated = None;
-        if self.watching_since.is_some() {
-            self.watching_since = Some(now);
+        if self.relay_since.is_some() {
+            self.relay_since = Some(now);
         }
     }
 
     /// Forgets the nodes that `keep` does not name.
     pub fn retain(&mut self, keep: impl Fn(NodeId) -> bool) {
-        self.heard.retain(|node, _| keep(*node));
+        self.heartbeats.retain(|node, _| keep(*node));
     }
 
-    fn of_run(&self, node: NodeId, incarnation: Incarnation) -> Option<&Heard> {
-        self.heard
+    fn record_of_run(&self, node: NodeId, incarnation: Incarnation) -> Option<&HeartbeatRecord> {
+        self.heartbeats
             .get(&node)
-            .filter(|heard| heard.incarnation == incarnation)
+            .filter(|heartbeat| heartbeat.incarnation == incarnation)
     }
 }
 
@@ -136,22 +138,28 @@
 }
 
 impl DigestCounter {
-    fn add(&mut self, now: Instant, node: NodeId, heard: Option<&Heard>, is_silent: bool) {
-        if is_silent && self.silent.len() < NAMED_LIMIT {
+    fn add(
+        &mut self,
+        now: Instant,
+        node: NodeId,
+        heartbeat: Option<&HeartbeatRecord>,
+        is_silent: bool,
+    ) {
+        if is_silent && self.silent.len() < MAX_LISTED_NODES {
             self.silent.push(node);
         }
-        let Some(heard) = heard else {
+        let Some(heartbeat) = heartbeat else {
             return;
         };
-        *self.policies.entry(heard.policy.0).or_default() += 1;
-        self.policy_of.push((node, heard.policy));
-        let Some(sent) = heard
+        *self.policies.entry(heartbeat.policy.0).or_default() += 1;
+        self.policy_of.push((node, heartbeat.policy));
+        let Some(sent) = heartbeat
             .sent
-            .filter(|sent| now.saturating_since(*sent) <= DIGEST_LIMIT)
+            .filter(|sent| now.saturating_since(*sent) <= MAX_HEARTBEAT_AGE)
         else {
             return;
         };
-        *self.views.entry(heard.view.0).or_default() += 1;
+        *self.views.entry(heartbeat.view.0).or_default() += 1;
         self.oldest = Some(self.oldest.map_or(sent, |oldest| oldest.min(sent)));
     }
 
@@ -162,7 +170,7 @@
             .iter()
             .filter(|(_, policy)| policy.0 < highest)
             .map(|(node, _)| *node)
-            .take(NAMED_LIMIT)
+            .take(MAX_LISTED_NODES)
             .collect();
         ZoneDigest {
             zone: origin.zone,
@@ -183,6 +191,6 @@
         .map(|(version, members)| VersionCount { version, members })
         .collect();
     counts.sort_by_key(|count| std::cmp::Reverse(count.members));
-    counts.truncate(COUNTED_VERSIONS);
+    counts.truncate(MAX_VERSION_COUNTS);
     counts
 }
--- a/crates/rillgap-core/src/membership/digest.rs
+++ b/crates/rillgap-core/src/membership/digest.rs
@@ -8,11 +8,11 @@
 
 use super::change::ChangeLog;
 use super::message::{VersionCount, ZoneDigest};
-use super::timing::FRESH_LIMIT;
+use super::timing::MAX_DIGEST_AGE;
 use super::topology::ZoneId;
 
 /// Age that stands for "not dated".
-const UNDATED: u16 = u16::MAX;
+const AGE_UNKNOWN: u16 = u16::MAX;
 
 /// A digest as received.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
 
 impl Entry {
     fn is_fresh(&self, now: Instant) -> bool {
-        now.saturating_since(self.received) <= FRESH_LIMIT
+        now.saturating_since(self.received) <= MAX_DIGEST_AGE
     }
 }
 
@@ -37,10 +37,10 @@
 
 impl DigestTable {
     /// Takes in a digest whose sender spoke at `spoken` or later, if that is known.
-    pub fn insert(&mut self, now: Instant, digest: ZoneDigest, spoken: Option<Instant>) {
-        let evidence = spoken
-            .filter(|_| digest.age_millis != UNDATED)
-            .map(|spoken| spoken - Duration::from_millis(u64::from(digest.age_millis)));
+    pub fn insert(&mut self, now: Instant, digest: ZoneDigest, sent_after: Option<Instant>) {
+        let evidence = sent_after
+            .filter(|_| digest.age_millis != AGE_UNKNOWN)
+            .map(|sent_after| sent_after - Duration::from_millis(u64::from(digest.age_millis)));
         let key = (digest.zone, digest.rank);
         let known = self.entries.get(&key).and_then(|entry| entry.evidence);
         if known.is_some() && known > evidence && evidence.is_some() {
@@ -99,9 +99,9 @@
         wanted: ViewVersion,
         version: ViewVersion,
     ) -> u32 {
-        self.sum_of_zones(|entry| {
+        self.sum_zone_maxima(|entry| {
             let count = count(&entry.digest.views, |confirmed| confirmed >= version.0);
-            without_foreign(log, &entry.digest, wanted, count)
+            subtract_nonmembers(log, &entry.digest, wanted, count)
         })
     }
 
@@ -118,7 +118,7 @@
         self.fresh(now, zone)
             .map(|digest| {
                 let count = count(&digest.policies, |confirmed| confirmed >= version.0);
-                without_foreign(log, digest, wanted, count)
+                subtract_nonmembers(log, digest, wanted, count)
             })
             .max()
             .unwrap_or(0)
@@ -126,7 +126,7 @@
 
     /// Returns the latest time at which a majority of the `size` members of `view` are all known
     /// not to have confirmed any later view.
-    pub fn majority_not_beyond(
+    pub fn majority_evidence(
         &self,
         log: &ChangeLog,
         view: ViewVersion,
@@ -138,7 +138,7 @@
                 continue;
             };
             let members = count(&entry.digest.views, |confirmed| confirmed <= view.0);
-            let members = without_foreign(log, &entry.digest, view, members);
+            let members = subtract_nonmembers(log, &entry.digest, view, members);
             let best = zones
                 .entry(entry.digest.zone)
                 .or_insert((evidence, members));
@@ -175,7 +175,7 @@
     }
 
     /// Adds up the best value of each zone's digests.
-    fn sum_of_zones(&self, value: impl Fn(&Entry) -> u32) -> u32 {
+    fn sum_zone_maxima(&self, value: impl Fn(&Entry) -> u32) -> u32 {
         let mut zones: BTreeMap<ZoneId, u32> = BTreeMap::new();
         for entry in self.entries.values() {
             let best = zones.entry(entry.digest.zone).or_default();
@@ -188,10 +188,10 @@
 /// Returns the age of evidence in milliseconds, rounded up.
 pub fn age_millis(now: Instant, evidence: Option<Instant>) -> u16 {
     let Some(evidence) = evidence else {
-        return UNDATED;
+        return AGE_UNKNOWN;
     };
     let millis = micros(now.saturating_since(evidence)).div_ceil(1_000);
-    u16::try_from(millis).unwrap_or(UNDATED)
+    u16::try_from(millis).unwrap_or(AGE_UNKNOWN)
 }
 
 fn count(counts: &[VersionCount], is_counted: impl Fn(u64) -> bool) -> u32 {
@@ -203,7 +203,12 @@
 }
 
 /// Subtracts the members that the digest counts but view `wanted` may not have.
-fn without_foreign(log: &ChangeLog, digest: &ZoneDigest, wanted: ViewVersion, count: u32) -> u32 {
-    log.foreign(digest.zone, digest.view, wanted)
-        .map_or(0, |foreign| count.saturating_sub(foreign))
+fn subtract_nonmembers(
+    log: &ChangeLog,
+    digest: &ZoneDigest,
+    wanted: ViewVersion,
+    count: u32,
+) -> u32 {
+    log.max_nonmembers(digest.zone, digest.view, wanted)
+        .map_or(0, |nonmembers| count.saturating_sub(nonmembers))
 }
--- a/crates/rillgap-core/src/membership/exchange.rs
+++ b/crates/rillgap-core/src/membership/exchange.rs
@@ -11,18 +11,18 @@
 
 use super::contact::LivePeers;
 use super::message::{Exchange, MembershipMessage, ZoneDigest};
-use super::protocol::{Accusation, Protocol};
-use super::timing::{NAMED_LIMIT, REGION_INTERVAL};
+use super::protocol::{FailureReport, Protocol};
+use super::timing::{MAX_LISTED_NODES, REGION_EXCHANGE_INTERVAL};
 use super::topology::{RegionId, ZoneId};
 
 impl Protocol {
     /// Exchanges what is due if this node is a relay of its region, or may soon be one.
     pub fn tick_region(&mut self, now: Instant, out: &mut Outbox) {
-        let is_concerned = self.roles.region_relay || self.roles.region_substitute;
-        if !is_concerned || now < self.next_region_exchange {
+        let takes_part = self.roles.region_relay || self.roles.region_standby;
+        if !takes_part || now < self.next_region_exchange {
             return;
         }
-        self.next_region_exchange = self.after(now, REGION_INTERVAL);
+        self.next_region_exchange = self.after(now, REGION_EXCHANGE_INTERVAL);
         for partner in self.region_partners(now) {
             self.send_exchange(now, partner, false, out);
         }
@@ -51,7 +51,7 @@
     /// relay, and one of each other region. A substitute watches the region's relays.
     fn region_partners(&self, now: Instant) -> BTreeSet<NodeId> {
         let mut partners = BTreeSet::new();
-        if self.roles.region_relay || self.roles.region_substitute {
+        if self.roles.region_relay || self.roles.region_standby {
             let region = self.region_relays(now, self.identity.region);
             self.add_partners(now, region, &mut partners);
         }
@@ -92,8 +92,8 @@
     }
 
     pub fn send_exchange(&mut self, now: Instant, to: NodeId, is_reply: bool, out: &mut Outbox) {
-        let accused = if self.topology.order(self.identity.zone).contains(&to) {
-            self.accused(now)
+        let presumed_failed = if self.topology.order(self.identity.zone).contains(&to) {
+            self.presumed_failed(now)
         } else {
             Vec::new()
         };
@@ -105,8 +105,8 @@
             agreed: self.agreed,
             policy: self.policy,
             digests: self.digests_for(now, to),
-            accused,
-            leaving: self.store.leaving().take(NAMED_LIMIT).collect(),
+            presumed_failed,
+            leaving: self.store.leaving().take(MAX_LISTED_NODES).collect(),
         };
         self.contacts.sent(now, to);
         self.send(to, MembershipMessage::Exchange(Box::new(exchange)), out);
@@ -123,16 +123,16 @@
                 .digests
                 .outgoing(now, |zone| self.is_in_own_region(zone));
         }
-        let speaks_for_all = self.roles.region_relay && self.serves(now, to);
+        let sends_other_zones = self.roles.region_relay && self.is_responsible_for(now, to);
         let is_relay = self.roles.relay;
         self.digests.outgoing(now, |other| {
             let is_own = other == self.identity.zone;
-            (is_relay && is_own) || (speaks_for_all && other != zone)
+            (is_relay && is_own) || (sends_other_zones && other != zone)
         })
     }
 
     /// Returns whether it is this one of the region's relays that tells `to` of other zones.
-    fn serves(&self, now: Instant, to: NodeId) -> bool {
+    fn is_responsible_for(&self, now: Instant, to: NodeId) -> bool {
         let relays = self.region_relays(now, self.identity.region).live;
         let count = relays.len().max(1) as u64;
         let position = (to.0 % count) as usize;
@@ -154,44 +154,44 @@
         exchange: Exchange,
         out: &mut Outbox,
     ) {
-        if !self.hears(now.instant, from, incarnation, out) {
+        if !self.accepts_from(now.instant, from, incarnation, out) {
             return;
         }
         let now = now.instant;
         self.probes.received(now, from, exchange.probe);
-        let spoken = exchange.echo.and_then(|echo| self.probes.date(now, echo));
-        if let Some(spoken) = spoken {
+        let sent_after = exchange.echo.and_then(|echo| self.probes.date(now, echo));
+        if let Some(sent_after) = sent_after {
             self.contacts.answered(from);
-            self.note_contact(from, spoken);
+            self.record_contact(from, sent_after);
         }
         for digest in exchange.digests {
-            self.digests.insert(now, digest, spoken);
+            self.digests.insert(now, digest, sent_after);
         }
-        self.note_policy(now, exchange.policy, from);
-        self.note_agreed(now, exchange.agreed);
+        self.record_policy(now, exchange.policy, from);
+        self.record_agreed(now, exchange.agreed);
         if !exchange.leaving.is_empty() {
-            self.take_leaving(&exchange.leaving);
+            self.record_leaving(&exchange.leaving);
         }
-        let accusation = Accusation {
-            nodes: exchange.accused,
+        let report = FailureReport {
+            nodes: exchange.presumed_failed,
             at: now,
         };
-        self.accusations.insert(from, accusation);
+        self.failure_reports.insert(from, report);
         self.compare_views(now, from, exchange.view, out);
         if !exchange.is_reply && !self.partners(now).contains(&from) {
             self.send_exchange(now, from, true, out);
         }
     }
 
-    fn note_contact(&mut self, from: NodeId, spoken: Instant) {
+    fn record_contact(&mut self, from: NodeId, sent_after: Instant) {
         let is_own_zone = self
             .view
             .member(from)
             .is_some_and(|member| member.zone == self.identity.member.zone);
         if is_own_zone {
-            self.zone_contact = self.zone_contact.max(Some(spoken));
+            self.zone_contact = self.zone_contact.max(Some(sent_after));
         } else {
-            self.other_contact = self.other_contact.max(Some(spoken));
+            self.other_contact = self.other_contact.max(Some(sent_after));
         }
     }
 }
--- a/crates/rillgap-core/src/membership/heartbeat.rs
+++ b/crates/rillgap-core/src/membership/heartbeat.rs
@@ -6,11 +6,13 @@
 use crate::id::{Incarnation, NodeId};
 use crate::time::{Instant, Now};
 
-use super::detector::Heard;
+use super::detector::HeartbeatRecord;
 use super::digest::age_millis;
 use super::message::{Acknowledgement, Heartbeat, Lease, MembershipMessage, Status};
 use super::protocol::{Protocol, ReceivedStatus};
-use super::timing::{HEARTBEAT_INTERVAL_MAX, HEARTBEAT_INTERVAL_MIN, HEARTBEAT_INTERVAL_STEP};
+use super::timing::{
+    HEARTBEAT_INTERVAL_PER_MEMBER, MAX_HEARTBEAT_INTERVAL, MIN_HEARTBEAT_INTERVAL,
+};
 
 impl Protocol {
     /// Sends the heartbeats that are due: to the relays of the zone in turn, to all of them when
@@ -18,8 +20,8 @@
     /// silent.
     pub fn tick_heartbeat(&mut self, now: Instant, out: &mut Outbox) {
         let confirmed = (self.policy, self.view.version);
-        let has_news = confirmed != self.announced;
-        if !self.is_member() || (now < self.next_heartbeat && !has_news) {
+        let has_unsent_confirmation = confirmed != self.announced;
+        if !self.is_member() || (now < self.next_heartbeat && !has_unsent_confirmation) {
             return;
         }
         self.announced = confirmed;
@@ -27,11 +29,11 @@
         let id = self.identity.id;
         let mut relays = self.zone_relays(now);
         relays.live.retain(|relay| *relay != id);
-        if has_news {
+        if has_unsent_confirmation {
             relays.silent.append(&mut relays.live);
         } else if !relays.live.is_empty() {
-            self.heartbeat_turn = (self.heartbeat_turn + 1) % relays.live.len();
-            let relay = relays.live.get(self.heartbeat_turn).copied();
+            self.next_relay_index = (self.next_relay_index + 1) % relays.live.len();
+            let relay = relays.live.get(self.next_relay_index).copied();
             relays.silent.extend(relay);
         }
         for relay in relays.silent {
@@ -45,7 +47,8 @@
 
     fn heartbeat_interval(&self) -> Duration {
         let members = self.topology.zone_size(self.identity.zone);
-        (HEARTBEAT_INTERVAL_STEP * members).clamp(HEARTBEAT_INTERVAL_MIN, HEARTBEAT_INTERVAL_MAX)
+        (HEARTBEAT_INTERVAL_PER_MEMBER * members)
+            .clamp(MIN_HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL)
     }
 
     fn send_heartbeat(&mut self, now: Instant, relay: NodeId, out: &mut Outbox) {
@@ -68,20 +71,20 @@
         heartbeat: &Heartbeat,
         out: &mut Outbox,
     ) {
-        if !self.hears(now.instant, from, incarnation, out) {
+        if !self.accepts_from(now.instant, from, incarnation, out) {
             return;
         }
         let now = now.instant;
         self.probes.received(now, from, heartbeat.probe);
-        let heard = Heard {
+        let record = HeartbeatRecord {
             incarnation,
             at: now,
             sent: heartbeat.echo.and_then(|echo| self.probes.date(now, echo)),
             view: heartbeat.view,
             policy: heartbeat.policy,
         };
-        self.detector.heard(from, heard);
-        self.note_policy(now, heartbeat.policy, from);
+        self.detector.record(from, record);
+        self.record_policy(now, heartbeat.policy, from);
         self.acknowledge(now, from, heartbeat.status_digest, out);
         self.compare_views(now, from, heartbeat.view, out);
     }
@@ -99,14 +102,14 @@
         let acknowledgement = Acknowledgement {
             probe,
             echo,
-            lease: self.lease_to_pass_on(now),
+            lease: self.lease_for_members(now),
             status,
         };
         let message = MembershipMessage::Acknowledgement(Box::new(acknowledgement));
         self.send(to, message, out);
     }
 
-    fn lease_to_pass_on(&self, now: Instant) -> Option<Lease> {
+    fn lease_for_members(&self, now: Instant) -> Option<Lease> {
         let lease = self.lease.filter(|_| self.roles.relay)?;
         Some(Lease {
             view: self.view.version,
@@ -126,13 +129,13 @@
         }
         let now = now.instant;
         self.probes.received(now, from, acknowledgement.probe);
-        if let Some(spoken) = self.probes.date(now, acknowledgement.echo) {
+        if let Some(sent_after) = self.probes.date(now, acknowledgement.echo) {
             self.contacts.answered(from);
-            self.zone_contact = self.zone_contact.max(Some(spoken));
-            self.take_lease(spoken, acknowledgement.lease);
+            self.zone_contact = self.zone_contact.max(Some(sent_after));
+            self.record_lease(sent_after, acknowledgement.lease);
         }
         if let Some(status) = acknowledgement.status {
-            self.take_status(now, from, *status);
+            self.record_status(now, from, *status);
         } else if let Some(known) = self.statuses.get_mut(&from) {
             known.confirmed_at = now;
         }
@@ -140,20 +143,20 @@
 
     /// Takes over a relay's evidence. A lease for an earlier view serves as well: whoever could
     /// activate a later view than ours needs a majority of that earlier view's members too.
-    fn take_lease(&mut self, spoken: Instant, lease: Option<Lease>) {
+    fn record_lease(&mut self, sent_after: Instant, lease: Option<Lease>) {
         let Some(lease) = lease else {
             return;
         };
         if lease.view <= self.view.version && lease.age_millis != u16::MAX {
-            let evidence = spoken - Duration::from_millis(u64::from(lease.age_millis));
+            let evidence = sent_after - Duration::from_millis(u64::from(lease.age_millis));
             self.lease = self.lease.max(Some(evidence));
         }
     }
 
-    fn take_status(&mut self, now: Instant, from: NodeId, status: Status) {
-        self.note_policy(now, status.policy, status.holder);
-        self.note_agreed(now, status.agreed);
-        self.take_leaving(&status.leaving);
+    fn record_status(&mut self, now: Instant, from: NodeId, status: Status) {
+        self.record_policy(now, status.policy, status.holder);
+        self.record_agreed(now, status.agreed);
+        self.record_leaving(&status.leaving);
         let received = ReceivedStatus {
             digest: status_digest(&status),
             status,
--- a/crates/rillgap-core/src/membership/history.rs
+++ b/crates/rillgap-core/src/membership/history.rs
@@ -6,7 +6,7 @@
 use crate::time::{Instant, Now, WallTime};
 use crate::view::View;
 
-use super::timing::{CLOCK_SKEW, HISTORY_LIFE, HISTORY_LIMIT, VOTE_LEASE};
+use super::timing::{CLOCK_DRIFT_ALLOWANCE, MAX_RETAINED_VIEWS, VIEW_RETENTION, VOTE_LEASE};
 
 /// Time that stands for "not yet activated": later than every other time.
 pub const NOT_ACTIVATED: WallTime = WallTime::from_millis(u64::MAX);
@@ -33,7 +33,7 @@
 pub struct ViewHistory {
     views: Vec<ActivatedView>,
     /// When each of the views is activated, once it is agreed.
-    due: Vec<Option<Instant>>,
+    activation_due: Vec<Option<Instant>>,
 }
 
 impl ViewHistory {
@@ -45,7 +45,7 @@
         };
         Self {
             views: vec![activated],
-            due: vec![None],
+            activation_due: vec![None],
         }
     }
 
@@ -55,47 +55,47 @@
     }
 
     /// Takes in a view that came into force at this node.
-    pub fn adopted(&mut self, view: Arc<View>) {
+    pub fn push(&mut self, view: Arc<View>) {
         self.views.push(ActivatedView {
             view,
             activated_at: NOT_ACTIVATED,
         });
-        self.due.push(None);
-        if self.views.len() > HISTORY_LIMIT {
-            self.forget_first();
+        self.activation_due.push(None);
+        if self.views.len() > MAX_RETAINED_VIEWS {
+            self.drop_first();
         }
     }
 
     /// Takes in that joint majorities have confirmed views up to `agreed`.
-    pub fn agreed(&mut self, now: Instant, agreed: ViewVersion) {
-        let waiting = self.views.iter().zip(&mut self.due);
+    pub fn mark_agreed(&mut self, now: Instant, agreed: ViewVersion) {
+        let waiting = self.views.iter().zip(&mut self.activation_due);
         for (entry, due) in waiting {
             if entry.view.version <= agreed {
-                due.get_or_insert(now + VOTE_LEASE + CLOCK_SKEW);
+                due.get_or_insert(now + VOTE_LEASE + CLOCK_DRIFT_ALLOWANCE);
             }
         }
     }
 
     /// Activates what is due and forgets what is too old to matter.
     pub fn poll(&mut self, now: Now) {
-        for (entry, due) in self.views.iter_mut().zip(&self.due) {
+        for (entry, due) in self.views.iter_mut().zip(&self.activation_due) {
             let is_due = due.is_some_and(|due| due <= now.instant);
             if is_due && !entry.is_activated() {
                 entry.activated_at = now.wall;
             }
         }
-        let horizon = now.wall.minus(HISTORY_LIFE);
+        let horizon = now.wall.minus(VIEW_RETENTION);
         let is_replaced = self
             .views
             .get(1)
             .is_some_and(|next| next.activated_at <= horizon);
         if is_replaced {
-            self.forget_first();
+            self.drop_first();
         }
     }
 
-    fn forget_first(&mut self) {
+    fn drop_first(&mut self) {
         self.views.remove(0);
-        self.due.remove(0);
+        self.activation_due.remove(0);
     }
 }
--- a/crates/rillgap-core/src/membership/joining.rs
+++ b/crates/rillgap-core/src/membership/joining.rs
@@ -14,18 +14,18 @@
 use super::change::Removal;
 use super::message::{MembershipMessage, RemovalCause, RemovalRequest};
 use super::protocol::Protocol;
-use super::timing::{CONTACT_LIMIT, REQUEST_INTERVAL, STORE_FALLBACK_AFTER};
+use super::timing::{CONTACT_TIMEOUT, MEMBERSHIP_REQUEST_INTERVAL, STORE_FALLBACK_DELAY};
 
 /// Delay between the seeds in their order, when each of them would create the first view.
-const SEED_STEP: Duration = Duration::from_millis(500);
+const SEED_STAGGER: Duration = Duration::from_millis(500);
 /// Random part of the delays.
-const SPREAD: Duration = Duration::from_secs(2);
+const MAX_DELAY_JITTER: Duration = Duration::from_secs(2);
 /// Time for which members of the view read from the store are asked first.
-const OWN_WRITE_DELAY: Duration = Duration::from_millis(1_500);
+const SELF_ADD_DELAY: Duration = Duration::from_millis(1_500);
 /// Longest interval between two requests to join.
-const REQUEST_INTERVAL_MAX: Duration = Duration::from_secs(4);
+const MAX_JOIN_REQUEST_INTERVAL: Duration = Duration::from_secs(4);
 /// Longest time for which peers that are joining too keep a node from the store.
-const PATIENCE: Duration = Duration::from_secs(30);
+const MAX_STORE_POSTPONEMENT: Duration = Duration::from_secs(30);
 
 /// Progress of a node that is not in the view.
 #[derive(Debug)]
@@ -33,12 +33,12 @@
     started: Instant,
     next_request: Instant,
     interval: Duration,
-    turn: usize,
+    target_index: usize,
     postponed_until: Option<Instant>,
     /// When the node turns to the store itself.
-    pub store_at: Instant,
+    pub store_fallback_at: Instant,
     /// Whether the node writes itself into the view, having read it from the store.
-    pub writes_itself: bool,
+    pub adds_itself: bool,
 }
 
 impl Joining {
@@ -48,31 +48,31 @@
             .iter()
             .position(|seed| seed.name == settings.name);
         let store_delay = match rank {
-            Some(rank) => SEED_STEP * u32::try_from(rank).unwrap_or(u32::MAX),
+            Some(rank) => SEED_STAGGER * u32::try_from(rank).unwrap_or(u32::MAX),
             None if settings.seeds.is_empty() => Duration::ZERO,
-            None => STORE_FALLBACK_AFTER + random.random_range(Duration::ZERO..SPREAD),
+            None => STORE_FALLBACK_DELAY + random.random_range(Duration::ZERO..MAX_DELAY_JITTER),
         };
-        let spread = random.random_range(Duration::ZERO..REQUEST_INTERVAL / 2);
+        let spread = random.random_range(Duration::ZERO..MEMBERSHIP_REQUEST_INTERVAL / 2);
         Self {
             started: now,
             next_request: now + spread / 2,
-            interval: REQUEST_INTERVAL,
-            turn: random.random_range(0..16),
-            store_at: now + store_delay + spread,
+            interval: MEMBERSHIP_REQUEST_INTERVAL,
+            target_index: random.random_range(0..16),
+            store_fallback_at: now + store_delay + spread,
             postponed_until: None,
-            writes_itself: false,
+            adds_itself: false,
         }
     }
 
     /// Makes the next request due.
-    pub fn request_at_once(&mut self, now: Instant) {
+    pub fn request_now(&mut self, now: Instant) {
         self.next_request = now;
     }
 
     /// Begins anew: the node was removed from the view.
     pub fn restart(&mut self, now: Instant, random: &mut ChaCha8Rng) {
         self.started = now;
-        self.interval = REQUEST_INTERVAL;
+        self.interval = MEMBERSHIP_REQUEST_INTERVAL;
         self.schedule_request(now, random);
         self.postpone_store(now, random);
     }
@@ -83,10 +83,11 @@
 
     /// The view was read from the store: its members are asked first, then the node writes
     /// itself into it.
-    pub fn prepare_own_write(&mut self, now: Instant, random: &mut ChaCha8Rng) {
-        if !self.writes_itself {
-            self.writes_itself = true;
-            self.store_at = now + OWN_WRITE_DELAY + random.random_range(Duration::ZERO..SPREAD / 2);
+    pub fn schedule_self_add(&mut self, now: Instant, random: &mut ChaCha8Rng) {
+        if !self.adds_itself {
+            self.adds_itself = true;
+            self.store_fallback_at =
+                now + SELF_ADD_DELAY + random.random_range(Duration::ZERO..MAX_DELAY_JITTER / 2);
         }
     }
 
@@ -97,25 +98,25 @@
 
     /// Keeps the node from the store for a while: somebody else takes care.
     fn postpone_store(&mut self, now: Instant, random: &mut ChaCha8Rng) {
-        let delay = STORE_FALLBACK_AFTER + random.random_range(Duration::ZERO..SPREAD);
-        self.store_at = self.store_at.max(now + delay);
-        self.postponed_until = Some(self.store_at);
-        self.writes_itself = false;
+        let delay = STORE_FALLBACK_DELAY + random.random_range(Duration::ZERO..MAX_DELAY_JITTER);
+        self.store_fallback_at = self.store_fallback_at.max(now + delay);
+        self.postponed_until = Some(self.store_fallback_at);
+        self.adds_itself = false;
     }
 }
 
 impl Protocol {
     /// Returns whether this node wants to be in the view and is not.
-    pub fn wants_to_join(&self) -> bool {
+    pub fn should_join(&self) -> bool {
         !self.is_member() && !self.superseded && self.leaving_since.is_none()
     }
 
     /// Asks peers to be added to the view or, having lost touch, for the view in force.
     pub fn tick_joining(&mut self, now: Instant, out: &mut Outbox) {
-        let is_lost = self.is_member()
-            && !self.is_in_touch(now)
-            && now.saturating_since(self.joining.started) > 2 * CONTACT_LIMIT;
-        if !(self.wants_to_join() || is_lost) || now < self.joining.next_request {
+        let has_lost_contact = self.is_member()
+            && !self.has_recent_contact(now)
+            && now.saturating_since(self.joining.started) > 2 * CONTACT_TIMEOUT;
+        if !(self.should_join() || has_lost_contact) || now < self.joining.next_request {
             return;
         }
         self.joining.schedule_request(now, &mut self.random);
@@ -149,23 +150,23 @@
             .filter(|target| target.0 != id)
             .collect();
         targets.dedup();
-        self.joining.turn = self.joining.turn.wrapping_add(1);
+        self.joining.target_index = self.joining.target_index.wrapping_add(1);
         let count = targets.len().max(1);
-        targets.get(self.joining.turn % count).copied()
+        targets.get(self.joining.target_index % count).copied()
     }
 
     /// Handles the request of a node that wants to be in the view.
     pub fn on_join(&mut self, now: Instant, member: Member, known: ViewVersion, out: &mut Outbox) {
         if !self.is_member() {
-            self.send_to(&member, self.also_joining(now), out);
+            self.send_to(&member, self.also_joining_reply(now), out);
             return;
         }
-        let news = if known == self.view.version {
+        let update = if known == self.view.version {
             MembershipMessage::Changes(Vec::new())
         } else {
-            self.news_since(known)
+            self.updates_since(known)
         };
-        self.send_to(&member, news, out);
+        self.send_to(&member, update, out);
         if !self.is_current_run(member.id(), member.incarnation) {
             self.submit(now, vec![member], Vec::new(), out);
         }
@@ -173,7 +174,7 @@
 
     /// Returns whether a message among members counts: this node is a member, and the sender's
     /// run is the one that the view names. A node that is still joining says so in reply.
-    pub fn hears(
+    pub fn accepts_from(
         &mut self,
         now: Instant,
         from: NodeId,
@@ -181,7 +182,7 @@
         out: &mut Outbox,
     ) -> bool {
         if !self.is_member() {
-            let message = self.also_joining(now);
+            let message = self.also_joining_reply(now);
             self.send(from, message, out);
             return false;
         }
@@ -189,9 +190,9 @@
     }
 
     /// Returns the reply to a peer that is joining too.
-    pub fn also_joining(&self, now: Instant) -> MembershipMessage {
-        let goes_ahead = self.is_seed() || !self.joining.is_postponed(now);
-        MembershipMessage::AlsoJoining { goes_ahead }
+    pub fn also_joining_reply(&self, now: Instant) -> MembershipMessage {
+        let accesses_store = self.is_seed() || !self.joining.is_postponed(now);
+        MembershipMessage::AlsoJoining { accesses_store }
     }
 
     fn is_seed(&self) -> bool {
@@ -202,10 +203,10 @@
 
     /// Takes in that a peer is joining too: a node that is no seed waits for one that goes ahead
     /// and for one with a lower identifier, which may go ahead.
-    pub fn on_also_joining(&mut self, now: Instant, from: NodeId, goes_ahead: bool) {
-        let is_patient = now.saturating_since(self.joining.started) < PATIENCE;
+    pub fn on_also_joining(&mut self, now: Instant, from: NodeId, accesses_store: bool) {
+        let may_postpone = now.saturating_since(self.joining.started) < MAX_STORE_POSTPONEMENT;
         let is_first = from < self.identity.id;
-        if is_patient && !self.is_seed() && (goes_ahead || is_first) {
+        if may_postpone && !self.is_seed() && (accesses_store || is_first) {
             let defers = is_first || self.seeds.iter().any(|seed| seed.name.id() == from);
             if defers {
                 self.joining.postpone_store(now, &mut self.random);
@@ -215,9 +216,9 @@
 
     /// Takes in that a member answered: it will see to the join, however long that takes.
     pub fn on_join_answered(&mut self, now: Instant) {
-        if self.wants_to_join() {
+        if self.should_join() {
             self.joining.postpone_store(now, &mut self.random);
-            self.joining.interval = (self.joining.interval * 2).min(REQUEST_INTERVAL_MAX);
+            self.joining.interval = (self.joining.interval * 2).min(MAX_JOIN_REQUEST_INTERVAL);
         }
     }
 
@@ -227,7 +228,7 @@
         if !is_due || !self.is_member() {
             return;
         }
-        self.joining.next_request = now + REQUEST_INTERVAL;
+        self.joining.next_request = now + MEMBERSHIP_REQUEST_INTERVAL;
         let request = RemovalRequest {
             removal: Removal {
                 node: self.identity.id,
--- a/crates/rillgap-core/src/membership/message.rs
+++ b/crates/rillgap-core/src/membership/message.rs
@@ -127,7 +127,7 @@
     /// Digests of the zones for which the sender speaks to the receiver.
     pub digests: Vec<ZoneDigest>,
     /// Members of the common zone that have been silent long enough to be removed.
-    pub accused: Vec<NodeId>,
+    pub presumed_failed: Vec<NodeId>,
     /// Members that the machine list marks as leaving, if the sender reads it.
     pub leaving: Vec<NodeId>,
 }
@@ -191,7 +191,7 @@
     /// Reply of a node that is itself still joining: the sender of the join is not alone.
     AlsoJoining {
         /// Whether the node will turn to the store itself.
-        goes_ahead: bool,
+        accesses_store: bool,
     },
     /// Changes for a store reader to write.
     Propose(Proposal),
--- a/crates/rillgap-core/src/membership/probe.rs
+++ b/crates/rillgap-core/src/membership/probe.rs
@@ -15,7 +15,7 @@
 use super::timing::TICK;
 
 /// Ticks for which numbers are remembered.
-const REMEMBERED_TICKS: usize = 80;
+const MAX_SENT_PROBES: usize = 80;
 
 /// Numbers outgoing messages and dates their echoes.
 ///
@@ -47,7 +47,7 @@
         let probe = self.next;
         self.next = self.next.wrapping_add(1);
         self.sent.push_back((probe, now));
-        if self.sent.len() > REMEMBERED_TICKS {
+        if self.sent.len() > MAX_SENT_PROBES {
             self.sent.pop_front();
         }
         probe
@@ -76,8 +76,8 @@
             .iter()
             .rev()
             .find(|(probe, _)| *probe == echo.probe)?;
-        let spoken = *sent + Duration::from_micros(u64::from(echo.held_micros));
-        Some(spoken.min(now))
+        let sent_after = *sent + Duration::from_micros(u64::from(echo.held_micros));
+        Some(sent_after.min(now))
     }
 
     /// Forgets all messages: nothing sent or received before counts any more.
--- a/crates/rillgap-core/src/membership/proposal.rs
+++ b/crates/rillgap-core/src/membership/proposal.rs
@@ -12,69 +12,70 @@
 use super::change::{Removal, ViewChange};
 use super::message::{MembershipMessage, Proposal, RemovalCause, RemovalRequest};
 use super::protocol::Protocol;
-use super::timing::{BATCH_INTERVAL, FALLBACK_INTERVAL, HOP_LIMIT};
+use super::timing::{BATCH_INTERVAL, FALLBACK_BATCH_INTERVAL, MAX_HOPS};
 use super::topology::ZoneId;
 
 /// Time after which a proposal that nobody repeats is dropped.
-const PROPOSAL_LIFE: Duration = Duration::from_secs(15);
+const PROPOSAL_LIFETIME: Duration = Duration::from_secs(15);
 /// Share of the members that one change may remove for silence: one in this many.
-const SILENT_REMOVAL_SHARE: usize = 10;
+const SILENT_REMOVAL_DIVISOR: usize = 10;
 
 #[derive(Debug)]
-struct Waiting<T> {
-    wanted: T,
-    refreshed: Instant,
+struct Pending<T> {
+    change: T,
+    refreshed_at: Instant,
 }
 
 /// Joins and removals that this node, as a store reader, was asked to write.
 #[derive(Debug, Default)]
 pub(super) struct Proposals {
-    joins: BTreeMap<NodeId, Waiting<Member>>,
-    removals: BTreeMap<NodeId, Waiting<RemovalRequest>>,
+    joins: BTreeMap<NodeId, Pending<Member>>,
+    removals: BTreeMap<NodeId, Pending<RemovalRequest>>,
     /// When the first of them came in.
-    pub waiting_since: Option<Instant>,
+    pub pending_since: Option<Instant>,
 }
 
 impl Proposals {
     /// Takes in a join.
     pub fn join(&mut self, now: Instant, member: Member) {
-        self.waiting_since.get_or_insert(now);
-        let waiting = Waiting {
-            wanted: member,
-            refreshed: now,
+        self.pending_since.get_or_insert(now);
+        let pending = Pending {
+            change: member,
+            refreshed_at: now,
         };
-        self.joins.insert(waiting.wanted.id(), waiting);
+        self.joins.insert(pending.change.id(), pending);
     }
 
     /// Takes in a removal.
     pub fn remove(&mut self, now: Instant, request: RemovalRequest) {
-        self.waiting_since.get_or_insert(now);
-        let waiting = Waiting {
-            wanted: request,
-            refreshed: now,
+        self.pending_since.get_or_insert(now);
+        let pending = Pending {
+            change: request,
+            refreshed_at: now,
         };
-        self.removals.insert(request.removal.node, waiting);
+        self.removals.insert(request.removal.node, pending);
     }
 
     /// Returns whether something has waited for an interval.
     pub fn is_due(&self, now: Instant, interval: Duration) -> bool {
-        self.waiting_since
+        self.pending_since
             .is_some_and(|since| now.saturating_since(since) >= interval)
     }
 
     /// Drops what the view already fulfils and what nobody has repeated for long.
     pub fn prune(&mut self, now: Instant, view: &View) {
-        let is_alive = |refreshed: Instant| now.saturating_since(refreshed) <= PROPOSAL_LIFE;
-        self.joins.retain(|node, waiting| {
+        let is_alive =
+            |refreshed_at: Instant| now.saturating_since(refreshed_at) <= PROPOSAL_LIFETIME;
+        self.joins.retain(|node, pending| {
             let present = view.member(*node).map(|member| member.incarnation);
-            is_alive(waiting.refreshed) && present != Some(waiting.wanted.incarnation)
+            is_alive(pending.refreshed_at) && present != Some(pending.change.incarnation)
         });
-        self.removals.retain(|node, waiting| {
+        self.removals.retain(|node, pending| {
             let present = view.member(*node).map(|member| member.incarnation);
-            is_alive(waiting.refreshed) && present == Some(waiting.wanted.removal.incarnation)
+            is_alive(pending.refreshed_at) && present == Some(pending.change.removal.incarnation)
         });
         if self.joins.is_empty() && self.removals.is_empty() {
-            self.waiting_since = None;
+            self.pending_since = None;
         }
     }
 
@@ -83,30 +84,30 @@
         let added: Vec<Member> = self
             .joins
             .values()
-            .map(|join| join.wanted.clone())
+            .map(|join| join.change.clone())
             .collect();
         let replaced = added.iter().filter_map(|member| {
             let earlier = view.member(member.id())?;
             Some(removal_of(earlier, true))
         });
         let mut removed: Vec<Removal> = replaced.collect();
-        let limit = (view.members.len() / SILENT_REMOVAL_SHARE).max(1);
+        let limit = (view.members.len() / SILENT_REMOVAL_DIVISOR).max(1);
         let mut silent = 0;
-        for (node, waiting) in &self.removals {
+        for (node, pending) in &self.removals {
             let Some(member) = view
                 .member(*node)
                 .filter(|_| !self.joins.contains_key(node))
             else {
                 continue;
             };
-            let is_allowed = match waiting.wanted.cause {
+            let is_allowed = match pending.change.cause {
                 RemovalCause::Left => true,
                 RemovalCause::Silent => silent < limit,
                 RemovalCause::Unlisted => machines.is_some_and(|machines| omits(machines, member)),
             };
             if is_allowed {
-                silent += usize::from(waiting.wanted.cause == RemovalCause::Silent);
-                let ended = waiting.wanted.cause != RemovalCause::Silent;
+                silent += usize::from(pending.change.cause == RemovalCause::Silent);
+                let ended = pending.change.cause != RemovalCause::Silent;
                 removed.push(removal_of(member, ended));
             }
         }
@@ -157,15 +158,15 @@
             return;
         }
         if self.roles.region_relay {
-            self.pass_to_writer(now, &proposal, out);
+            self.forward_to_writer(now, &proposal, out);
             for member in proposal.joins {
                 self.proposals.join(now, member);
             }
             for request in proposal.removals {
                 self.proposals.remove(now, request);
             }
-        } else if proposal.hops < HOP_LIMIT {
-            self.hand_on(now, proposal, out);
+        } else if proposal.hops < MAX_HOPS {
+            self.forward(now, proposal, out);
         }
     }
 
@@ -180,9 +181,9 @@
             .find(|node| !self.contacts.is_silent(now, *node))
     }
 
-    fn pass_to_writer(&self, now: Instant, proposal: &Proposal, out: &mut Outbox) {
+    fn forward_to_writer(&self, now: Instant, proposal: &Proposal, out: &mut Outbox) {
         let writer = self.preferred_writer(now);
-        if let Some(writer) = writer.filter(|_| proposal.hops < HOP_LIMIT) {
+        if let Some(writer) = writer.filter(|_| proposal.hops < MAX_HOPS) {
             let mut copy = proposal.clone();
             copy.hops += 1;
             self.send(writer, MembershipMessage::Propose(copy), out);
@@ -192,14 +193,14 @@
     /// Returns how long changes wait for company here; longer where another region writes them.
     pub fn batch_interval(&self, now: Instant) -> Duration {
         if self.preferred_writer(now).is_some() {
-            FALLBACK_INTERVAL
+            FALLBACK_BATCH_INTERVAL
         } else {
             BATCH_INTERVAL
         }
     }
 
     /// Hands a proposal on: members to a relay of their zone, relays to a region relay.
-    fn hand_on(&self, now: Instant, mut proposal: Proposal, out: &mut Outbox) {
+    fn forward(&self, now: Instant, mut proposal: Proposal, out: &mut Outbox) {
         proposal.hops += 1;
         let relays = if self.roles.relay {
             self.region_relays(now, self.identity.region)
--- a/crates/rillgap-core/src/membership/protocol.rs
+++ b/crates/rillgap-core/src/membership/protocol.rs
@@ -16,7 +16,7 @@
 
 use super::change::ChangeLog;
 use super::contact::{Contacts, LivePeers};
-use super::detector::{Detector, Heard};
+use super::detector::{Detector, HeartbeatRecord};
 use super::digest::DigestTable;
 use super::history::ViewHistory;
 use super::joining::Joining;
@@ -25,8 +25,8 @@
 use super::proposal::Proposals;
 use super::store_client::StoreClient;
 use super::timing::{
-    CONTACT_LIMIT, FREEZE_LIMIT, LEAVE_LIMIT, REGION_SUBSTITUTES, RELAYS, SPREAD_TIME, TICK,
-    VOTE_LEASE,
+    CONTACT_TIMEOUT, LEAVE_TIMEOUT, POLICY_PROPAGATION_TIME, PROCESS_PAUSE_THRESHOLD,
+    REGION_STANDBYS, RELAYS_PER_GROUP, TICK, VOTE_LEASE,
 };
 use super::topology::{RegionId, Topology, ZoneId};
 
@@ -48,12 +48,12 @@
     /// speaks to other regions and to the store.
     pub region_relay: bool,
     /// Next in the region's order, and watches whether the region's relays live.
-    pub region_substitute: bool,
+    pub region_standby: bool,
 }
 
 /// The highest policy version heard of.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HeardPolicy {
+pub(super) struct KnownPolicy {
     pub version: PolicyVersion,
     pub holder: NodeId,
     pub since: Instant,
@@ -69,7 +69,7 @@
 
 /// Members whom another relay of the zone wants removed.
 #[derive(Clone, Debug)]
-pub(super) struct Accusation {
+pub(super) struct FailureReport {
     pub nodes: Vec<NodeId>,
     pub at: Instant,
 }
@@ -86,7 +86,7 @@
     pub history: ViewHistory,
     pub agreed: ViewVersion,
     pub policy: PolicyVersion,
-    pub best_policy: Option<HeardPolicy>,
+    pub best_policy: Option<KnownPolicy>,
     pub roles: Roles,
     pub probes: ProbeClock,
     pub contacts: Contacts,
@@ -94,7 +94,7 @@
     pub digests: DigestTable,
     pub own_status: Option<(Box<Status>, u32)>,
     pub statuses: BTreeMap<NodeId, ReceivedStatus>,
-    pub accusations: BTreeMap<NodeId, Accusation>,
+    pub failure_reports: BTreeMap<NodeId, FailureReport>,
     /// Time at which, at the latest, the evidence was given on which this node votes.
     pub lease: Option<Instant>,
     /// Latest time of a message that the own zone is known to have received.
@@ -107,7 +107,7 @@
     pub leaving_since: Option<Instant>,
     /// Whether a later run of this node was seen in the view: it must never join again.
     pub superseded: bool,
-    pub was_member: bool,
+    pub was_ever_member: bool,
     /// Whether the view holds this run; kept because it is asked at every step.
     is_member: bool,
     pub last_poll: Instant,
@@ -116,7 +116,7 @@
     pub next_relay_exchange: Instant,
     pub next_region_exchange: Instant,
     pub last_view_request: Option<Instant>,
-    pub heartbeat_turn: usize,
+    pub next_relay_index: usize,
     /// Policy and view that the last heartbeats to all relays have confirmed.
     pub announced: (PolicyVersion, ViewVersion),
 }
@@ -156,7 +156,7 @@
             digests: DigestTable::default(),
             own_status: None,
             statuses: BTreeMap::new(),
-            accusations: BTreeMap::new(),
+            failure_reports: BTreeMap::new(),
             lease: None,
             zone_contact: None,
             other_contact: None,
@@ -165,7 +165,7 @@
             store: StoreClient::default(),
             leaving_since: None,
             superseded: false,
-            was_member: false,
+            was_ever_member: false,
             is_member: false,
             last_poll: now.instant,
             next_tick: now.instant,
@@ -174,7 +174,7 @@
             next_region_exchange: now.instant,
             announced: (PolicyVersion::default(), ViewVersion::default()),
             last_view_request: None,
-            heartbeat_turn: 0,
+            next_relay_index: 0,
             random,
         };
         protocol.update_is_member();
@@ -199,7 +199,7 @@
     }
 
     pub fn poll(&mut self, now: Now, out: &mut Outbox) {
-        self.notice_freeze(now.instant);
+        self.detect_process_pause(now.instant);
         self.last_poll = now.instant;
         if now.instant < self.next_tick {
             return;
@@ -216,8 +216,8 @@
     }
 
     /// After a freeze nothing learnt before counts any more, and nobody is accused.
-    fn notice_freeze(&mut self, now: Instant) {
-        if now.saturating_since(self.last_poll) <= FREEZE_LIMIT {
+    fn detect_process_pause(&mut self, now: Instant) {
+        if now.saturating_since(self.last_poll) <= PROCESS_PAUSE_THRESHOLD {
             return;
         }
         self.probes.reset();
@@ -225,7 +225,7 @@
         self.detector.reset(now);
         self.digests.reset();
         self.statuses.clear();
-        self.accusations.clear();
+        self.failure_reports.clear();
         self.lease = None;
         self.zone_contact = None;
         self.other_contact = None;
@@ -241,11 +241,11 @@
         let relay = is_member && self.zone_relays(now).live.contains(&id);
         let region_relay = is_member && self.region_relays(now, region).live.contains(&id);
         let first = self.topology.region_order(region).iter();
-        let is_first = first.take(REGION_SUBSTITUTES).any(|node| *node == id);
+        let is_first = first.take(REGION_STANDBYS).any(|node| *node == id);
         self.roles = Roles {
             relay,
             region_relay,
-            region_substitute: is_member && is_first && !region_relay,
+            region_standby: is_member && is_first && !region_relay,
         };
         self.detector.watch(now, relay);
         if !relay {
@@ -261,28 +261,28 @@
     /// Returns the relays of a zone.
     pub fn relays_of(&self, now: Instant, zone: ZoneId) -> LivePeers {
         self.contacts
-            .first_live(now, self.topology.order(zone), RELAYS)
+            .first_live(now, self.topology.order(zone), RELAYS_PER_GROUP)
     }
 
     /// Returns the relays of a region.
     pub fn region_relays(&self, now: Instant, region: RegionId) -> LivePeers {
         self.contacts
-            .first_live(now, self.topology.region_order(region), RELAYS)
+            .first_live(now, self.topology.region_order(region), RELAYS_PER_GROUP)
     }
 
     pub fn may_serve(&self, now: Now) -> bool {
         let now = now.instant;
-        let thawed = now.saturating_since(self.last_poll) <= FREEZE_LIMIT;
-        thawed && self.is_in_service() && self.is_in_touch(now)
+        let not_paused = now.saturating_since(self.last_poll) <= PROCESS_PAUSE_THRESHOLD;
+        not_paused && self.is_in_service() && self.has_recent_contact(now)
     }
 
     pub fn may_vote(&self, now: Now) -> bool {
         let now = now.instant;
-        let thawed = now.saturating_since(self.last_poll) <= FREEZE_LIMIT;
+        let not_paused = now.saturating_since(self.last_poll) <= PROCESS_PAUSE_THRESHOLD;
         let leased = self
             .lease
             .is_some_and(|lease| now.saturating_since(lease) <= VOTE_LEASE);
-        thawed && leased && self.is_in_service()
+        not_paused && leased && self.is_in_service()
     }
 
     fn is_in_service(&self) -> bool {
@@ -291,9 +291,9 @@
 
     /// Returns whether the own zone has heard this node lately. The last live member of a zone
     /// may instead be heard by another zone; an only member needs nobody.
-    pub fn is_in_touch(&self, now: Instant) -> bool {
+    pub fn has_recent_contact(&self, now: Instant) -> bool {
         let recent = |contact: Option<Instant>| {
-            contact.is_some_and(|at| now.saturating_since(at) <= CONTACT_LIMIT)
+            contact.is_some_and(|at| now.saturating_since(at) <= CONTACT_TIMEOUT)
         };
         let order = self.topology.order(self.identity.zone);
         if order.len() <= 1 {
@@ -311,34 +311,34 @@
     pub fn leave(&mut self, now: Instant) {
         if self.leaving_since.is_none() {
             self.leaving_since = Some(now);
-            self.joining.request_at_once(now);
+            self.joining.request_now(now);
         }
     }
 
     pub fn has_left(&self) -> bool {
         self.leaving_since.is_some_and(|since| {
-            !self.is_member() || self.last_poll.saturating_since(since) >= LEAVE_LIMIT
+            !self.is_member() || self.last_poll.saturating_since(since) >= LEAVE_TIMEOUT
         })
     }
 
     /// Returns what this node itself has confirmed.
-    pub fn own_heard(&self, now: Instant) -> (NodeId, Heard) {
-        let heard = Heard {
+    pub fn own_record(&self, now: Instant) -> (NodeId, HeartbeatRecord) {
+        let record = HeartbeatRecord {
             incarnation: self.identity.member.incarnation,
             at: now,
             sent: Some(now),
             view: self.view.version,
             policy: self.policy,
         };
-        (self.identity.id, heard)
+        (self.identity.id, record)
     }
 
     /// Takes in that a node has a version of the policy.
-    pub fn note_policy(&mut self, now: Instant, version: PolicyVersion, holder: NodeId) {
-        let is_news = version > PolicyVersion::default()
+    pub fn record_policy(&mut self, now: Instant, version: PolicyVersion, holder: NodeId) {
+        let is_newer = version > PolicyVersion::default()
             && self.best_policy.is_none_or(|best| version > best.version);
-        if is_news {
-            self.best_policy = Some(HeardPolicy {
+        if is_newer {
+            self.best_policy = Some(KnownPolicy {
                 version,
                 holder,
                 since: now,
@@ -350,15 +350,15 @@
     /// has had its time: a heartbeat may well overtake the policy itself.
     pub fn best_known_policy(&self) -> Option<(PolicyVersion, NodeId)> {
         self.best_policy
-            .filter(|best| self.last_poll.saturating_since(best.since) >= SPREAD_TIME)
+            .filter(|best| self.last_poll.saturating_since(best.since) >= POLICY_PROPAGATION_TIME)
             .map(|best| (best.version, best.holder))
     }
 
     /// Takes in how far joint majorities have confirmed views.
-    pub fn note_agreed(&mut self, now: Instant, agreed: ViewVersion) {
+    pub fn record_agreed(&mut self, now: Instant, agreed: ViewVersion) {
         if agreed > self.agreed {
             self.agreed = agreed;
-            self.history.agreed(now, agreed);
+            self.history.mark_agreed(now, agreed);
         }
     }
 
@@ -404,7 +404,7 @@
         message: MembershipMessage,
         out: &mut Outbox,
     ) {
-        self.notice_freeze(now.instant);
+        self.detect_process_pause(now.instant);
         match message {
             MembershipMessage::Heartbeat(heartbeat) => {
                 self.on_heartbeat(now, from, incarnation, &heartbeat, out);
@@ -416,8 +416,8 @@
                 self.on_exchange(now, from, incarnation, *exchange, out);
             }
             MembershipMessage::ViewRequest { known } => {
-                let news = self.news_since(known);
-                self.send(from, news, out);
+                let update = self.updates_since(known);
+                self.send(from, update, out);
             }
             MembershipMessage::Changes(changes) => {
                 self.on_join_answered(now.instant);
@@ -428,12 +428,12 @@
                 self.on_full_view(now.instant, Some(from), *stored, out);
             }
             MembershipMessage::Join { member, known } => {
-                self.notice_later_run(now.instant, from, incarnation);
+                self.detect_restart(now.instant, from, incarnation);
                 self.on_join(now.instant, member, known, out);
             }
-            MembershipMessage::AlsoJoining { goes_ahead } => {
-                self.notice_later_run(now.instant, from, incarnation);
-                self.on_also_joining(now.instant, from, goes_ahead);
+            MembershipMessage::AlsoJoining { accesses_store } => {
+                self.detect_restart(now.instant, from, incarnation);
+                self.on_also_joining(now.instant, from, accesses_store);
             }
             MembershipMessage::Propose(proposal) => {
                 self.on_propose(now.instant, proposal, out);
@@ -443,7 +443,7 @@
 
     /// A node that is joining has ended the run that the view names, which need not be waited
     /// for.
-    fn notice_later_run(&mut self, now: Instant, node: NodeId, incarnation: Incarnation) {
+    fn detect_restart(&mut self, now: Instant, node: NodeId, incarnation: Incarnation) {
         if !self.is_current_run(node, incarnation) && self.view.member(node).is_some() {
             self.contacts.ended(now, node);
         }
--- a/crates/rillgap-core/src/membership/relay.rs
+++ b/crates/rillgap-core/src/membership/relay.rs
@@ -13,7 +13,8 @@
 use super::message::{RemovalCause, RemovalRequest, Status, ZoneDigest};
 use super::protocol::Protocol;
 use super::timing::{
-    FRESH_LIMIT, NAMED_LIMIT, RELAY_INTERVAL, REMOVE_AFTER, REMOVE_UNLISTED_AFTER, SUSPECT_AFTER,
+    MAX_DIGEST_AGE, MAX_LISTED_NODES, RELAY_EXCHANGE_INTERVAL, REMOVAL_TIMEOUT, SUSPICION_TIMEOUT,
+    UNLISTED_REMOVAL_TIMEOUT,
 };
 use super::topology::ZoneId;
 
@@ -23,13 +24,13 @@
         if !self.roles.relay || now < self.next_relay_exchange {
             return;
         }
-        self.next_relay_exchange = self.after(now, RELAY_INTERVAL);
+        self.next_relay_exchange = self.after(now, RELAY_EXCHANGE_INTERVAL);
         self.digest_own_zone(now);
         let agreed = latest_agreed(&self.log, &self.digests, &self.view, self.agreed);
-        self.note_agreed(now, agreed);
+        self.record_agreed(now, agreed);
         let majority =
             self.digests
-                .majority_not_beyond(&self.log, self.view.version, self.view.members.len());
+                .majority_evidence(&self.log, self.view.version, self.view.members.len());
         self.lease = self.lease.max(majority);
         self.update_status(now);
         for partner in self.relay_partners(now) {
@@ -57,7 +58,7 @@
             view: &self.view,
             members,
         };
-        self.detector.digest(now, origin, self.own_heard(now))
+        self.detector.digest(now, origin, self.own_record(now))
     }
 
     /// Makes the status that members are told.
@@ -90,7 +91,7 @@
             .flat_map(|zone| self.digests.fresh(now, *zone))
             .flat_map(|digest| digest.silent.iter().copied())
             .collect();
-        suspects.into_iter().take(2 * NAMED_LIMIT).collect()
+        suspects.into_iter().take(2 * MAX_LISTED_NODES).collect()
     }
 
     fn silent_zones(&self, now: Instant) -> Vec<ZoneId> {
@@ -103,8 +104,8 @@
     }
 
     /// Returns the members of the own zone that have been silent long enough to be removed.
-    pub fn accused(&self, now: Instant) -> Vec<NodeId> {
-        self.silent_members(now, REMOVE_AFTER)
+    pub fn presumed_failed(&self, now: Instant) -> Vec<NodeId> {
+        self.silent_members(now, REMOVAL_TIMEOUT)
             .map(|removal| removal.node)
             .collect()
     }
@@ -134,22 +135,22 @@
     /// is silent: then this node may well be the one that is cut off.
     fn propose_removals(&mut self, now: Instant, out: &mut Outbox) {
         let zone_size = self.topology.order(self.identity.zone).len();
-        let suspected = self.silent_members(now, SUSPECT_AFTER).count();
-        let hears_majority = 2 * (zone_size - suspected) >= zone_size;
-        let agreed_by_other = self.accused_by_other(now);
+        let suspected = self.silent_members(now, SUSPICION_TIMEOUT).count();
+        let most_respond = 2 * (zone_size - suspected) >= zone_size;
+        let reported_by_other = self.reported_by_other_relay(now);
         let mut requests: Vec<RemovalRequest> = Vec::new();
-        for removal in self.silent_members(now, REMOVE_AFTER) {
-            let is_agreed = agreed_by_other
+        for removal in self.silent_members(now, REMOVAL_TIMEOUT) {
+            let is_reported_by_other = reported_by_other
                 .as_ref()
                 .is_none_or(|nodes| nodes.contains(&removal.node));
-            if hears_majority && is_agreed {
+            if most_respond && is_reported_by_other {
                 requests.push(RemovalRequest {
                     removal,
                     cause: RemovalCause::Silent,
                 });
             }
         }
-        for removal in self.silent_members(now, REMOVE_UNLISTED_AFTER) {
+        for removal in self.silent_members(now, UNLISTED_REMOVAL_TIMEOUT) {
             requests.push(RemovalRequest {
                 removal,
                 cause: RemovalCause::Unlisted,
@@ -159,17 +160,17 @@
     }
 
     /// Returns whom the other live relay of the zone accuses; `None` if there is no such relay.
-    fn accused_by_other(&self, now: Instant) -> Option<Vec<NodeId>> {
+    fn reported_by_other_relay(&self, now: Instant) -> Option<Vec<NodeId>> {
         let relays = self.zone_relays(now);
         let other = relays
             .live
             .into_iter()
             .find(|relay| *relay != self.identity.id)?;
-        let accusation = self
-            .accusations
+        let report = self
+            .failure_reports
             .get(&other)
-            .filter(|accusation| now.saturating_since(accusation.at) <= 3 * RELAY_INTERVAL);
-        Some(accusation.map_or_else(Vec::new, |accusation| accusation.nodes.clone()))
+            .filter(|report| now.saturating_since(report.at) <= 3 * RELAY_EXCHANGE_INTERVAL);
+        Some(report.map_or_else(Vec::new, |report| report.nodes.clone()))
     }
 
     /// Asks the other side for a newer view, or sends it ours.
@@ -183,13 +184,13 @@
         if version > self.view.version {
             self.request_view(now, peer, out);
         } else if version < self.view.version {
-            let message = self.news_since(version);
+            let message = self.updates_since(version);
             self.send(peer, message, out);
         }
     }
 
     /// Returns the zones of the view that were not heard of for a long time.
-    pub fn zones_unheard(&self, now: Instant, watching_since: Instant) -> Vec<ZoneId> {
+    pub fn expired_zones(&self, now: Instant, watching_since: Instant) -> Vec<ZoneId> {
         self.topology
             .zones
             .keys()
@@ -197,13 +198,13 @@
             .filter(|zone| *zone != self.identity.zone)
             .filter(|zone| {
                 let last = self.digests.last_received(*zone).unwrap_or(watching_since);
-                now.saturating_since(last.max(watching_since)) >= REMOVE_UNLISTED_AFTER
+                now.saturating_since(last.max(watching_since)) >= UNLISTED_REMOVAL_TIMEOUT
             })
             .collect()
     }
 
     /// Returns whether a received status is recent enough to go by.
     pub fn is_status_recent(now: Instant, confirmed_at: Instant) -> bool {
-        now.saturating_since(confirmed_at) <= FRESH_LIMIT
+        now.saturating_since(confirmed_at) <= MAX_DIGEST_AGE
     }
 }
--- a/crates/rillgap-core/src/membership/report.rs
+++ b/crates/rillgap-core/src/membership/report.rs
@@ -10,7 +10,7 @@
 use super::Unconfirmed;
 use super::message::Status;
 use super::protocol::Protocol;
-use super::timing::NAMED_LIMIT;
+use super::timing::MAX_LISTED_NODES;
 use super::topology::ZoneId;
 
 /// Members not known to have confirmed a policy version.
@@ -34,14 +34,14 @@
                 self.name_unconfirmed(now, zone, &mut unconfirmed.nodes);
             }
         }
-        unconfirmed.nodes.truncate(NAMED_LIMIT);
+        unconfirmed.nodes.truncate(MAX_LISTED_NODES);
         unconfirmed
     }
 
     fn name_unconfirmed(&self, now: Instant, zone: ZoneId, nodes: &mut Vec<NodeId>) {
         let is_silent = !self.digests.is_fresh(now, zone);
         if is_silent {
-            nodes.extend(self.topology.order(zone).iter().take(NAMED_LIMIT));
+            nodes.extend(self.topology.order(zone).iter().take(MAX_LISTED_NODES));
         }
         for digest in self.digests.fresh(now, zone) {
             let named = digest.silent.iter().chain(&digest.lagging);
--- a/crates/rillgap-core/src/membership/store_client.rs
+++ b/crates/rillgap-core/src/membership/store_client.rs
@@ -12,7 +12,7 @@
 use crate::time::Instant;
 
 use super::change::StoredView;
-use super::timing::{STORE_BACKOFF_MAX, STORE_BACKOFF_MIN, STORE_TIMEOUT, STORE_WATCH_TIMEOUT};
+use super::timing::{MAX_STORE_BACKOFF, MIN_STORE_BACKOFF, STORE_TIMEOUT, STORE_WATCH_TIMEOUT};
 
 /// Key of the view in the store.
 pub const VIEW_KEY: &str = "rillgap/view";
@@ -35,7 +35,7 @@
 
 /// Version of the view that the store holds at an index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Stored {
+pub(super) struct StoredVersion {
     pub index: ModifyIndex,
     pub version: ViewVersion,
 }
@@ -53,7 +53,7 @@
     }
 
     pub fn failed(&mut self, now: Instant, random: &mut ChaCha8Rng) {
-        self.delay = (self.delay * 2).clamp(STORE_BACKOFF_MIN, STORE_BACKOFF_MAX);
+        self.delay = (self.delay * 2).clamp(MIN_STORE_BACKOFF, MAX_STORE_BACKOFF);
         self.until = Some(now + self.delay.mul_f64(random.random_range(0.5..1.0)));
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Records a success after which nothing is asked for a while.
-    pub fn rest(&mut self, now: Instant, pause: Duration) {
+    pub fn pause(&mut self, now: Instant, pause: Duration) {
         self.delay = Duration::ZERO;
         self.until = Some(now + pause);
     }
@@ -74,7 +74,7 @@
     next_request: u64,
     pending: BTreeMap<StoreRequestId, (Purpose, Instant)>,
     /// What the store is known to hold, by the last read or write.
-    pub stored: Option<Stored>,
+    pub stored: Option<StoredVersion>,
     pub watch_backoff: Backoff,
     pub machines_backoff: Backoff,
     pub write_backoff: Backoff,
@@ -151,7 +151,7 @@
     }
 
     /// Takes in the machine list.
-    pub fn note_machines(&mut self, index: ModifyIndex, machines: &[Machine]) {
+    pub fn record_machines(&mut self, index: ModifyIndex, machines: &[Machine]) {
         self.machines_index = Some(index);
         self.machines = machines.to_vec();
     }
@@ -173,10 +173,10 @@
     pub fn stop_reading(&mut self, out: &mut Outbox) {
         let waits =
             |purpose: Purpose| matches!(purpose, Purpose::WatchView | Purpose::WatchMachines);
-        let given_up = self
+        let cancelled = self
             .pending
             .extract_if(.., |_, (purpose, _)| waits(*purpose));
-        out.extend(given_up.map(|(request, _)| Action::CancelStore { request }));
+        out.extend(cancelled.map(|(request, _)| Action::CancelStore { request }));
         self.machines_index = None;
         self.reading_since = None;
     }
--- a/crates/rillgap-core/src/membership/storing.rs
+++ b/crates/rillgap-core/src/membership/storing.rs
@@ -8,8 +8,8 @@
 use super::change::{Removal, StoredView, ViewChange, apply};
 use super::message::{RemovalCause, RemovalRequest};
 use super::protocol::Protocol;
-use super::store_client::{Purpose, StoreClient, Stored};
-use super::timing::{LOG_LIMIT, MACHINES_INTERVAL, UNAGREED_LIMIT};
+use super::store_client::{Purpose, StoreClient, StoredVersion};
+use super::timing::{MACHINE_LIST_INTERVAL, MAX_LOGGED_CHANGES, MAX_UNAGREED_CHANGES};
 
 impl Protocol {
     /// Does what is due at the store: readers watch and write, a lonely fresh node bootstraps.
@@ -41,11 +41,11 @@
 
     /// Reads the view if no peer has helped; the first node of all creates it.
     fn bootstrap(&mut self, now: Instant, out: &mut Outbox) {
-        let is_due = now >= self.joining.store_at && self.store.write_backoff.is_over(now);
-        if !self.wants_to_join() || !is_due || self.is_busy() {
+        let is_due = now >= self.joining.store_fallback_at && self.store.write_backoff.is_over(now);
+        if !self.should_join() || !is_due || self.is_busy() {
             return;
         }
-        if self.joining.writes_itself {
+        if self.joining.adds_itself {
             self.proposals.join(now, self.identity.member.clone());
         } else {
             self.store.read_view(now, Purpose::ReadView, out);
@@ -62,7 +62,7 @@
         let Some(since) = self.store.reading_since else {
             return;
         };
-        for zone in self.zones_unheard(now, since) {
+        for zone in self.expired_zones(now, since) {
             for &node in self.topology.order(zone) {
                 let Some(member) = self.view.member(node) else {
                     continue;
@@ -84,7 +84,7 @@
     /// Writes what was proposed, upon the view that the store holds.
     fn write_proposals(&mut self, now: Instant, out: &mut Outbox) {
         self.proposals.prune(now, &self.view);
-        let may_write = self.roles.region_relay || self.joining.writes_itself;
+        let may_write = self.roles.region_relay || self.joining.adds_itself;
         let is_due = self.proposals.is_due(now, self.batch_interval(now))
             && self.store.write_backoff.is_over(now);
         if !may_write || !is_due || self.is_busy() || self.has_left() {
@@ -94,7 +94,7 @@
         let Some(change) = self.proposals.to_change(&self.view, machines) else {
             return;
         };
-        if self.view.version.0 >= self.agreed.0 + UNAGREED_LIMIT {
+        if self.view.version.0 >= self.agreed.0 + MAX_UNAGREED_CHANGES {
             return;
         }
         let is_current = self
@@ -102,7 +102,7 @@
             .stored
             .is_some_and(|stored| stored.version == self.view.version);
         if is_current {
-            self.proposals.waiting_since = Some(now);
+            self.proposals.pending_since = Some(now);
             self.store.write_view(now, self.stored_after(change), out);
         } else {
             self.store.read_view(now, Purpose::ReadView, out);
@@ -114,7 +114,7 @@
         let view = apply(&self.view, &change);
         let mut changes = self.log.to_vec();
         changes.push(change);
-        let surplus = changes.len().saturating_sub(LOG_LIMIT);
+        let surplus = changes.len().saturating_sub(MAX_LOGGED_CHANGES);
         changes.drain(..surplus);
         StoredView {
             view,
@@ -145,8 +145,10 @@
                 self.store.read_view(now, Purpose::ReadView, out);
             }
             StoreReply::Machines { index, machines } => {
-                self.store.machines_backoff.rest(now, MACHINES_INTERVAL);
-                self.store.note_machines(*index, machines);
+                self.store
+                    .machines_backoff
+                    .pause(now, MACHINE_LIST_INTERVAL);
+                self.store.record_machines(*index, machines);
             }
             StoreReply::Failed => self.store_failed(now, purpose),
         }
@@ -158,7 +160,7 @@
         let Some(written) = self.store.writing.take() else {
             return;
         };
-        self.store.stored = Some(Stored {
+        self.store.stored = Some(StoredVersion {
             index,
             version: written.view.version,
         });
@@ -183,7 +185,7 @@
             return;
         };
         self.store.watch_backoff.succeeded();
-        self.store.stored = Some(Stored {
+        self.store.stored = Some(StoredVersion {
             index: object.index,
             version: stored.view.version,
         });
@@ -191,19 +193,19 @@
             self.store.write_backoff.failed(now, &mut self.random);
         }
         self.on_full_view(now, None, stored, out);
-        if !self.roles.region_relay && self.wants_to_join() {
-            self.joining.prepare_own_write(now, &mut self.random);
+        if !self.roles.region_relay && self.should_join() {
+            self.joining.schedule_self_add(now, &mut self.random);
         }
     }
 
     /// The store holds no view: a node that is alone creates it with itself.
     fn on_no_view(&mut self, now: Instant, out: &mut Outbox) {
         let is_first = self.view.version == ViewVersion::default();
-        if !is_first || !self.wants_to_join() || self.store.is_pending(Purpose::WriteView) {
+        if !is_first || !self.should_join() || self.store.is_pending(Purpose::WriteView) {
             self.store.watch_backoff.failed(now, &mut self.random);
             return;
         }
-        self.store.stored = Some(Stored {
+        self.store.stored = Some(StoredVersion {
             index: ModifyIndex::default(),
             version: ViewVersion::default(),
         });
@@ -229,7 +231,7 @@
     }
 
     /// Takes in which machines are marked as leaving, at a node that does not read the list.
-    pub fn take_leaving(&mut self, leaving: &[NodeId]) {
+    pub fn record_leaving(&mut self, leaving: &[NodeId]) {
         if self.roles.region_relay {
             return;
         }
@@ -245,7 +247,7 @@
 
     /// Returns the members that the machine list marks as leaving.
     pub fn leaving_hints(&self) -> Vec<NodeId> {
-        let limit = 2 * super::timing::NAMED_LIMIT;
+        let limit = 2 * super::timing::MAX_LISTED_NODES;
         self.store.leaving().take(limit).collect()
     }
 }
--- a/crates/rillgap-core/src/membership/topology.rs
+++ b/crates/rillgap-core/src/membership/topology.rs
@@ -8,10 +8,10 @@
 use crate::id::{NodeId, RegionName, ZoneName};
 use crate::view::View;
 
-use super::timing::RELAYS;
+use super::timing::RELAYS_PER_GROUP;
 
 /// Members of each zone that may become relays of their region.
-const REGION_CANDIDATES: usize = 2 * RELAYS;
+const REGION_CANDIDATES: usize = 2 * RELAYS_PER_GROUP;
 
 /// Identifies a zone by the 32-bit hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
@@ -107,7 +107,7 @@
     for zone in zones.values() {
         let region = candidates.entry(zone.region).or_default();
         for (rank, node) in zone.order.iter().take(REGION_CANDIDATES).enumerate() {
-            let is_zone_relay = rank < RELAYS;
+            let is_zone_relay = rank < RELAYS_PER_GROUP;
             region.push((is_zone_relay, weight(*node, zone.region.0), *node));
         }
     }
--- a/crates/rillgap-core/src/membership/views.rs
+++ b/crates/rillgap-core/src/membership/views.rs
@@ -30,7 +30,7 @@
             if change.version.0 == self.view.version.0 + 1 {
                 self.view = Arc::new(apply(&self.view, &change));
                 self.log.push(change);
-                self.history.adopted(Arc::clone(&self.view));
+                self.history.push(Arc::clone(&self.view));
             }
         }
         if self.view.version > before.version {
@@ -50,7 +50,7 @@
         out: &mut Outbox,
     ) {
         if stored.view.version <= self.view.version {
-            self.note_agreed(now, stored.agreed);
+            self.record_agreed(now, stored.agreed);
             return;
         }
         let before = Arc::clone(&self.view);
@@ -71,14 +71,14 @@
         } else {
             self.view = Arc::new(stored.view);
             self.log.replace(stored.changes);
-            self.history.adopted(Arc::clone(&self.view));
+            self.history.push(Arc::clone(&self.view));
             self.view_changed(now, &before, from, out);
         }
-        self.note_agreed(now, stored.agreed);
+        self.record_agreed(now, stored.agreed);
     }
 
     /// Returns the message that brings a peer from `version` to the view in force.
-    pub fn news_since(&self, version: ViewVersion) -> MembershipMessage {
+    pub fn updates_since(&self, version: ViewVersion) -> MembershipMessage {
         let changes = Some(version)
             .filter(|version| *version > ViewVersion::default())
             .and_then(|version| self.log.after(version));
@@ -118,11 +118,11 @@
     ) {
         self.update_is_member();
         self.topology = Topology::of(&self.view);
-        self.history.agreed(now, self.agreed);
+        self.history.mark_agreed(now, self.agreed);
         self.forget_ended_runs(before);
-        self.note_own_membership(now, before);
+        self.update_own_membership(now, before);
         self.update_roles(now);
-        self.pass_on_view(now, before, from, out);
+        self.forward_view(now, before, from, out);
     }
 
     fn forget_ended_runs(&mut self, before: &View) {
@@ -136,13 +136,13 @@
         self.contacts.retain(is_member);
         self.detector.retain(is_member);
         self.statuses.retain(|node, _| is_member(*node));
-        self.accusations.retain(|node, _| is_member(*node));
+        self.failure_reports.retain(|node, _| is_member(*node));
         let topology = &self.topology;
         self.digests
             .retain(|zone| topology.zones.contains_key(&zone));
     }
 
-    fn note_own_membership(&mut self, now: Instant, before: &View) {
+    fn update_own_membership(&mut self, now: Instant, before: &View) {
         let is_member = self.is_member();
         let own_run = self.identity.member.incarnation;
         let was_member = before
@@ -152,53 +152,53 @@
             self.joining.restart(now, &mut self.random);
         }
         let other_run = self.view.member(self.identity.id).is_some() && !is_member;
-        if other_run && self.was_member {
+        if other_run && self.was_ever_member {
             self.superseded = true;
         }
-        self.was_member |= is_member;
+        self.was_ever_member |= is_member;
         if is_member {
-            self.joining.writes_itself = false;
+            self.joining.adds_itself = false;
         }
     }
 
     /// A new view is passed on along the partners within the region; relays of a zone also pass
     /// it to its members, even to those that it removes, so that they learn it.
-    fn pass_on_view(&self, now: Instant, before: &View, from: Option<NodeId>, out: &mut Outbox) {
+    fn forward_view(&self, now: Instant, before: &View, from: Option<NodeId>, out: &mut Outbox) {
         let partners = self.partners(now);
         if before.version == ViewVersion::default() || partners.is_empty() {
             return;
         }
-        let message = self.news_since(before.version);
-        let mut passed: BTreeSet<NodeId> = from.into_iter().collect();
-        passed.insert(self.identity.id);
+        let message = self.updates_since(before.version);
+        let mut notified: BTreeSet<NodeId> = from.into_iter().collect();
+        notified.insert(self.identity.id);
         for partner in partners {
             let member = self.view.member(partner);
             let member = member.filter(|member| member.region == self.identity.member.region);
-            if let Some(member) = member.filter(|_| passed.insert(partner)) {
+            if let Some(member) = member.filter(|_| notified.insert(partner)) {
                 self.send_to(member, message.clone(), out);
             }
         }
         if self.roles.relay {
-            self.pass_on_to_zone(before, &message, &mut passed, out);
+            self.forward_to_zone(before, &message, &mut notified, out);
         }
     }
 
-    fn pass_on_to_zone(
+    fn forward_to_zone(
         &self,
         before: &View,
         message: &MembershipMessage,
-        passed: &mut BTreeSet<NodeId>,
+        notified: &mut BTreeSet<NodeId>,
         out: &mut Outbox,
     ) {
         let zone = &self.identity.member.zone;
         let in_zone = |member: &&Arc<Member>| member.zone == *zone;
         for member in self.view.members.iter().filter(in_zone) {
-            if passed.insert(member.id()) {
+            if notified.insert(member.id()) {
                 self.send_to(member, message.clone(), out);
             }
         }
         for member in before.members.iter().filter(in_zone) {
-            if passed.insert(member.id()) {
+            if notified.insert(member.id()) {
                 self.send_to(member, message.clone(), out);
             }
         }
--- a/crates/rillgap-core/tests/membership_bootstrap.rs
+++ b/crates/rillgap-core/tests/membership_bootstrap.rs
@@ -8,10 +8,10 @@
 use membership_support::{Mesh, StoreMode, node};
 use rillgap_core::id::NodeId;
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Begins the planned stop of a node.
-fn begin_to_leave(mesh: &mut Mesh, leaving: NodeId) {
+fn start_leaving(mesh: &mut Mesh, leaving: NodeId) {
     let clock = mesh.clock();
     let host = mesh.hosts.get_mut(&leaving).expect("a running node");
     host.membership.leave(clock, &mut Vec::new());
@@ -19,19 +19,19 @@
 
 /// Waits until a node has left the view, ends it, and waits for the others.
 fn finish_leaving(mesh: &mut Mesh, leaving: NodeId) {
-    mesh.run_until(LIMIT, |mesh| mesh.membership(leaving).has_left());
+    mesh.run_until(TIMEOUT, |mesh| mesh.membership(leaving).has_left());
     mesh.kill(leaving);
-    mesh.run_until(LIMIT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
 }
 
 #[googletest::test]
 fn all_nodes_join_one_view() {
     let mut mesh = Mesh::start(3, 4);
-    mesh.run_until(LIMIT, Mesh::has_converged);
-    mesh.run_until(LIMIT, |mesh| {
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, |mesh| {
         mesh.hosts.keys().all(|node| mesh.may_serve(*node))
     });
-    mesh.run_until(LIMIT, |mesh| {
+    mesh.run_until(TIMEOUT, |mesh| {
         mesh.hosts.keys().all(|node| mesh.may_vote(*node))
     });
     let readers = mesh
@@ -45,7 +45,7 @@
 #[googletest::test]
 fn one_node_alone_serves_and_votes() {
     let mut mesh = Mesh::start(1, 1);
-    mesh.run_until(LIMIT, |mesh| {
+    mesh.run_until(TIMEOUT, |mesh| {
         mesh.may_serve(node(0, 0)) && mesh.may_vote(node(0, 0))
     });
 }
@@ -53,28 +53,28 @@
 #[googletest::test]
 fn restarted_node_serves_only_in_its_new_run() {
     let mut mesh = Mesh::start(3, 3);
-    mesh.run_until(LIMIT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
     mesh.boot(1, 2);
     expect_that!(mesh.may_serve(node(1, 2)), eq(false));
-    mesh.run_until(LIMIT, |mesh| mesh.may_serve(node(1, 2)));
+    mesh.run_until(TIMEOUT, |mesh| mesh.may_serve(node(1, 2)));
     expect_that!(mesh.has_converged(), eq(true));
 }
 
 #[googletest::test]
-fn whole_fleet_restarts() {
+fn all_nodes_restart() {
     let mut mesh = Mesh::start(3, 4);
-    mesh.run_until(LIMIT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
     mesh.run(Duration::from_secs(10));
     for zone in 0..3 {
         for number in 0..4 {
             mesh.boot(zone, number);
         }
     }
-    mesh.run_until(LIMIT, Mesh::has_converged);
-    mesh.run_until(LIMIT, |mesh| {
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, |mesh| {
         mesh.hosts.keys().all(|node| mesh.may_vote(*node))
     });
-    mesh.run_until(LIMIT, |mesh| {
+    mesh.run_until(TIMEOUT, |mesh| {
         let activated = |host: &membership_support::Host| {
             let last = host.membership.view_history().last();
             last.is_some_and(|last| last.is_activated())
@@ -86,9 +86,9 @@
 #[googletest::test]
 fn planned_stop_leaves_the_view() {
     let mut mesh = Mesh::start(3, 3);
-    mesh.run_until(LIMIT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
     let leaving = node(2, 1);
-    begin_to_leave(&mut mesh, leaving);
+    start_leaving(&mut mesh, leaving);
     expect_that!(mesh.may_serve(leaving), eq(false));
     finish_leaving(&mut mesh, leaving);
 }
@@ -107,9 +107,9 @@
 #[googletest::test]
 fn node_that_has_just_left_the_view_can_still_be_answered() {
     let mut mesh = Mesh::start(3, 3);
-    mesh.run_until(LIMIT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
     let leaving = node(2, 1);
-    begin_to_leave(&mut mesh, leaving);
+    start_leaving(&mut mesh, leaving);
     finish_leaving(&mut mesh, leaving);
     let other = mesh.membership(node(1, 1));
     expect_that!(other.address(leaving), none());
@@ -119,10 +119,10 @@
 #[googletest::test]
 fn planned_stop_ends_while_the_store_is_down() {
     let mut mesh = Mesh::start(3, 3);
-    mesh.run_until(LIMIT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
     mesh.set_store(StoreMode::Down);
     let leaving = node(2, 1);
-    begin_to_leave(&mut mesh, leaving);
+    start_leaving(&mut mesh, leaving);
     mesh.run(Duration::from_millis(3_300));
     expect_that!(mesh.membership(leaving).has_left(), eq(true));
 }
@@ -136,15 +136,15 @@
             mesh.boot(zone, number);
         }
     }
-    mesh.run_until(2 * LIMIT, Mesh::has_converged);
+    mesh.run_until(2 * TIMEOUT, Mesh::has_converged);
     mesh.boot(0, 0);
-    mesh.run_until(LIMIT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
 }
 
 #[googletest::test]
 fn nodes_replaced_while_the_store_is_down_join_when_it_is_back() {
     let mut mesh = Mesh::start(3, 5);
-    mesh.run_until(LIMIT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
     mesh.set_store(StoreMode::Down);
     mesh.run(Duration::from_secs(60));
     for zone in 0..3 {
@@ -158,5 +158,5 @@
     expect_that!(mesh.may_serve(node(0, 1)), eq(true));
     expect_that!(requests, lt(2_000));
     mesh.set_store(StoreMode::Up);
-    mesh.run_until(LIMIT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
 }
--- a/crates/rillgap-core/tests/membership_failures.rs
+++ b/crates/rillgap-core/tests/membership_failures.rs
@@ -9,32 +9,32 @@
 use membership_support::{Mesh, node};
 use rillgap_core::id::ViewVersion;
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn settled(zones: usize, size: usize) -> Mesh {
+fn converged_mesh(zones: usize, size: usize) -> Mesh {
     let mut mesh = Mesh::start(zones, size);
-    mesh.run_until(LIMIT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
     mesh.run(Duration::from_secs(10));
     mesh
 }
 
 #[googletest::test]
 fn dead_nodes_are_removed() {
-    let mut mesh = settled(3, 4);
+    let mut mesh = converged_mesh(3, 4);
     mesh.kill(node(1, 1));
     mesh.kill(node(2, 3));
     mesh.run(Duration::from_secs(3));
     expect_that!(mesh.view(node(0, 0)).members.len(), eq(12));
-    mesh.run_until(LIMIT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
 }
 
 #[googletest::test]
 fn any_dead_node_is_removed_and_the_others_go_on() {
     for zone in 0..3 {
         for number in 0..3 {
-            let mut mesh = settled(3, 3);
+            let mut mesh = converged_mesh(3, 3);
             mesh.kill(node(zone, number));
-            mesh.run_until(LIMIT, Mesh::has_converged);
+            mesh.run_until(TIMEOUT, Mesh::has_converged);
             mesh.run(Duration::from_secs(2));
             expect_that!(
                 mesh.hosts.keys().all(|node| mesh.may_serve(*node)),
@@ -46,7 +46,7 @@
 
 #[googletest::test]
 fn slow_node_is_not_removed() {
-    let mut mesh = settled(3, 4);
+    let mut mesh = converged_mesh(3, 4);
     let before = mesh.view(node(0, 0)).version;
     mesh.slow(node(1, 2), Duration::from_millis(1_500));
     mesh.run(Duration::from_secs(60));
@@ -55,7 +55,7 @@
 
 #[googletest::test]
 fn one_way_cut_between_two_nodes_removes_nobody() {
-    let mut mesh = settled(3, 4);
+    let mut mesh = converged_mesh(3, 4);
     let before = mesh.view(node(0, 0)).version;
     mesh.cut(node(1, 0), node(1, 1));
     mesh.cut(node(2, 3), node(2, 0));
@@ -70,7 +70,7 @@
 
 #[googletest::test]
 fn cut_off_zone_serves_without_voting_and_is_not_removed() {
-    let mut mesh = settled(3, 4);
+    let mut mesh = converged_mesh(3, 4);
     let before = mesh.view(node(0, 0)).version;
     mesh.cut_zone(2);
     mesh.run(Duration::from_secs(120));
@@ -90,13 +90,13 @@
     mesh.run(Duration::from_secs(10));
     expect_that!(mesh.view(node(2, 1)).version, eq(before));
     mesh.heal();
-    mesh.run_until(LIMIT, Mesh::has_converged);
-    mesh.run_until(LIMIT, |mesh| mesh.may_vote(node(2, 1)));
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, |mesh| mesh.may_vote(node(2, 1)));
 }
 
 #[googletest::test]
 fn views_that_follow_quickly_are_activated_without_gaps() {
-    let mut mesh = settled(3, 4);
+    let mut mesh = converged_mesh(3, 4);
     for round in 0..8 {
         mesh.boot(round % 3, 3);
         mesh.run(Duration::from_millis(700));
@@ -113,14 +113,14 @@
 
 #[googletest::test]
 fn frozen_node_serves_nothing_until_it_is_confirmed() {
-    let mut mesh = settled(3, 4);
+    let mut mesh = converged_mesh(3, 4);
     let frozen = node(1, 1);
     mesh.freeze(frozen, Duration::from_millis(2_500));
     mesh.run(Duration::from_millis(2_400));
     expect_that!(mesh.may_serve(frozen), eq(false));
     expect_that!(mesh.may_vote(frozen), eq(false));
     let before = mesh.view(node(0, 0)).version;
-    mesh.run_until(LIMIT, |mesh| {
+    mesh.run_until(TIMEOUT, |mesh| {
         mesh.may_serve(frozen) && mesh.may_vote(frozen)
     });
     expect_that!(mesh.view(node(0, 0)).version, eq(before));
@@ -128,18 +128,18 @@
 
 #[googletest::test]
 fn node_frozen_for_long_is_removed_and_joins_again() {
-    let mut mesh = settled(3, 4);
+    let mut mesh = converged_mesh(3, 4);
     let frozen = node(1, 1);
     mesh.freeze(frozen, Duration::from_secs(15));
     mesh.run(Duration::from_secs(14));
     expect_that!(mesh.view(node(0, 0)).member(frozen), none());
-    mesh.run_until(LIMIT, |mesh| mesh.may_serve(frozen));
+    mesh.run_until(TIMEOUT, |mesh| mesh.may_serve(frozen));
     expect_that!(mesh.has_converged(), eq(true));
 }
 
 #[googletest::test]
 fn dead_zone_is_removed_only_when_the_machine_list_omits_it() {
-    let mut mesh = settled(3, 3);
+    let mut mesh = converged_mesh(3, 3);
     for number in 0..3 {
         mesh.kill(node(2, number));
     }
@@ -154,13 +154,13 @@
         })
         .collect();
     mesh.set_machines(machines);
-    mesh.run_until(LIMIT, Mesh::has_converged);
+    mesh.run_until(TIMEOUT, Mesh::has_converged);
 }
 
 /// No node votes under a view while another treats a later one as activated.
 #[googletest::test]
 fn nobody_votes_below_an_activated_view() {
-    let mut mesh = settled(3, 4);
+    let mut mesh = converged_mesh(3, 4);
     let mut highest = ViewVersion(0);
     let mut lowest_votes: BTreeMap<ViewVersion, u64> = BTreeMap::new();
     let mut watch = |mesh: &Mesh| {
