--- a/crates/rillgap-core/src/membership/agreement.rs
+++ b/crates/rillgap-core/src/membership/agreement.rs
@@ -1,4 +1,7 @@
-//! Which views joint majorities have confirmed.
+//! Determines the latest view that joint majorities have confirmed.
+//!
+//! A view is agreed once a majority of the members of every view since the last agreed one has
+//! confirmed it or a later one.
 
 use crate::id::ViewVersion;
 use crate::view::View;
@@ -6,12 +9,13 @@
 use super::change::ChangeLog;
 use super::digest::DigestTable;
 
-/// Returns the latest view that majorities of the members of every view from `agreed` on have
+/// Returns the latest view that a majority of the members of every view since `agreed` has
 /// confirmed, or `agreed` if there is no later one.
 ///
-/// A vote under some view U needs fresh evidence that a majority of U's members had confirmed
-/// nothing later. The joint majorities contain a majority of U's members, whichever of the
-/// views in between U is, so that both cannot be true at the same time.
+/// A vote under a view U requires recent evidence that a majority of U's members had confirmed no
+/// later view. The joint majorities include a majority of the members of every view from `agreed`
+/// on, and U is one of these views. Two majorities of U share a member, so a later view cannot be
+/// agreed while the evidence for votes under U holds.
 pub fn latest_agreed(
     log: &ChangeLog,
     table: &DigestTable,
@@ -44,8 +48,8 @@
         .all(|earlier| has_majority(log, table, view, earlier, candidate))
 }
 
-/// Returns whether a majority of the members of `earlier`, not counting runs that have surely
-/// ended since, have confirmed `candidate` or a later view.
+/// Returns whether a majority of the members of `earlier` has confirmed `candidate` or a later
+/// view. Incarnations that are known to have ended since `earlier` are not counted.
 fn has_majority(
     log: &ChangeLog,
     table: &DigestTable,
--- a/crates/rillgap-core/src/membership/change.rs
+++ b/crates/rillgap-core/src/membership/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the view, the log of recent ones and the object in the store.
+//! Changes between successive views, the log of recent changes, and the view object in the store.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -11,54 +11,54 @@
 use super::timing::MAX_LOGGED_CHANGES;
 use super::topology::ZoneId;
 
-/// First byte of the object in the store: version of its format.
+/// Format version of the object in the store; its first byte.
 const FORMAT: u8 = 1;
 
-/// A member that a change removes.
+/// Removal of one incarnation of a member from the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct Removal {
-    /// The node.
+    /// Node that is removed.
     pub node: NodeId,
-    /// Run that is removed.
+    /// Incarnation that is removed.
     pub incarnation: Incarnation,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneId,
-    /// Whether that run has surely ended: it left, was replaced by a later run, or its machine
-    /// is gone.
+    /// Whether the incarnation is known to have ended: it left, a later incarnation replaced it, or
+    /// the machine list no longer contains its machine.
     pub ended: bool,
 }
 
-/// The step from one view to the next.
+/// Difference between a view and its predecessor.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ViewChange {
-    /// Version that the change makes.
+    /// Version of the view that results from the change.
     pub version: ViewVersion,
-    /// Members that are removed.
+    /// Removed members.
     pub removed: Vec<Removal>,
-    /// Members that are added.
+    /// Added members.
     pub added: Vec<Member>,
 }
 
-/// The object in the store.
+/// Content of the view object in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct StoredView {
     /// Latest view.
     pub view: View,
-    /// Recent changes, the last of which made the view.
+    /// Recent successive changes; the last one results in `view`.
     pub changes: Vec<ViewChange>,
-    /// Latest view that the writer knew joint majorities to have confirmed.
+    /// Latest view that joint majorities have confirmed, as known to the writer.
     pub agreed: ViewVersion,
 }
 
 impl StoredView {
-    /// Encodes the object.
+    /// Encodes the object, preceded by the format version.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![FORMAT];
         bytes.extend(bitcode::encode(self));
         bytes
     }
 
-    /// Decodes the object, or returns `None` if it is malformed.
+    /// Decodes the object; returns `None` if it is malformed or has an unknown format version.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         match bytes.split_first() {
             Some((&FORMAT, rest)) => bitcode::decode(rest).ok(),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Applies a change to the view before it.
+/// Returns the view that results from applying a change to its predecessor.
 pub fn apply(view: &View, change: &ViewChange) -> View {
     let removed: BTreeSet<NodeId> = change.removed.iter().map(|removal| removal.node).collect();
     let mut members: Vec<Arc<Member>> = view
@@ -84,20 +84,20 @@
     }
 }
 
-/// The latest successive changes, ending with the one that made the view in force.
+/// Log of the latest successive changes, up to the one that resulted in the view in force.
 #[derive(Debug, Default)]
 pub struct ChangeLog {
     changes: VecDeque<Arc<ViewChange>>,
 }
 
 impl ChangeLog {
-    /// Replaces the log.
+    /// Replaces all entries, keeping the latest [`MAX_LOGGED_CHANGES`].
     pub fn replace(&mut self, changes: Vec<ViewChange>) {
         self.changes = changes.into_iter().map(Arc::new).collect();
         self.trim();
     }
 
-    /// Appends a change.
+    /// Appends a change and drops the oldest entries beyond [`MAX_LOGGED_CHANGES`].
     pub fn push(&mut self, change: ViewChange) {
         self.changes.push_back(Arc::new(change));
         self.trim();
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Returns all changes that are kept.
+    /// Returns all changes in the log, the oldest first.
     pub fn to_vec(&self) -> Vec<ViewChange> {
         self.changes
             .iter()
@@ -117,7 +117,7 @@
             .collect()
     }
 
-    /// Returns the changes after a version, or `None` if some are no longer kept.
+    /// Returns the changes after a version, or `None` if the log no longer has all of them.
     pub fn after(&self, version: ViewVersion) -> Option<Vec<ViewChange>> {
         if !self.covers(version) {
             return None;
@@ -129,7 +129,7 @@
         )
     }
 
-    /// Returns whether the step from `version` to its successor is kept.
+    /// Returns whether the log reaches back to the change that follows `version`.
     pub fn covers(&self, version: ViewVersion) -> bool {
         self.changes
             .front()
@@ -148,8 +148,8 @@
             .filter(move |change| change.version > from && change.version <= to)
     }
 
-    /// Returns an upper bound on the members that a zone has in view `counted` and not in view
-    /// `wanted`, or `None` if the log does not reach far enough.
+    /// Returns an upper bound on the number of members that a zone has in view `counted` but not
+    /// in view `wanted`, or `None` if the log does not reach back far enough.
     pub fn max_nonmembers(
         &self,
         zone: ZoneId,
@@ -174,7 +174,8 @@
         u32::try_from(members).ok()
     }
 
-    /// Returns the number of members of view `from` whose runs have surely ended by `to`.
+    /// Returns the number of members of view `from` whose incarnations are known to have ended by
+    /// view `to`.
     pub fn ended(&self, from: ViewVersion, to: ViewVersion) -> usize {
         let mut added: BTreeSet<(NodeId, Incarnation)> = BTreeSet::new();
         let mut ended = 0;
@@ -195,7 +196,7 @@
         ended
     }
 
-    /// Returns the size of an earlier view, given the size of the view in force.
+    /// Returns the number of members of an earlier view, computed from that of the view in force.
     pub fn size_at(&self, version: ViewVersion, size_now: usize) -> usize {
         let later = self.between(version, ViewVersion(u64::MAX));
         let (added, removed) = later.fold((0, 0), |(added, removed), change| {
--- a/crates/rillgap-core/src/membership/contact.rs
+++ b/crates/rillgap-core/src/membership/contact.rs
@@ -1,4 +1,4 @@
-//! Which peers answer.
+//! Tracks which peers answer messages and which are silent.
 
 use std::collections::BTreeMap;
 
@@ -13,33 +13,33 @@
     last_sent: Option<Instant>,
 }
 
-/// Record of the peers to which this node speaks.
+/// Response state of the peers to which this node sends messages.
 #[derive(Debug, Default)]
 pub struct Contacts {
     peers: BTreeMap<NodeId, Contact>,
 }
 
 impl Contacts {
-    /// Records that something was sent to a peer which it must answer.
+    /// Records that a message which requires an answer was sent to a peer.
     pub fn sent(&mut self, now: Instant, peer: NodeId) {
         let contact = self.peers.entry(peer).or_default();
         contact.unanswered_since.get_or_insert(now);
         contact.last_sent = Some(now);
     }
 
-    /// Records that a peer answered.
+    /// Records an answer of a peer.
     pub fn answered(&mut self, peer: NodeId) {
         self.peers.entry(peer).or_default().unanswered_since = None;
     }
 
-    /// Records that the run of a peer that the view names has ended.
+    /// Marks a peer as silent because its incarnation in the view has ended.
     pub fn ended(&mut self, now: Instant, peer: NodeId) {
         let contact = self.peers.entry(peer).or_default();
         contact.unanswered_since = Some(now - 2 * PEER_TIMEOUT);
         contact.last_sent = Some(now);
     }
 
-    /// Returns whether a peer has left messages unanswered for long.
+    /// Returns whether a peer has left messages unanswered for longer than [`PEER_TIMEOUT`].
     pub fn is_silent(&self, now: Instant, peer: NodeId) -> bool {
         self.peers
             .get(&peer)
@@ -47,7 +47,7 @@
             .is_some_and(|since| now.saturating_since(since) > PEER_TIMEOUT)
     }
 
-    /// Returns whether a silent peer is due for another attempt.
+    /// Returns whether the next attempt to reach a silent peer is due.
     pub fn is_retry_due(&self, now: Instant, peer: NodeId) -> bool {
         self.peers
             .get(&peer)
@@ -55,8 +55,8 @@
             .is_none_or(|sent| now.saturating_since(sent) >= SILENT_PEER_RETRY_INTERVAL)
     }
 
-    /// Returns the first `count` peers of an order that are not silent, and the silent ones
-    /// that come before the last of them.
+    /// Returns the first `count` peers of `order` that are not silent, and the silent peers that
+    /// precede the last of them.
     pub fn first_live(&self, now: Instant, order: &[NodeId], count: usize) -> LivePeers {
         let mut peers = LivePeers::default();
         for &peer in order {
@@ -72,22 +72,22 @@
         peers
     }
 
-    /// Forgets everything.
+    /// Drops the state of all peers.
     pub fn reset(&mut self) {
         self.peers.clear();
     }
 
-    /// Forgets the peers that `keep` does not name.
+    /// Drops the state of the peers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(NodeId) -> bool) {
         self.peers.retain(|peer, _| keep(*peer));
     }
 }
 
-/// The first peers of an order that answer.
+/// Result of [`Contacts::first_live`].
 #[derive(Debug, Default)]
 pub struct LivePeers {
-    /// Peers that answer or were not asked yet.
+    /// Peers that are not silent, including those to which nothing was sent yet.
     pub live: Vec<NodeId>,
-    /// Silent peers that rank before the last live one.
+    /// Silent peers that precede the last live one.
     pub silent: Vec<NodeId>,
 }
--- a/crates/rillgap-core/src/membership/detector.rs
+++ b/crates/rillgap-core/src/membership/detector.rs
@@ -1,4 +1,5 @@
-//! What a relay hears of the members of its own zone, and whom it suspects.
+//! Failure detection: records the heartbeats that a relay receives from its own zone and
+//! summarizes them in a digest.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,30 +13,32 @@
 use super::timing::{MAX_HEARTBEAT_AGE, MAX_LISTED_NODES, SUSPICION_TIMEOUT};
 use super::topology::ZoneId;
 
-/// Most different versions that a digest counts; members at others are not counted.
+/// Maximum number of different versions in a digest; members at less frequent versions are not
+/// counted.
 const MAX_VERSION_COUNTS: usize = 8;
 
-/// What a heartbeat tells of its sender.
+/// Last heartbeat received from a member.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatRecord {
-    /// Run of the sender.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// When it was received.
+    /// Time of receipt.
     pub at: Instant,
-    /// When it was sent at the earliest, by the own clock, if it could be dated.
+    /// Lower bound on the time of sending, by the local clock; `None` if the heartbeat had no echo
+    /// that could be dated.
     pub sent: Option<Instant>,
-    /// Confirmed view.
+    /// View that the sender has confirmed.
     pub view: ViewVersion,
-    /// Confirmed policy.
+    /// Policy version that the sender has confirmed.
     pub policy: PolicyVersion,
 }
 
-/// Whose digest is made.
+/// Relay and zone for which a digest is made.
 #[derive(Clone, Copy, Debug)]
 pub struct DigestOrigin<'a> {
     /// Zone of the relay.
     pub zone: ZoneId,
-    /// Position of the relay in the zone's order.
+    /// Position of the relay in the rendezvous order of the zone.
     pub rank: u16,
     /// View whose members are counted.
     pub view: &'a View,
@@ -43,7 +46,7 @@
     pub members: &'a [NodeId],
 }
 
-/// Failure detector of a relay for its own zone.
+/// Heartbeat-based failure detector of a relay for its own zone.
 #[derive(Debug, Default)]
 pub struct Detector {
     heartbeats: BTreeMap<NodeId, HeartbeatRecord>,
@@ -52,7 +55,8 @@
 }
 
 impl Detector {
-    /// Tells whether this node is a relay now; a fresh one gives everybody time to be heard.
+    /// Records whether this node is a relay. Silence counts from the moment when the node became
+    /// one, so that members have time to send a first heartbeat.
     pub fn watch(&mut self, now: Instant, is_relay: bool) {
         if is_relay {
             self.relay_since.get_or_insert(now);
@@ -61,29 +65,30 @@
         }
     }
 
-    /// Takes in a heartbeat.
+    /// Records a heartbeat.
     pub fn record(&mut self, node: NodeId, heartbeat: HeartbeatRecord) {
         self.last_dated = self.last_dated.max(heartbeat.sent);
         self.heartbeats.insert(node, heartbeat);
     }
 
-    /// Returns for how long a member has been silent; zero if this node is no relay.
+    /// Returns the time since the last heartbeat of a member; zero if this node is not a relay.
     pub fn silence(&self, now: Instant, node: NodeId, incarnation: Incarnation) -> Duration {
         let Some(since) = self.relay_since else {
             return Duration::ZERO;
         };
         let last = self
-            .record_of_run(node, incarnation)
+            .record_of(node, incarnation)
             .map(|heartbeat| heartbeat.at);
         now.saturating_since(last.map_or(since, |last| last.max(since)))
     }
 
-    /// Returns the latest time of a dated heartbeat, which shows that others hear this node.
+    /// Returns the latest lower bound on the time of sending of any heartbeat. A dated heartbeat
+    /// echoes a message of this node and so shows that a member has received it.
     pub fn last_dated(&self) -> Option<Instant> {
         self.last_dated
     }
 
-    /// Makes the digest of the zone; `own` is what this node itself has confirmed.
+    /// Makes the digest of the zone; `own` is this node's entry.
     pub fn digest(
         &self,
         now: Instant,
@@ -98,7 +103,7 @@
             let heartbeat = if node == own.0 {
                 Some(&own.1)
             } else {
-                self.record_of_run(node, member.incarnation)
+                self.record_of(node, member.incarnation)
             };
             let is_silent =
                 node != own.0 && self.silence(now, node, member.incarnation) > SUSPICION_TIMEOUT;
@@ -107,7 +112,8 @@
         counter.finish(now, origin)
     }
 
-    /// Forgets everything: this host was frozen and must accuse nobody.
+    /// Drops all heartbeats after a process pause and restarts the measurement of silence, so that
+    /// no member is presumed failed because of the pause.
     pub fn reset(&mut self, now: Instant) {
         self.heartbeats.clear();
         self.last_dated = None;
@@ -116,12 +122,12 @@
         }
     }
 
-    /// Forgets the nodes that `keep` does not name.
+    /// Drops the heartbeats of the nodes for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(NodeId) -> bool) {
         self.heartbeats.retain(|node, _| keep(*node));
     }
 
-    fn record_of_run(&self, node: NodeId, incarnation: Incarnation) -> Option<&HeartbeatRecord> {
+    fn record_of(&self, node: NodeId, incarnation: Incarnation) -> Option<&HeartbeatRecord> {
         self.heartbeats
             .get(&node)
             .filter(|heartbeat| heartbeat.incarnation == incarnation)
--- a/crates/rillgap-core/src/membership/digest.rs
+++ b/crates/rillgap-core/src/membership/digest.rs
@@ -1,4 +1,4 @@
-//! What is known of all zones: the digests of their relays.
+//! Table of the zone digests received from relays, and the counts derived from it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use super::timing::MAX_DIGEST_AGE;
 use super::topology::ZoneId;
 
-/// Age that stands for "not dated".
+/// Value of `age_millis` for evidence that has no known age or is too old for the field.
 const AGE_UNKNOWN: u16 = u16::MAX;
 
-/// A digest as received.
+/// A received digest.
 #[derive(Clone, Debug)]
 struct Entry {
     digest: ZoneDigest,
-    /// Time of the oldest heartbeat that is counted, if it could be dated.
+    /// Time of the oldest heartbeat counted in the digest, by the local clock; `None` if unknown.
     evidence: Option<Instant>,
     received: Instant,
 }
@@ -29,14 +29,15 @@
     }
 }
 
-/// Digests of all zones, one for each relay.
+/// Latest digest of each zone and relay.
 #[derive(Debug, Default)]
 pub struct DigestTable {
     entries: BTreeMap<(ZoneId, u16), Entry>,
 }
 
 impl DigestTable {
-    /// Takes in a digest whose sender spoke at `spoken` or later, if that is known.
+    /// Records a digest. Its sender sent it at `sent_after` or later; `None` if that is unknown. A
+    /// digest with older evidence than the recorded one is ignored.
     pub fn insert(&mut self, now: Instant, digest: ZoneDigest, sent_after: Option<Instant>) {
         let evidence = sent_after
             .filter(|_| digest.age_millis != AGE_UNKNOWN)
@@ -54,7 +55,8 @@
         self.entries.insert(key, entry);
     }
 
-    /// Returns digests to pass on, the best of each zone, with their present ages.
+    /// Returns the digest with the latest evidence of each zone that `choose` selects, with its
+    /// present age. Expired digests are left out.
     pub fn outgoing(&self, now: Instant, choose: impl Fn(ZoneId) -> bool) -> Vec<ZoneDigest> {
         let mut best: BTreeMap<ZoneId, &Entry> = BTreeMap::new();
         for entry in self.entries.values() {
@@ -74,25 +76,25 @@
             .collect()
     }
 
-    /// Returns when a zone was last heard of.
+    /// Returns when the last digest of a zone was received.
     pub fn last_received(&self, zone: ZoneId) -> Option<Instant> {
         self.of_zone(zone).map(|entry| entry.received).max()
     }
 
-    /// Returns whether a zone was heard of lately.
+    /// Returns whether a digest of a zone was received within [`MAX_DIGEST_AGE`].
     pub fn is_fresh(&self, now: Instant, zone: ZoneId) -> bool {
         self.of_zone(zone).any(|entry| entry.is_fresh(now))
     }
 
-    /// Returns the fresh digests of a zone.
+    /// Returns the digests of a zone that were received within [`MAX_DIGEST_AGE`].
     pub fn fresh(&self, now: Instant, zone: ZoneId) -> impl Iterator<Item = &ZoneDigest> {
         self.of_zone(zone)
             .filter(move |entry| entry.is_fresh(now))
             .map(|entry| &entry.digest)
     }
 
-    /// Returns a lower bound on the members of view `wanted` that have confirmed `version` of
-    /// the view or a later one. Confirmations stay true, so their age does not matter.
+    /// Returns a lower bound on the number of members of view `wanted` that have confirmed view
+    /// `version` or a later one. Digests of any age count, as a confirmation is never withdrawn.
     pub fn confirmed_views(
         &self,
         log: &ChangeLog,
@@ -105,8 +107,8 @@
         })
     }
 
-    /// Returns a lower bound on the members of one zone of view `wanted` that have confirmed
-    /// `version` of the policy or a later one, by fresh digests.
+    /// Returns a lower bound on the number of members of one zone of view `wanted` that have
+    /// confirmed policy `version` or a later one, from digests within [`MAX_DIGEST_AGE`].
     pub fn confirmed_policies(
         &self,
         now: Instant,
@@ -124,8 +126,8 @@
             .unwrap_or(0)
     }
 
-    /// Returns the latest time at which a majority of the `size` members of `view` are all known
-    /// not to have confirmed any later view.
+    /// Returns the latest time at which, by the digests, a majority of the `size` members of `view`
+    /// had confirmed no later view.
     pub fn majority_evidence(
         &self,
         log: &ChangeLog,
@@ -158,12 +160,12 @@
         None
     }
 
-    /// Makes all evidence void: this host was frozen.
+    /// Drops all digests, as their age cannot be trusted after a process pause.
     pub fn reset(&mut self) {
         self.entries.clear();
     }
 
-    /// Forgets the zones that `keep` does not name.
+    /// Drops the digests of the zones for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(ZoneId) -> bool) {
         self.entries.retain(|(zone, _), _| keep(*zone));
     }
@@ -174,7 +176,7 @@
             .map(|(_, entry)| entry)
     }
 
-    /// Adds up the best value of each zone's digests.
+    /// Returns the sum over all zones of the highest value among the zone's digests.
     fn sum_zone_maxima(&self, value: impl Fn(&Entry) -> u32) -> u32 {
         let mut zones: BTreeMap<ZoneId, u32> = BTreeMap::new();
         for entry in self.entries.values() {
@@ -185,7 +187,7 @@
     }
 }
 
-/// Returns the age of evidence in milliseconds, rounded up.
+/// Returns the age of evidence in milliseconds, rounded up; [`AGE_UNKNOWN`] if there is none.
 pub fn age_millis(now: Instant, evidence: Option<Instant>) -> u16 {
     let Some(evidence) = evidence else {
         return AGE_UNKNOWN;
@@ -202,7 +204,8 @@
         .sum()
 }
 
-/// Subtracts the members that the digest counts but view `wanted` may not have.
+/// Subtracts the members that the digest may have counted although they are not in view `wanted`;
+/// returns 0 if the change log does not cover both views.
 fn subtract_nonmembers(
     log: &ChangeLog,
     digest: &ZoneDigest,
--- a/crates/rillgap-core/src/membership/exchange.rs
+++ b/crates/rillgap-core/src/membership/exchange.rs
@@ -1,7 +1,8 @@
-//! Exchange of digests: between the relays of a zone, the relays of its region and other regions.
+//! Exchange of digests between the relays of zones and regions.
 //!
-//! The relays of a zone tell those of the region what they hear. The relays of a region collect
-//! that, exchange it with one relay of each other region, and tell the relays of their zones.
+//! The relays of a zone send their digest to the relays of the region. Each relay of a region
+//! collects these digests, exchanges them with one relay of every other region, and sends the
+//! digests of all other zones to the relays of its own zones.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +17,7 @@
 use super::topology::{RegionId, ZoneId};
 
 impl Protocol {
-    /// Exchanges what is due if this node is a relay of its region, or may soon be one.
+    /// Sends the exchanges that are due if this node is a relay of its region or a standby.
     pub fn tick_region(&mut self, now: Instant, out: &mut Outbox) {
         let takes_part = self.roles.region_relay || self.roles.region_standby;
         if !takes_part || now < self.next_region_exchange {
@@ -28,14 +29,15 @@
         }
     }
 
-    /// Returns all nodes with which this one exchanges digests.
+    /// Returns all nodes with which this node exchanges digests.
     pub fn partners(&self, now: Instant) -> BTreeSet<NodeId> {
         let mut partners = self.relay_partners(now);
         partners.extend(self.region_partners(now));
         partners
     }
 
-    /// Returns the partners of a relay: the other one of its zone, and those of the region.
+    /// Returns the exchange partners of a zone relay: the other relay of its zone and the relays of
+    /// the region.
     pub fn relay_partners(&self, now: Instant) -> BTreeSet<NodeId> {
         let mut partners = BTreeSet::new();
         if self.roles.relay {
@@ -47,8 +49,9 @@
         partners
     }
 
-    /// Returns the partners of a region's relay: the relays of all zones of the region, its other
-    /// relay, and one of each other region. A substitute watches the region's relays.
+    /// Returns the exchange partners of a region relay: the relays of all zones of the region, the
+    /// other relay of the region, and one relay of each other region. The partners of a standby are
+    /// the region relays, so that it detects their failure.
     fn region_partners(&self, now: Instant) -> BTreeSet<NodeId> {
         let mut partners = BTreeSet::new();
         if self.roles.region_relay || self.roles.region_standby {
@@ -69,8 +72,9 @@
         partners
     }
 
-    /// Returns the relay of another region with which this region's relay exchanges digests: the
-    /// first of them speaks to the first, the second to the second.
+    /// Returns the relay of another region with which this region relay exchanges digests. Relays
+    /// are paired by position, the first with the first and the second with the second. A silent
+    /// relay whose retry is due takes precedence.
     pub fn counterpart(&self, now: Instant, region: RegionId) -> Option<NodeId> {
         let own = self.region_relays(now, self.identity.region).live;
         let position = own.iter().position(|node| *node == self.identity.id)?;
@@ -91,6 +95,7 @@
         partners.extend(retried.filter(|peer| self.contacts.is_retry_due(now, *peer)));
     }
 
+    /// Sends an exchange; a zone relay's list of presumed failed members goes to its zone only.
     pub fn send_exchange(&mut self, now: Instant, to: NodeId, is_reply: bool, out: &mut Outbox) {
         let presumed_failed = if self.topology.order(self.identity.zone).contains(&to) {
             self.presumed_failed(now)
@@ -112,7 +117,9 @@
         self.send(to, MembershipMessage::Exchange(Box::new(exchange)), out);
     }
 
-    /// Returns the digests for which this node speaks to another.
+    /// Returns the digests that this node sends to `to`: the own region's digests to another
+    /// region; within the region the own zone's digest, and those of all other zones if this node
+    /// is the region relay responsible for `to`.
     fn digests_for(&self, now: Instant, to: NodeId) -> Vec<ZoneDigest> {
         let Some(member) = self.view.member(to) else {
             return Vec::new();
@@ -131,7 +138,8 @@
         })
     }
 
-    /// Returns whether it is this one of the region's relays that tells `to` of other zones.
+    /// Returns whether this region relay sends the digests of other zones to `to`. Receivers are
+    /// divided among the region relays by identifier; another region relay receives them from each.
     fn is_responsible_for(&self, now: Instant, to: NodeId) -> bool {
         let relays = self.region_relays(now, self.identity.region).live;
         let count = relays.len().max(1) as u64;
@@ -146,6 +154,8 @@
             .is_some_and(|zone| zone.region == self.identity.region)
     }
 
+    /// Handles an exchange. Replies to it, unless it is a reply itself or its sender is a partner
+    /// that receives the regular exchanges of this node.
     pub fn on_exchange(
         &mut self,
         now: Now,
--- a/crates/rillgap-core/src/membership/heartbeat.rs
+++ b/crates/rillgap-core/src/membership/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of members and their acknowledgements.
+//! Sends and receives heartbeats and their acknowledgements.
 
 use std::time::Duration;
 
@@ -15,9 +15,10 @@
 };
 
 impl Protocol {
-    /// Sends the heartbeats that are due: to the relays of the zone in turn, to all of them when
-    /// there is something new to confirm, and now and then to those of higher rank that were
-    /// silent.
+    /// Sends the heartbeats that are due: to the live relays of the zone in rotation, or to all of
+    /// them when a new policy or view is to be confirmed. Silent nodes that precede the relays in
+    /// the zone's order are retried every
+    /// [`SILENT_PEER_RETRY_INTERVAL`](super::timing::SILENT_PEER_RETRY_INTERVAL).
     pub fn tick_heartbeat(&mut self, now: Instant, out: &mut Outbox) {
         let confirmed = (self.policy, self.view.version);
         let has_unsent_confirmation = confirmed != self.announced;
@@ -63,6 +64,7 @@
         self.send(relay, MembershipMessage::Heartbeat(heartbeat), out);
     }
 
+    /// Records a heartbeat and acknowledges it.
     pub fn on_heartbeat(
         &mut self,
         now: Now,
@@ -89,6 +91,7 @@
         self.compare_views(now, from, heartbeat.view, out);
     }
 
+    /// Sends an acknowledgement, with the status unless the member already has it.
     fn acknowledge(&mut self, now: Instant, to: NodeId, status_digest: u32, out: &mut Outbox) {
         let probe = self.probes.stamp(now);
         let Some(echo) = self.probes.echo(now, to) else {
@@ -117,6 +120,7 @@
         })
     }
 
+    /// Records the contact, lease and status of a relay's acknowledgement.
     pub fn on_acknowledgement(
         &mut self,
         now: Now,
@@ -124,7 +128,7 @@
         incarnation: Incarnation,
         acknowledgement: Acknowledgement,
     ) {
-        if !self.is_current_run(from, incarnation) {
+        if !self.is_current_incarnation(from, incarnation) {
             return;
         }
         let now = now.instant;
@@ -141,8 +145,9 @@
         }
     }
 
-    /// Takes over a relay's evidence. A lease for an earlier view serves as well: whoever could
-    /// activate a later view than ours needs a majority of that earlier view's members too.
+    /// Extends the own lease by a relay's evidence. A lease for an earlier view is valid too:
+    /// activating a view later than the own one also requires a majority of that earlier view's
+    /// members.
     fn record_lease(&mut self, sent_after: Instant, lease: Option<Lease>) {
         let Some(lease) = lease else {
             return;
@@ -166,7 +171,7 @@
     }
 }
 
-/// Returns a digest by which two statuses are told apart; never zero.
+/// Returns a hash that identifies the content of a status; never 0, which stands for no status.
 pub fn status_digest(status: &Status) -> u32 {
     let hash = xxhash_rust::xxh3::xxh3_64(&bitcode::encode(status));
     ((hash & u64::from(u32::MAX)) as u32).max(1)
--- a/crates/rillgap-core/src/membership/history.rs
+++ b/crates/rillgap-core/src/membership/history.rs
@@ -1,4 +1,7 @@
-//! Views that are agreed for so long that no vote under an earlier one can still be cast.
+//! History of views and the times of their activation.
+//!
+//! A view is activated once it has been agreed for longer than the vote lease, so that no vote
+//! under an earlier view can be cast any more.
 
 use std::sync::Arc;
 
@@ -8,36 +11,36 @@
 
 use super::timing::{CLOCK_DRIFT_ALLOWANCE, MAX_RETAINED_VIEWS, VIEW_RETENTION, VOTE_LEASE};
 
-/// Time that stands for "not yet activated": later than every other time.
+/// Activation time of a view that is not activated yet; later than every other time.
 pub const NOT_ACTIVATED: WallTime = WallTime::from_millis(u64::MAX);
 
-/// A view together with the moment since when this node treats it as agreed.
+/// A view and the time since when this node treats it as activated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ActivatedView {
     /// The view.
     pub view: Arc<View>,
-    /// When a majority had confirmed it for longer than the vote lease, by this host's wall
-    /// clock, or [`NOT_ACTIVATED`].
+    /// Time of activation by this host's wall clock, or [`NOT_ACTIVATED`]. By then the view had
+    /// been agreed for longer than the vote lease.
     pub activated_at: WallTime,
 }
 
 impl ActivatedView {
-    /// Returns whether the view is activated.
+    /// Returns whether this node has activated the view.
     pub fn is_activated(&self) -> bool {
         self.activated_at < NOT_ACTIVATED
     }
 }
 
-/// The views of the longest key life, activated or waiting to be.
+/// Views that may matter to keys still alive, activated or not, in ascending order.
 #[derive(Debug, Default)]
 pub struct ViewHistory {
     views: Vec<ActivatedView>,
-    /// When each of the views is activated, once it is agreed.
+    /// Activation time of each view by the monotonic clock; `None` until the view is agreed.
     activation_due: Vec<Option<Instant>>,
 }
 
 impl ViewHistory {
-    /// Creates the history of a view that is never changed.
+    /// Creates the history of a fixed view, which is activated from the beginning.
     pub fn fixed(view: Arc<View>) -> Self {
         let activated = ActivatedView {
             view,
@@ -54,7 +57,8 @@
         &self.views
     }
 
-    /// Takes in a view that came into force at this node.
+    /// Appends a view that came into force at this node, and drops the oldest one beyond
+    /// [`MAX_RETAINED_VIEWS`].
     pub fn push(&mut self, view: Arc<View>) {
         self.views.push(ActivatedView {
             view,
@@ -66,7 +70,7 @@
         }
     }
 
-    /// Takes in that joint majorities have confirmed views up to `agreed`.
+    /// Schedules the activation of all views up to `agreed`, which joint majorities have confirmed.
     pub fn mark_agreed(&mut self, now: Instant, agreed: ViewVersion) {
         let waiting = self.views.iter().zip(&mut self.activation_due);
         for (entry, due) in waiting {
@@ -76,7 +80,8 @@
         }
     }
 
-    /// Activates what is due and forgets what is too old to matter.
+    /// Activates the views that are due, and drops the oldest view if its successor was activated
+    /// more than [`VIEW_RETENTION`] ago.
     pub fn poll(&mut self, now: Now) {
         for (entry, due) in self.views.iter_mut().zip(&self.activation_due) {
             let is_due = due.is_some_and(|due| due <= now.instant);
--- a/crates/rillgap-core/src/membership/joining.rs
+++ b/crates/rillgap-core/src/membership/joining.rs
@@ -1,4 +1,9 @@
-//! How a fresh node gets into the view, and a stopping one out of it.
+//! Joining and leaving: how a starting node is added to the view and a stopping one removed.
+//!
+//! A starting node sends join requests to the seeds and to the first members of its zone. If no
+//! member answers, it accesses the store itself after a delay: the seeds one after the other in
+//! their order, other nodes later and at random times. A node whose settings name no seeds does so
+//! almost at once.
 
 use std::time::Duration;
 
@@ -16,18 +21,19 @@
 use super::protocol::Protocol;
 use super::timing::{CONTACT_TIMEOUT, MEMBERSHIP_REQUEST_INTERVAL, STORE_FALLBACK_DELAY};
 
-/// Delay between the seeds in their order, when each of them would create the first view.
+/// Delay between successive seeds before each accesses the store to create the first view.
 const SEED_STAGGER: Duration = Duration::from_millis(500);
-/// Random part of the delays.
+/// Maximum random part of the delays before store access.
 const MAX_DELAY_JITTER: Duration = Duration::from_secs(2);
-/// Time for which members of the view read from the store are asked first.
+/// Time for which a node that read the view from the store sends join requests to its members,
+/// before it adds itself.
 const SELF_ADD_DELAY: Duration = Duration::from_millis(1_500);
-/// Longest interval between two requests to join.
+/// Maximum interval between two join requests.
 const MAX_JOIN_REQUEST_INTERVAL: Duration = Duration::from_secs(4);
-/// Longest time for which peers that are joining too keep a node from the store.
+/// Maximum time for which a node postpones store access in favour of other joining nodes.
 const MAX_STORE_POSTPONEMENT: Duration = Duration::from_secs(30);
 
-/// Progress of a node that is not in the view.
+/// Join state of a node that is not in the view.
 #[derive(Debug)]
 pub(super) struct Joining {
     started: Instant,
@@ -35,13 +41,14 @@
     interval: Duration,
     target_index: usize,
     postponed_until: Option<Instant>,
-    /// When the node turns to the store itself.
+    /// Time from which on the node accesses the store itself.
     pub store_fallback_at: Instant,
-    /// Whether the node writes itself into the view, having read it from the store.
+    /// Whether the node adds itself to the view that it read from the store.
     pub adds_itself: bool,
 }
 
 impl Joining {
+    /// Creates the state of a starting node and schedules its first request and store access.
     pub fn new(now: Instant, settings: &NodeSettings, random: &mut ChaCha8Rng) -> Self {
         let rank = settings
             .seeds
@@ -64,12 +71,12 @@
         }
     }
 
-    /// Makes the next request due.
+    /// Makes the next request due at once.
     pub fn request_now(&mut self, now: Instant) {
         self.next_request = now;
     }
 
-    /// Begins anew: the node was removed from the view.
+    /// Restarts the join of a node that was removed from the view.
     pub fn restart(&mut self, now: Instant, random: &mut ChaCha8Rng) {
         self.started = now;
         self.interval = MEMBERSHIP_REQUEST_INTERVAL;
@@ -81,8 +88,8 @@
         self.next_request = now + self.interval.mul_f64(random.random_range(0.8..1.2));
     }
 
-    /// The view was read from the store: its members are asked first, then the node writes
-    /// itself into it.
+    /// Schedules the write by which the node adds itself to the view that it read from the store.
+    /// The delay leaves time for the members of that view to answer join requests.
     pub fn schedule_self_add(&mut self, now: Instant, random: &mut ChaCha8Rng) {
         if !self.adds_itself {
             self.adds_itself = true;
@@ -91,12 +98,12 @@
         }
     }
 
-    /// Returns whether somebody else keeps the node from the store.
+    /// Returns whether the node postpones store access in favour of another node.
     pub fn is_postponed(&self, now: Instant) -> bool {
         self.postponed_until.is_some_and(|until| now < until)
     }
 
-    /// Keeps the node from the store for a while: somebody else takes care.
+    /// Postpones store access, because another node writes the view.
     fn postpone_store(&mut self, now: Instant, random: &mut ChaCha8Rng) {
         let delay = STORE_FALLBACK_DELAY + random.random_range(Duration::ZERO..MAX_DELAY_JITTER);
         self.store_fallback_at = self.store_fallback_at.max(now + delay);
@@ -106,12 +113,14 @@
 }
 
 impl Protocol {
-    /// Returns whether this node wants to be in the view and is not.
+    /// Returns whether this node is not in the view, is not leaving, and was not superseded by a
+    /// later incarnation.
     pub fn should_join(&self) -> bool {
         !self.is_member() && !self.superseded && self.leaving_since.is_none()
     }
 
-    /// Asks peers to be added to the view or, having lost touch, for the view in force.
+    /// Sends a join request if one is due. A member that has lost contact with its zone sends one,
+    /// too, to receive the view in force.
     pub fn tick_joining(&mut self, now: Instant, out: &mut Outbox) {
         let has_lost_contact = self.is_member()
             && !self.has_recent_contact(now)
@@ -134,7 +143,8 @@
         });
     }
 
-    /// Returns the next of the seeds and of the first members of the own zone, in turn.
+    /// Returns the next target of a join request, in rotation over the seeds and the first four
+    /// members of the own zone.
     fn next_join_target(&mut self) -> Option<(NodeId, std::net::SocketAddr)> {
         let id = self.identity.id;
         let seeds = self
@@ -155,7 +165,8 @@
         targets.get(self.joining.target_index % count).copied()
     }
 
-    /// Handles the request of a node that wants to be in the view.
+    /// Handles a join request: replies with the changes of the view and submits the join. A node
+    /// that is not a member itself only replies that it is joining, too.
     pub fn on_join(&mut self, now: Instant, member: Member, known: ViewVersion, out: &mut Outbox) {
         if !self.is_member() {
             self.send_to(&member, self.also_joining_reply(now), out);
@@ -167,13 +178,14 @@
             self.updates_since(known)
         };
         self.send_to(&member, update, out);
-        if !self.is_current_run(member.id(), member.incarnation) {
+        if !self.is_current_incarnation(member.id(), member.incarnation) {
             self.submit(now, vec![member], Vec::new(), out);
         }
     }
 
-    /// Returns whether a message among members counts: this node is a member, and the sender's
-    /// run is the one that the view names. A node that is still joining says so in reply.
+    /// Returns whether to process a message between members: this node is a member, and the
+    /// sender's incarnation is the one in the view. A node that is not a member replies that it is
+    /// joining.
     pub fn accepts_from(
         &mut self,
         now: Instant,
@@ -186,10 +198,10 @@
             self.send(from, message, out);
             return false;
         }
-        self.is_current_run(from, incarnation)
+        self.is_current_incarnation(from, incarnation)
     }
 
-    /// Returns the reply to a peer that is joining too.
+    /// Returns the reply by which this node states that it is joining itself.
     pub fn also_joining_reply(&self, now: Instant) -> MembershipMessage {
         let accesses_store = self.is_seed() || !self.joining.is_postponed(now);
         MembershipMessage::AlsoJoining { accesses_store }
@@ -201,8 +213,9 @@
             .any(|seed| seed.name == self.identity.member.name)
     }
 
-    /// Takes in that a peer is joining too: a node that is no seed waits for one that goes ahead
-    /// and for one with a lower identifier, which may go ahead.
+    /// Handles the reply of a peer that is joining, too. A node that is not a seed postpones its
+    /// store access in favour of a seed that accesses the store and of a peer with a lower
+    /// identifier, for [`MAX_STORE_POSTPONEMENT`] since it started to join.
     pub fn on_also_joining(&mut self, now: Instant, from: NodeId, accesses_store: bool) {
         let may_postpone = now.saturating_since(self.joining.started) < MAX_STORE_POSTPONEMENT;
         let is_first = from < self.identity.id;
@@ -214,7 +227,8 @@
         }
     }
 
-    /// Takes in that a member answered: it will see to the join, however long that takes.
+    /// Handles a member's answer to a join request. That member submits the join, so this node
+    /// postpones its store access and doubles the interval between requests.
     pub fn on_join_answered(&mut self, now: Instant) {
         if self.should_join() {
             self.joining.postpone_store(now, &mut self.random);
@@ -222,7 +236,7 @@
         }
     }
 
-    /// Asks a store reader to take this node out of the view.
+    /// Requests the removal of this node from the view while it is leaving.
     pub fn tick_leaving(&mut self, now: Instant, out: &mut Outbox) {
         let is_due = self.leaving_since.is_some() && now >= self.joining.next_request;
         if !is_due || !self.is_member() {
--- a/crates/rillgap-core/src/membership/message.rs
+++ b/crates/rillgap-core/src/membership/message.rs
@@ -8,29 +8,29 @@
 use super::change::{Removal, StoredView, ViewChange};
 use super::topology::ZoneId;
 
-/// Proves that the sender received a certain message of the receiver, and how long ago.
+/// Acknowledges a message of the receiver and states how long the sender has held it.
 ///
-/// The receiver dates it by its own clock; no two clocks are compared.
+/// The receiver dates the echo by its own clock, so the clocks of two hosts are never compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Echo {
-    /// Number of the receiver's message.
+    /// Probe number of the receiver's message.
     pub probe: u32,
-    /// Microseconds from its receipt to the sending of this one.
+    /// Microseconds between the receipt of that message and the sending of this one.
     pub held_micros: u32,
 }
 
-/// A member's sign of life to a relay of its zone.
+/// Heartbeat of a member to a relay of its zone.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Heartbeat {
     /// Number of this message.
     pub probe: u32,
-    /// Last acknowledgement of the receiver.
+    /// Echo of the last acknowledgement of the receiver; `None` if there was none.
     pub echo: Option<Echo>,
     /// View in force at the sender.
     pub view: ViewVersion,
     /// Policy in force at the sender.
     pub policy: PolicyVersion,
-    /// Digest of the last status that the receiver sent.
+    /// Hash of the last status received from the receiver; 0 if there was none.
     pub status_digest: u32,
 }
 
@@ -39,160 +39,163 @@
 pub struct Acknowledgement {
     /// Number of this message.
     pub probe: u32,
-    /// The heartbeat.
+    /// Echo of the heartbeat.
     pub echo: Echo,
-    /// What the receiver may base its votes on.
+    /// Evidence on which the receiver may vote; `None` if the relay has none.
     pub lease: Option<Lease>,
-    /// Status, if it is not the one that the receiver has.
+    /// Present status of the deployment; `None` if the heartbeat's `status_digest` matches it.
     pub status: Option<Box<Status>>,
 }
 
 /// Evidence that a majority of a view's members had confirmed no later view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Lease {
-    /// The view.
+    /// View to which the evidence refers.
     pub view: ViewVersion,
-    /// Age of the evidence at the time of sending, in milliseconds, rounded up.
+    /// Age of the evidence at the time of sending, in milliseconds, rounded up; `u16::MAX` if
+    /// unknown.
     pub age_millis: u16,
 }
 
-/// What a relay knows of the deployment, sent to members when it changes.
+/// State of the deployment as known to a relay, sent to members when it changes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Status {
     /// View in force at the relay.
     pub view: ViewVersion,
     /// Latest view that joint majorities have confirmed.
     pub agreed: ViewVersion,
-    /// Highest policy version heard of.
+    /// Highest known policy version.
     pub policy: PolicyVersion,
-    /// A node that has this version.
+    /// Node that has this policy version.
     pub holder: NodeId,
-    /// Members not known to have confirmed this version.
+    /// Number of members that are not known to have confirmed this policy version.
     pub unconfirmed: u32,
-    /// Some of them.
+    /// Some of the members that are not known to have confirmed it.
     pub lagging: Vec<NodeId>,
-    /// Some of the members that miss heartbeats.
+    /// Some of the members whose heartbeats are missing.
     pub suspects: Vec<NodeId>,
-    /// Zones of which nothing is heard.
+    /// Zones of which no recent digest was received.
     pub silent_zones: Vec<ZoneId>,
     /// Members that the machine list marks as leaving.
     pub leaving: Vec<NodeId>,
 }
 
-/// Number of members at one version.
+/// Number of members that have confirmed one version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct VersionCount {
-    /// The version, of the view or of the policy.
+    /// Version of the view or of the policy.
     pub version: u64,
     /// Number of members that have confirmed it.
     pub members: u16,
 }
 
-/// What a relay hears of the members of its zone.
+/// Summary of the heartbeats that a relay has received from the members of its zone.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ZoneDigest {
-    /// The zone.
+    /// Zone of the relay.
     pub zone: ZoneId,
-    /// Position of the relay in the zone's order, which tells digests of two relays apart.
+    /// Position of the relay in the zone's order; distinguishes the digests of the zone's relays.
     pub rank: u16,
     /// View whose members are counted.
     pub view: ViewVersion,
-    /// Age of the oldest heartbeat that is counted, in milliseconds, rounded up.
+    /// Age of the oldest heartbeat counted in `views`, in milliseconds, rounded up; `u16::MAX` if
+    /// unknown.
     pub age_millis: u16,
-    /// Counts by confirmed view.
+    /// Members by confirmed view; only recent heartbeats are counted.
     pub views: Vec<VersionCount>,
-    /// Counts by confirmed policy.
+    /// Members by confirmed policy version.
     pub policies: Vec<VersionCount>,
-    /// Some of the members that miss heartbeats.
+    /// Some of the members whose heartbeats are missing.
     pub silent: Vec<NodeId>,
-    /// Some of the members that are behind the highest policy version of the zone.
+    /// Some of the members that have not confirmed the highest policy version in the zone.
     pub lagging: Vec<NodeId>,
 }
 
-/// What two relays tell each other.
+/// Exchange of digests between two relays.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Exchange {
     /// Number of this message.
     pub probe: u32,
-    /// Last exchange of the receiver.
+    /// Echo of the last exchange of the receiver; `None` if there was none.
     pub echo: Option<Echo>,
-    /// Whether this is a mere reply, which is not replied to.
+    /// Whether this is a reply; replies are not answered.
     pub is_reply: bool,
     /// View in force at the sender.
     pub view: ViewVersion,
-    /// Latest view that joint majorities have confirmed, as the sender knows.
+    /// Latest view that joint majorities have confirmed, as known to the sender.
     pub agreed: ViewVersion,
     /// Policy in force at the sender.
     pub policy: PolicyVersion,
-    /// Digests of the zones for which the sender speaks to the receiver.
+    /// Digests of the zones that the sender reports to the receiver.
     pub digests: Vec<ZoneDigest>,
-    /// Members of the common zone that have been silent long enough to be removed.
+    /// Members of the common zone that have been silent for the removal timeout; empty if the
+    /// receiver is in another zone.
     pub presumed_failed: Vec<NodeId>,
-    /// Members that the machine list marks as leaving, if the sender reads it.
+    /// Some of the members that the machine list marks as leaving, as known to the sender.
     pub leaving: Vec<NodeId>,
 }
 
-/// Why a member shall be removed.
+/// Reason for the removal of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum RemovalCause {
-    /// It has stopped as planned.
+    /// Planned stop of the node.
     Left,
-    /// The relays of its zone do not hear it.
+    /// The relays of the zone have received no heartbeat for the removal timeout.
     Silent,
-    /// It has been silent for long; to be removed only if the machine list omits it.
+    /// Silent for a long time; the member is removed only if the machine list omits it.
     Unlisted,
 }
 
-/// A removal that a relay asks for.
+/// Request to remove a member, sent by the member itself or by a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RemovalRequest {
-    /// Who shall be removed.
+    /// Member to remove.
     pub removal: Removal,
-    /// Why.
+    /// Reason for the removal.
     pub cause: RemovalCause,
 }
 
-/// Changes that a store reader is asked to write.
+/// Changes of the view for a store reader to write.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Proposal {
-    /// Nodes that want to join.
+    /// Nodes to add.
     pub joins: Vec<Member>,
-    /// Members to be removed.
+    /// Members to remove.
     pub removals: Vec<RemovalRequest>,
-    /// How often it was handed on.
+    /// Number of times that the proposal was forwarded.
     pub hops: u8,
 }
 
-/// Messages about membership.
+/// Message of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum MembershipMessage {
-    /// Sign of life of a member.
+    /// Heartbeat of a member to a relay.
     Heartbeat(Heartbeat),
-    /// Reply to a heartbeat.
+    /// Reply of a relay to a heartbeat.
     Acknowledgement(Box<Acknowledgement>),
-    /// Digests between relays.
+    /// Exchange of digests between relays.
     Exchange(Box<Exchange>),
-    /// Asks for whatever is newer than this view.
+    /// Request for the changes after a view.
     ViewRequest {
         /// View in force at the sender.
         known: ViewVersion,
     },
     /// Successive changes of the view.
     Changes(Vec<ViewChange>),
-    /// A whole view, where changes do not suffice.
+    /// A whole view, sent if the changes since the receiver's view are not available.
     FullView(Box<StoredView>),
-    /// A fresh node asks to be added.
+    /// Request of a node to be added to the view.
     Join {
-        /// The node.
+        /// Node to add.
         member: Member,
-        /// View that it knows, or zero.
+        /// Version of the view that the node has; 0 if it has none.
         known: ViewVersion,
     },
-    /// Reply of a node that is itself still joining: the sender of the join is not alone.
+    /// Reply of a node that is not a member: it is joining, too.
     AlsoJoining {
-        /// Whether the node will turn to the store itself.
+        /// Whether the node will access the store itself, rather than wait for another node.
         accesses_store: bool,
     },
-    /// Changes for a store reader to write.
+    /// Changes of the view for a store reader to write.
     Propose(Proposal),
 }
--- a/crates/rillgap-core/src/membership/mod.rs
+++ b/crates/rillgap-core/src/membership/mod.rs
@@ -1,10 +1,10 @@
 //! Membership: agreed views, heartbeats, failure detection and the right to serve and vote.
 //!
-//! Nobody is in charge. The view is one object in the platform's store, changed by
-//! compare-and-set. The first two live members of each zone, in an order that follows from the
-//! view, are its relays: they take the heartbeats of the zone's members. Two members of each
-//! region, chosen alike, collect digests of its zones, exchange them with other regions, and read
-//! and write the store. See `docs/design/membership.md`.
+//! There is no coordinator. The view is one object in the platform's store, changed by
+//! compare-and-set. The first two live members of each zone, in an order derived from the view, are
+//! its relays: they receive the heartbeats of the zone's members. Two members of each region,
+//! selected in the same way, collect the digests of its zones, exchange them with other regions,
+//! and read and write the store. See `docs/design/membership.md`.
 
 mod agreement;
 mod change;
@@ -50,16 +50,16 @@
 use history::ViewHistory;
 use protocol::Protocol;
 
-/// Members that are not known to have confirmed a policy version.
+/// Members that are not known to have confirmed a policy version, for use by other modules.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Unconfirmed {
-    /// Number of such members.
+    /// Number of members that have not confirmed the version.
     pub missing: u32,
-    /// Names of some of them, at most [`crate::operator::MAX_NAMED_NODES`].
+    /// Names of some of these members, at most [`crate::operator::MAX_NAMED_NODES`].
     pub nodes: Vec<NodeName>,
 }
 
-/// A view from the settings that never changes.
+/// State of a node whose view comes from the settings and never changes.
 #[derive(Debug)]
 struct FixedView {
     view: Arc<View>,
@@ -80,9 +80,9 @@
 }
 
 impl Membership {
-    /// Creates the membership of a fresh node.
+    /// Creates the membership of a starting node.
     ///
-    /// With a view in the settings and no seeds, that view stands for ever.
+    /// If the settings contain a view and no seeds, that view never changes.
     pub fn new(now: Now, settings: &NodeSettings) -> Self {
         let fixed = settings
             .initial_view
@@ -115,9 +115,12 @@
         self.view().member(node).map(|member| member.mesh_address)
     }
 
-    /// Returns the mesh address at which messages about requests that are under way reach a node: that of the latest view which
-    /// has it. Were they dropped while a node is in no view, it would wait for the rest of its answers until their time is
-    /// over; a link that is lost ends them at both ends.
+    /// Returns the mesh address for messages about requests in flight, from the latest view that
+    /// contains the node.
+    ///
+    /// A node may be outside the view for a short time while its requests go on. If messages to it
+    /// were dropped then, it would wait for the rest of its answers until they time out. The loss
+    /// of a link, in contrast, ends the requests at both ends.
     pub fn answer_address(&self, node: NodeId) -> Option<SocketAddr> {
         let views = self.view_history().iter().rev();
         let mut members = views.filter_map(|known| known.view.member(node));
@@ -125,7 +128,8 @@
         self.address(node).or(earlier)
     }
 
-    /// Returns whether this node may serve requests: a member, in touch, not just thawed.
+    /// Returns whether this node may serve requests: it is a member that is not leaving, has a
+    /// recent contact with its zone, and has been polled recently, which rules out a process pause.
     pub fn may_serve(&self, now: Now) -> bool {
         match &self.mode {
             Mode::Fixed(_) => true,
@@ -133,8 +137,8 @@
         }
     }
 
-    /// Returns whether this node may vote on claims: a majority of the members of its view is
-    /// known, by evidence no older than the vote lease, to have confirmed no later view.
+    /// Returns whether this node may vote on claims: by evidence no older than the vote lease, a
+    /// majority of the members of its view has confirmed no later view.
     pub fn may_vote(&self, now: Now) -> bool {
         match &self.mode {
             Mode::Fixed(_) => true,
@@ -142,12 +146,12 @@
         }
     }
 
-    /// Returns the views of the longest key life, the latest last. Those that are not activated
-    /// yet carry [`NOT_ACTIVATED`].
+    /// Returns the views within the longest lifetime of a key, the latest last. Views that are not
+    /// activated yet have the time [`NOT_ACTIVATED`].
     ///
-    /// While one node treats a view as activated, no node votes under an earlier one. A replica
-    /// must vote only if it belongs to the replica group of the key in [`Self::view`] and in all
-    /// views back to the one that was activated when the key was first used.
+    /// Once any node treats a view as activated, no node votes under an earlier one. A replica must
+    /// vote only if it belongs to the replica group of the key in [`Self::view`] and in all views
+    /// back to the one that was activated when the key was first used.
     pub fn view_history(&self) -> &[ActivatedView] {
         match &self.mode {
             Mode::Fixed(fixed) => fixed.history.views(),
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Returns whether a member was heard from lately, directly or by way of a relay.
+    /// Returns whether a member counts as reachable, by the status of a relay.
     pub fn is_reachable(&self, node: NodeId) -> bool {
         match &self.mode {
             Mode::Fixed(fixed) => fixed.view.member(node).is_some(),
@@ -163,7 +167,8 @@
         }
     }
 
-    /// Tells which policy version is in force at this node; it is confirmed to others.
+    /// Records the policy version in force at this node, which the node confirms to others. Earlier
+    /// versions than the recorded one are ignored.
     pub fn set_policy_version(&mut self, version: PolicyVersion) {
         let policy = match &mut self.mode {
             Mode::Fixed(fixed) => &mut fixed.policy,
@@ -172,7 +177,7 @@
         *policy = version.max(*policy);
     }
 
-    /// Returns the highest policy version that was heard of and a node that has it.
+    /// Returns the highest known policy version and a node that has it.
     pub fn best_known_policy(&self) -> Option<(PolicyVersion, NodeId)> {
         match &self.mode {
             Mode::Fixed(_) => None,
@@ -180,8 +185,8 @@
         }
     }
 
-    /// Returns the members that are not known, by fresh evidence, to have confirmed `version`
-    /// or a later one in their current run.
+    /// Returns the members that are not known, by recent evidence, to have confirmed `version` or a
+    /// later one in their current incarnation.
     pub fn unconfirmed(&self, version: PolicyVersion) -> Unconfirmed {
         match &self.mode {
             Mode::Fixed(_) => Unconfirmed::default(),
@@ -189,10 +194,10 @@
         }
     }
 
-    /// Returns the nodes to which this node passes news on, such as a new policy.
+    /// Returns the nodes to which this node forwards updates, for example a new policy.
     ///
-    /// Relays of a region pass news to the relays of its zones and to other regions, relays of a
-    /// zone to its members and to the relays of the region, all others to the relays of the zone.
+    /// Region relays forward to the relays of their zones and to other regions, zone relays to the
+    /// members of the zone and to the region relays, all other members to the zone relays.
     pub fn spread_targets(&self) -> Vec<NodeId> {
         match &self.mode {
             Mode::Fixed(_) => Vec::new(),
@@ -200,7 +205,7 @@
         }
     }
 
-    /// Returns whether this node is one of the few of its region that watch the store.
+    /// Returns whether this node is a region relay, which watches the store for its region.
     pub fn is_store_reader(&self) -> bool {
         match &self.mode {
             Mode::Fixed(_) => false,
@@ -216,7 +221,7 @@
         }
     }
 
-    /// Returns the status of every member as this node sees it.
+    /// Returns the status of every member as known to this node.
     pub fn member_status(&self) -> Vec<MemberStatus> {
         match &self.mode {
             Mode::Fixed(fixed) => fixed.member_status(),
@@ -224,7 +229,7 @@
         }
     }
 
-    /// Handles a message of a peer.
+    /// Handles a membership message of a peer.
     pub fn on_message(
         &mut self,
         now: Now,
@@ -238,8 +243,8 @@
         }
     }
 
-    /// Handles a reply of the store (identifiers with the top bit clear are membership's, those
-    /// with the top bit set configuration's); returns whether the request was one of membership's.
+    /// Handles a reply of the store and returns whether its request belongs to membership.
+    /// Identifiers of membership have the top bit clear, those of configuration have it set.
     pub fn on_store(
         &mut self,
         now: Now,
@@ -253,8 +258,8 @@
         }
     }
 
-    /// Returns what the platform's machine list last said: all of it at a store reader, the
-    /// machines that are leaving at other nodes.
+    /// Returns the last known machine list of the platform: the whole list at a store reader, only
+    /// the machines that are leaving at other nodes.
     pub fn machines(&self) -> &[Machine] {
         match &self.mode {
             Mode::Fixed(_) => &[],
@@ -262,7 +267,7 @@
         }
     }
 
-    /// Does what is due: heartbeats, suspicion, proposals of views.
+    /// Performs the work that is due: heartbeats, exchanges, failure detection, store requests.
     pub fn poll(&mut self, now: Now, out: &mut Outbox) {
         if let Mode::Active(protocol) = &mut self.mode {
             protocol.poll(now, out);
@@ -277,14 +282,14 @@
         }
     }
 
-    /// Begins to leave the view; [`Self::has_left`] tells when it is done.
+    /// Starts to leave the view; [`Self::has_left`] returns whether that is done.
     pub fn leave(&mut self, now: Now, _out: &mut Outbox) {
         if let Mode::Active(protocol) = &mut self.mode {
             protocol.leave(now.instant);
         }
     }
 
-    /// Returns whether this node has left the view, or has tried for long enough.
+    /// Returns whether this node has left the view or the attempt has timed out.
     pub fn has_left(&self) -> bool {
         match &self.mode {
             Mode::Fixed(_) => true,
--- a/crates/rillgap-core/src/membership/probe.rs
+++ b/crates/rillgap-core/src/membership/probe.rs
@@ -1,9 +1,9 @@
-//! Numbered messages and their echoes, which date what a peer says by the own clock.
+//! Numbers outgoing messages and uses their echoes to date a peer's messages by the local clock.
 //!
-//! A peer that echoes a message has sent its own message after that one was sent. So the time
-//! at which the echoed message was sent, plus the time for which the peer held it, is never
-//! later than the time at which the peer spoke. However long the peer's message was under way,
-//! what it says is never taken for younger than it is.
+//! A peer sends an echo after it has received the echoed message. The time at which the echoed
+//! message was sent, plus the time for which the peer held it, is therefore a lower bound on the
+//! time at which the peer sent its own message. With this bound, information from a peer is never
+//! considered more recent than it is, no matter how long its message was in flight.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use super::message::Echo;
 use super::timing::TICK;
 
-/// Ticks for which numbers are remembered.
+/// Number of sent probes that are kept, one per tick; echoes of earlier ones cannot be dated.
 const MAX_SENT_PROBES: usize = 80;
 
-/// Numbers outgoing messages and dates their echoes.
+/// Probe numbers of outgoing messages and the last number received from each peer.
 ///
-/// All messages of one tick share a number, dated at the beginning of the tick.
+/// All messages of one tick share a number and its time, that of the first of them.
 #[derive(Debug)]
 pub struct ProbeClock {
     next: u32,
@@ -28,7 +28,8 @@
 }
 
 impl ProbeClock {
-    /// Creates a clock whose numbers begin at an arbitrary one.
+    /// Creates a clock whose first number is `first`. A random one keeps the numbers of two
+    /// incarnations of a node distinct.
     pub fn new(first: u32) -> Self {
         Self {
             next: first,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Returns the number for a message that is sent now.
+    /// Returns the probe number for a message that is sent now.
     pub fn stamp(&mut self, now: Instant) -> u32 {
         if let Some(&(probe, at)) = self.sent.back()
             && now.saturating_since(at) < TICK / 2
@@ -53,12 +54,12 @@
         probe
     }
 
-    /// Records the number of a peer's message, to be echoed.
+    /// Records the probe number of a peer's message for the next echo.
     pub fn received(&mut self, now: Instant, peer: NodeId, probe: u32) {
         self.received.insert(peer, (probe, now));
     }
 
-    /// Returns the echo of a peer's last message.
+    /// Returns the echo of a peer's last message; `None` if none was received.
     pub fn echo(&self, now: Instant, peer: NodeId) -> Option<Echo> {
         let (probe, at) = *self.received.get(&peer)?;
         let held = micros(now.saturating_since(at));
@@ -68,8 +69,8 @@
         })
     }
 
-    /// Returns a time, by the own clock, at which the sender of `echo` cannot yet have spoken
-    /// later; `None` if the echoed message is too old or of another run.
+    /// Returns a lower bound, by the local clock, on the time at which `echo` was sent; `None` if
+    /// the echoed message is no longer kept or belongs to another incarnation.
     pub fn date(&self, now: Instant, echo: Echo) -> Option<Instant> {
         let (_, sent) = self
             .sent
@@ -80,13 +81,13 @@
         Some(sent_after.min(now))
     }
 
-    /// Forgets all messages: nothing sent or received before counts any more.
+    /// Drops all sent and received numbers, so that earlier messages can no longer be dated.
     pub fn reset(&mut self) {
         self.sent.clear();
         self.received.clear();
     }
 
-    /// Forgets the messages of peers that `keep` does not name.
+    /// Drops the received numbers of the peers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(NodeId) -> bool) {
         self.received.retain(|peer, _| keep(*peer));
     }
--- a/crates/rillgap-core/src/membership/proposal.rs
+++ b/crates/rillgap-core/src/membership/proposal.rs
@@ -1,4 +1,4 @@
-//! Changes that wait to be written to the store.
+//! Proposed joins and removals: forwards them to a store reader, which batches and writes them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 use super::timing::{BATCH_INTERVAL, FALLBACK_BATCH_INTERVAL, MAX_HOPS};
 use super::topology::ZoneId;
 
-/// Time after which a proposal that nobody repeats is dropped.
+/// Time after which a proposal that is not repeated is dropped.
 const PROPOSAL_LIFETIME: Duration = Duration::from_secs(15);
-/// Share of the members that one change may remove for silence: one in this many.
+/// One change removes at most one in this many members, but at least one, for silence.
 const SILENT_REMOVAL_DIVISOR: usize = 10;
 
 #[derive(Debug)]
@@ -26,17 +26,18 @@
     refreshed_at: Instant,
 }
 
-/// Joins and removals that this node, as a store reader, was asked to write.
+/// Joins and removals that this node is to write to the store.
 #[derive(Debug, Default)]
 pub(super) struct Proposals {
     joins: BTreeMap<NodeId, Pending<Member>>,
     removals: BTreeMap<NodeId, Pending<RemovalRequest>>,
-    /// When the first of them came in.
+    /// Start of the current batch: receipt of its first proposal, or the last write; `None` if
+    /// there are no proposals.
     pub pending_since: Option<Instant>,
 }
 
 impl Proposals {
-    /// Takes in a join.
+    /// Records or refreshes a join.
     pub fn join(&mut self, now: Instant, member: Member) {
         self.pending_since.get_or_insert(now);
         let pending = Pending {
@@ -46,7 +47,7 @@
         self.joins.insert(pending.change.id(), pending);
     }
 
-    /// Takes in a removal.
+    /// Records or refreshes a removal.
     pub fn remove(&mut self, now: Instant, request: RemovalRequest) {
         self.pending_since.get_or_insert(now);
         let pending = Pending {
@@ -56,13 +57,13 @@
         self.removals.insert(request.removal.node, pending);
     }
 
-    /// Returns whether something has waited for an interval.
+    /// Returns whether the current batch has been open for `interval`.
     pub fn is_due(&self, now: Instant, interval: Duration) -> bool {
         self.pending_since
             .is_some_and(|since| now.saturating_since(since) >= interval)
     }
 
-    /// Drops what the view already fulfils and what nobody has repeated for long.
+    /// Drops the proposals that the view already contains and those that have expired.
     pub fn prune(&mut self, now: Instant, view: &View) {
         let is_alive =
             |refreshed_at: Instant| now.saturating_since(refreshed_at) <= PROPOSAL_LIFETIME;
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Makes the change that fulfils as much as one change may; `None` if there is nothing.
+    /// Combines the proposals into the next change of the view, within the limits for removals;
+    /// returns `None` if there is nothing to change.
     pub fn to_change(&self, view: &View, machines: Option<&[Machine]>) -> Option<ViewChange> {
         let added: Vec<Member> = self
             .joins
@@ -136,7 +138,7 @@
 }
 
 impl Protocol {
-    /// Keeps changes to be written, if this node is a store reader; else hands them on.
+    /// Submits new proposals: a store reader keeps them to write them, another node forwards them.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -152,7 +154,7 @@
         self.on_propose(now, proposal, out);
     }
 
-    /// Handles changes that were proposed here.
+    /// Handles a proposal of this node or of a peer.
     pub fn on_propose(&mut self, now: Instant, proposal: Proposal, out: &mut Outbox) {
         if proposal.joins.is_empty() && proposal.removals.is_empty() {
             return;
@@ -170,8 +172,8 @@
         }
     }
 
-    /// Returns the relay of the first region that answers, if it is another region: it writes for
-    /// all, so that the regions do not get in each other's way.
+    /// Returns the relay of the first responding region, unless that is the own region. It writes
+    /// the changes of all regions, which avoids conflicting writes.
     fn preferred_writer(&self, now: Instant) -> Option<NodeId> {
         self.topology
             .regions
@@ -190,7 +192,8 @@
         }
     }
 
-    /// Returns how long changes wait for company here; longer where another region writes them.
+    /// Returns the time for which this node collects changes before it writes them. It is longer if
+    /// another region is to write them, as this node then writes only what that one has not.
     pub fn batch_interval(&self, now: Instant) -> Duration {
         if self.preferred_writer(now).is_some() {
             FALLBACK_BATCH_INTERVAL
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Hands a proposal on: members to a relay of their zone, relays to a region relay.
+    /// Forwards a proposal: a relay to a region relay, another member to a relay of its zone.
     fn forward(&self, now: Instant, mut proposal: Proposal, out: &mut Outbox) {
         proposal.hops += 1;
         let relays = if self.roles.relay {
--- a/crates/rillgap-core/src/membership/protocol.rs
+++ b/crates/rillgap-core/src/membership/protocol.rs
@@ -1,4 +1,4 @@
-//! Membership of a running node: its state and its clockwork.
+//! State of the membership protocol at one node, its periodic work and the dispatch of messages.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,11 +26,11 @@
 use super::store_client::StoreClient;
 use super::timing::{
     CONTACT_TIMEOUT, LEAVE_TIMEOUT, POLICY_PROPAGATION_TIME, PROCESS_PAUSE_THRESHOLD,
-    REGION_STANDBYS, RELAYS_PER_GROUP, TICK, VOTE_LEASE,
+    REGION_RELAYS_AND_STANDBYS, RELAYS_PER_GROUP, TICK, VOTE_LEASE,
 };
 use super::topology::{RegionId, Topology, ZoneId};
 
-/// Who this node is.
+/// Identity of this node.
 #[derive(Clone, Debug)]
 pub(super) struct Identity {
     pub id: NodeId,
@@ -39,19 +39,20 @@
     pub region: RegionId,
 }
 
-/// Roles that this node has at present; they follow from the view and from who answers.
+/// Present roles of this node, derived from the view and from which peers answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Roles {
-    /// Among the first live members of its zone: takes heartbeats.
+    /// Among the first live members of its zone: receives the heartbeats of the zone.
     pub relay: bool,
     /// Among the first live members of its region's order: collects the digests of its zones,
-    /// speaks to other regions and to the store.
+    /// exchanges them with other regions, and reads and writes the store.
     pub region_relay: bool,
-    /// Next in the region's order, and watches whether the region's relays live.
+    /// Near the head of the region's order but not a region relay: detects the failure of the
+    /// region relays in order to replace them.
     pub region_standby: bool,
 }
 
-/// The highest policy version heard of.
+/// Highest known policy version, a node that has it, and when it became known.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KnownPolicy {
     pub version: PolicyVersion,
@@ -59,22 +60,24 @@
     pub since: Instant,
 }
 
-/// A status as received.
+/// Status received from a relay.
 #[derive(Clone, Debug)]
 pub(super) struct ReceivedStatus {
     pub status: Status,
+    /// Hash of the status, by which the relay recognizes whether it has changed.
     pub digest: u32,
+    /// Last time at which the relay sent or confirmed this status.
     pub confirmed_at: Instant,
 }
 
-/// Members whom another relay of the zone wants removed.
+/// Members that another relay of the zone presumes failed.
 #[derive(Clone, Debug)]
 pub(super) struct FailureReport {
     pub nodes: Vec<NodeId>,
     pub at: Instant,
 }
 
-/// Membership of a running node.
+/// State of the membership protocol at one node.
 #[derive(Debug)]
 pub(super) struct Protocol {
     pub identity: Identity,
@@ -84,7 +87,9 @@
     pub topology: Topology,
     pub log: ChangeLog,
     pub history: ViewHistory,
+    /// Latest view that joint majorities have confirmed.
     pub agreed: ViewVersion,
+    /// Policy version in force at this node.
     pub policy: PolicyVersion,
     pub best_policy: Option<KnownPolicy>,
     pub roles: Roles,
@@ -92,23 +97,27 @@
     pub contacts: Contacts,
     pub detector: Detector,
     pub digests: DigestTable,
+    /// Status that this relay sends to members, with its hash; `None` at other nodes.
     pub own_status: Option<(Box<Status>, u32)>,
     pub statuses: BTreeMap<NodeId, ReceivedStatus>,
     pub failure_reports: BTreeMap<NodeId, FailureReport>,
-    /// Time at which, at the latest, the evidence was given on which this node votes.
+    /// Lower bound on the time of the evidence on which this node votes.
     pub lease: Option<Instant>,
-    /// Latest time of a message that the own zone is known to have received.
+    /// Lower bound on the time of the last message from the own zone that echoes one of this node,
+    /// which proves that the zone receives this node's messages.
     pub zone_contact: Option<Instant>,
-    /// The same for relays of other zones.
+    /// Counterpart of `zone_contact` for relays of other zones.
     pub other_contact: Option<Instant>,
     pub joining: Joining,
     pub proposals: Proposals,
     pub store: StoreClient,
     pub leaving_since: Option<Instant>,
-    /// Whether a later run of this node was seen in the view: it must never join again.
+    /// Whether the view has contained a later incarnation of this node, after which this one must
+    /// not join again.
     pub superseded: bool,
+    /// Whether any view has contained this incarnation.
     pub was_ever_member: bool,
-    /// Whether the view holds this run; kept because it is asked at every step.
+    /// Whether the view contains this incarnation; cached because every step needs it.
     is_member: bool,
     pub last_poll: Instant,
     pub next_tick: Instant,
@@ -117,11 +126,12 @@
     pub next_region_exchange: Instant,
     pub last_view_request: Option<Instant>,
     pub next_relay_index: usize,
-    /// Policy and view that the last heartbeats to all relays have confirmed.
+    /// Policy and view that were confirmed in the last heartbeats.
     pub announced: (PolicyVersion, ViewVersion),
 }
 
 impl Protocol {
+    /// Creates the state of a starting node.
     pub fn new(now: Now, settings: &NodeSettings) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(settings.random_seed ^ settings.incarnation.0);
         let identity = Identity {
@@ -181,23 +191,25 @@
         protocol
     }
 
-    /// Returns whether the view holds this run of this node.
+    /// Returns whether the view contains this incarnation of this node.
     pub fn is_member(&self) -> bool {
         self.is_member
     }
 
-    /// Looks up whether the view holds this run of this node.
+    /// Updates the cached result of [`Self::is_member`]; called after each change of the view.
     pub fn update_is_member(&mut self) {
-        self.is_member = self.is_current_run(self.identity.id, self.identity.member.incarnation);
+        self.is_member =
+            self.is_current_incarnation(self.identity.id, self.identity.member.incarnation);
     }
 
-    /// Returns whether the view holds a certain run of a node.
-    pub fn is_current_run(&self, node: NodeId, incarnation: Incarnation) -> bool {
+    /// Returns whether the view contains the given incarnation of a node.
+    pub fn is_current_incarnation(&self, node: NodeId, incarnation: Incarnation) -> bool {
         self.view
             .member(node)
             .is_some_and(|member| member.incarnation == incarnation)
     }
 
+    /// Performs the periodic work once per [`TICK`].
     pub fn poll(&mut self, now: Now, out: &mut Outbox) {
         self.detect_process_pause(now.instant);
         self.last_poll = now.instant;
@@ -215,7 +227,8 @@
         self.history.poll(now);
     }
 
-    /// After a freeze nothing learnt before counts any more, and nobody is accused.
+    /// Drops all evidence after a process pause. It may be outdated, and members must not be
+    /// presumed failed because their heartbeats were not processed during the pause.
     fn detect_process_pause(&mut self, now: Instant) {
         if now.saturating_since(self.last_poll) <= PROCESS_PAUSE_THRESHOLD {
             return;
@@ -234,6 +247,7 @@
         self.next_region_exchange = now;
     }
 
+    /// Derives the roles from the view and from which peers answer.
     pub fn update_roles(&mut self, now: Instant) {
         let id = self.identity.id;
         let is_member = self.is_member();
@@ -241,7 +255,9 @@
         let relay = is_member && self.zone_relays(now).live.contains(&id);
         let region_relay = is_member && self.region_relays(now, region).live.contains(&id);
         let first = self.topology.region_order(region).iter();
-        let is_first = first.take(REGION_STANDBYS).any(|node| *node == id);
+        let is_first = first
+            .take(REGION_RELAYS_AND_STANDBYS)
+            .any(|node| *node == id);
         self.roles = Roles {
             relay,
             region_relay,
@@ -253,7 +269,7 @@
         }
     }
 
-    /// Returns the relays of the own zone, which may include this node.
+    /// Returns the relays of the own zone, possibly including this node.
     pub fn zone_relays(&self, now: Instant) -> LivePeers {
         self.relays_of(now, self.identity.zone)
     }
@@ -289,8 +305,8 @@
         self.is_member() && self.leaving_since.is_none() && !self.superseded
     }
 
-    /// Returns whether the own zone has heard this node lately. The last live member of a zone
-    /// may instead be heard by another zone; an only member needs nobody.
+    /// Returns whether the own zone has recently received messages of this node. For the last live
+    /// member of a zone, contact with another zone suffices; the only member of a zone needs none.
     pub fn has_recent_contact(&self, now: Instant) -> bool {
         let recent = |contact: Option<Instant>| {
             contact.is_some_and(|at| now.saturating_since(at) <= CONTACT_TIMEOUT)
@@ -321,7 +337,7 @@
         })
     }
 
-    /// Returns what this node itself has confirmed.
+    /// Returns the entry of this node itself for the digest of its zone.
     pub fn own_record(&self, now: Instant) -> (NodeId, HeartbeatRecord) {
         let record = HeartbeatRecord {
             incarnation: self.identity.member.incarnation,
@@ -333,7 +349,7 @@
         (self.identity.id, record)
     }
 
-    /// Takes in that a node has a version of the policy.
+    /// Records the policy version of a node if it is the highest known one.
     pub fn record_policy(&mut self, now: Instant, version: PolicyVersion, holder: NodeId) {
         let is_newer = version > PolicyVersion::default()
             && self.best_policy.is_none_or(|best| version > best.version);
@@ -346,15 +362,15 @@
         }
     }
 
-    /// Returns the highest policy version heard of and who has it, once the spread of the policy
-    /// has had its time: a heartbeat may well overtake the policy itself.
+    /// Returns the highest known policy version and a node that has it, once the version has been
+    /// known for [`POLICY_PROPAGATION_TIME`]. A heartbeat may arrive before the policy itself.
     pub fn best_known_policy(&self) -> Option<(PolicyVersion, NodeId)> {
         self.best_policy
             .filter(|best| self.last_poll.saturating_since(best.since) >= POLICY_PROPAGATION_TIME)
             .map(|best| (best.version, best.holder))
     }
 
-    /// Takes in how far joint majorities have confirmed views.
+    /// Records the latest view that joint majorities have confirmed.
     pub fn record_agreed(&mut self, now: Instant, agreed: ViewVersion) {
         if agreed > self.agreed {
             self.agreed = agreed;
@@ -362,12 +378,12 @@
         }
     }
 
-    /// Returns the time after an interval, with a jitter of a tenth.
+    /// Returns the time one interval after `now`, with a jitter of 10 %.
     pub fn after(&mut self, now: Instant, interval: Duration) -> Instant {
         now + interval.mul_f64(self.random.random_range(0.9..1.1))
     }
 
-    /// Sends a message to a member of the view or a seed.
+    /// Sends a message to a member of the view or to a seed; drops it for any other node.
     pub fn send(&self, to: NodeId, message: MembershipMessage, out: &mut Outbox) {
         let member = self.view.member(to).map(|member| member.mesh_address);
         let address = member.or_else(|| {
@@ -385,7 +401,7 @@
         }
     }
 
-    /// Sends a message to a node that need not be a member.
+    /// Sends a message to a node that may be outside the view.
     pub fn send_to(&self, member: &Member, message: MembershipMessage, out: &mut Outbox) {
         out.push(Action::Send {
             to: member.id(),
@@ -396,6 +412,7 @@
 }
 
 impl Protocol {
+    /// Handles a membership message of a peer.
     pub fn on_message(
         &mut self,
         now: Now,
@@ -441,10 +458,10 @@
         }
     }
 
-    /// A node that is joining has ended the run that the view names, which need not be waited
-    /// for.
+    /// Marks a member as silent when another incarnation of it is joining, as the one in the view
+    /// has ended.
     fn detect_restart(&mut self, now: Instant, node: NodeId, incarnation: Incarnation) {
-        if !self.is_current_run(node, incarnation) && self.view.member(node).is_some() {
+        if !self.is_current_incarnation(node, incarnation) && self.view.member(node).is_some() {
             self.contacts.ended(now, node);
         }
     }
--- a/crates/rillgap-core/src/membership/relay.rs
+++ b/crates/rillgap-core/src/membership/relay.rs
@@ -1,4 +1,4 @@
-//! What the relays of a zone do: tell members the status and accuse silent ones.
+//! Periodic work of zone relays: digests, the status for members, and removal of silent members.
 
 use std::collections::BTreeSet;
 
@@ -19,7 +19,7 @@
 use super::topology::ZoneId;
 
 impl Protocol {
-    /// Does what is due if this node is a relay of its zone.
+    /// Performs the work that is due if this node is a relay of its zone.
     pub fn tick_relay(&mut self, now: Instant, out: &mut Outbox) {
         if !self.roles.relay || now < self.next_relay_exchange {
             return;
@@ -61,7 +61,7 @@
         self.detector.digest(now, origin, self.own_record(now))
     }
 
-    /// Makes the status that members are told.
+    /// Builds the status that is sent to members.
     fn update_status(&mut self, now: Instant) {
         let (policy, holder) = self
             .best_policy
@@ -103,7 +103,7 @@
             .collect()
     }
 
-    /// Returns the members of the own zone that have been silent long enough to be removed.
+    /// Returns the members of the own zone that have been silent for [`REMOVAL_TIMEOUT`].
     pub fn presumed_failed(&self, now: Instant) -> Vec<NodeId> {
         self.silent_members(now, REMOVAL_TIMEOUT)
             .map(|removal| removal.node)
@@ -131,8 +131,10 @@
             })
     }
 
-    /// Asks for the removal of members whom both relays no longer hear, unless half of the zone
-    /// is silent: then this node may well be the one that is cut off.
+    /// Proposes the removal of members from which neither relay receives heartbeats, unless more
+    /// than half of the zone is suspected: then this node may be the one that is partitioned.
+    /// Members that are silent for [`UNLISTED_REMOVAL_TIMEOUT`] are proposed in any case, to be
+    /// removed if the machine list omits them.
     fn propose_removals(&mut self, now: Instant, out: &mut Outbox) {
         let zone_size = self.topology.order(self.identity.zone).len();
         let suspected = self.silent_members(now, SUSPICION_TIMEOUT).count();
@@ -159,7 +161,8 @@
         self.submit(now, Vec::new(), requests, out);
     }
 
-    /// Returns whom the other live relay of the zone accuses; `None` if there is no such relay.
+    /// Returns the members that the other live relay of the zone presumes failed; empty if its last
+    /// report is too old, `None` if there is no other live relay.
     fn reported_by_other_relay(&self, now: Instant) -> Option<Vec<NodeId>> {
         let relays = self.zone_relays(now);
         let other = relays
@@ -173,7 +176,8 @@
         Some(report.map_or_else(Vec::new, |report| report.nodes.clone()))
     }
 
-    /// Asks the other side for a newer view, or sends it ours.
+    /// Requests the view from a peer with a later version, or sends the own changes to a peer with
+    /// an earlier one.
     pub fn compare_views(
         &mut self,
         now: Instant,
@@ -189,7 +193,8 @@
         }
     }
 
-    /// Returns the zones of the view that were not heard of for a long time.
+    /// Returns the other zones of which no digest was received for [`UNLISTED_REMOVAL_TIMEOUT`].
+    /// The time counts from `watching_since` at the earliest.
     pub fn expired_zones(&self, now: Instant, watching_since: Instant) -> Vec<ZoneId> {
         self.topology
             .zones
@@ -203,7 +208,7 @@
             .collect()
     }
 
-    /// Returns whether a received status is recent enough to go by.
+    /// Returns whether a received status is recent enough to be used.
     pub fn is_status_recent(now: Instant, confirmed_at: Instant) -> bool {
         now.saturating_since(confirmed_at) <= MAX_DIGEST_AGE
     }
--- a/crates/rillgap-core/src/membership/report.rs
+++ b/crates/rillgap-core/src/membership/report.rs
@@ -1,4 +1,4 @@
-//! What membership tells the other parts of the node.
+//! Queries of other modules: confirmed policies, reachability, member status, update targets.
 
 use std::collections::BTreeSet;
 
@@ -13,15 +13,17 @@
 use super::timing::MAX_LISTED_NODES;
 use super::topology::ZoneId;
 
-/// Members not known to have confirmed a policy version.
+/// Members that are not known to have confirmed a policy version, by identifier.
 #[derive(Debug, Default)]
 pub(super) struct UnconfirmedNodes {
+    /// Number of these members.
     pub missing: u32,
+    /// Some of these members.
     pub nodes: Vec<NodeId>,
 }
 
 impl Protocol {
-    /// Counts the members that have not confirmed a policy version, from digests.
+    /// Counts, by digests, the members that are not known to have confirmed a policy version.
     pub fn count_unconfirmed(&self, now: Instant, version: PolicyVersion) -> UnconfirmedNodes {
         let mut unconfirmed = UnconfirmedNodes::default();
         for &zone in self.topology.zones.keys() {
@@ -38,6 +40,8 @@
         unconfirmed
     }
 
+    /// Adds members of a zone that may not have confirmed the policy: the silent and lagging ones
+    /// of its digests, or the first ones of the zone if there is no recent digest.
     fn name_unconfirmed(&self, now: Instant, zone: ZoneId, nodes: &mut Vec<NodeId>) {
         let is_silent = !self.digests.is_fresh(now, zone);
         if is_silent {
@@ -53,7 +57,9 @@
         }
     }
 
-    /// Returns what is known of the deployment: a relay's own status, or the best received.
+    /// Returns the status of the deployment: a relay's own status, or else the recently received
+    /// one with the highest policy, the fewest unconfirmed members and the latest view, in this
+    /// order of priority.
     pub fn status(&self) -> Option<&Status> {
         if let Some((status, _)) = &self.own_status {
             return Some(status);
@@ -72,6 +78,7 @@
             .map(|received| &received.status)
     }
 
+    /// Returns the members that are not known to have confirmed a policy version.
     pub fn unconfirmed(&self, version: PolicyVersion) -> Unconfirmed {
         if self.roles.relay {
             let unconfirmed = self.count_unconfirmed(self.last_poll, version);
@@ -92,7 +99,8 @@
         }
     }
 
-    /// Nothing is known of anybody, not even of this node's own confirmation being heard.
+    /// Returns all members as unconfirmed: without a usable status it is unknown whether relays
+    /// have received any confirmation, even that of this node.
     fn all_unconfirmed(&self) -> Unconfirmed {
         Unconfirmed {
             missing: u32::try_from(self.view.members.len()).unwrap_or(u32::MAX),
@@ -108,6 +116,7 @@
             .collect()
     }
 
+    /// Returns whether a node is a member that is not suspected and whose zone is not silent.
     pub fn is_reachable(&self, node: NodeId) -> bool {
         self.view
             .member(node)
@@ -124,6 +133,7 @@
         })
     }
 
+    /// Returns the status of every member; its policy is the default version if it is unknown.
     pub fn member_status(&self) -> Vec<MemberStatus> {
         let status = self.status();
         let lagging: BTreeSet<NodeId> = status
@@ -154,6 +164,7 @@
             .collect()
     }
 
+    /// Returns the nodes to which this node forwards updates.
     pub fn spread_targets(&self) -> Vec<NodeId> {
         let now = self.last_poll;
         let mut targets: BTreeSet<NodeId> = BTreeSet::new();
--- a/crates/rillgap-core/src/membership/store_client.rs
+++ b/crates/rillgap-core/src/membership/store_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the platform's store and what is known of its state.
+//! Requests to the platform's store, their timeouts and backoff, and the last known store state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,33 +14,34 @@
 use super::change::StoredView;
 use super::timing::{MAX_STORE_BACKOFF, MIN_STORE_BACKOFF, STORE_TIMEOUT, STORE_WATCH_TIMEOUT};
 
-/// Key of the view in the store.
+/// Key of the view object in the store.
 pub const VIEW_KEY: &str = "rillgap/view";
 
-/// Identifiers with this bit set belong to configuration.
+/// Request identifiers with this bit set belong to configuration, all others to membership.
 const CONFIGURATION_BIT: u64 = 1 << 63;
 
-/// What a request is for.
+/// Purpose of a store request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// Waits for the next view.
+    /// Waits for the next change of the view.
     WatchView,
     /// Reads the view at once.
     ReadView,
     /// Writes a view.
     WriteView,
-    /// Waits for the next machine list.
+    /// Waits for the next change of the machine list.
     WatchMachines,
 }
 
-/// Version of the view that the store holds at an index.
+/// Modify index and version of the view in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StoredVersion {
     pub index: ModifyIndex,
     pub version: ViewVersion,
 }
 
-/// Delays between failing requests, doubled up to a limit, with jitter.
+/// Exponential backoff with jitter between failing requests, from [`MIN_STORE_BACKOFF`] to
+/// [`MAX_STORE_BACKOFF`].
 #[derive(Debug, Default)]
 pub(super) struct Backoff {
     delay: Duration,
@@ -48,63 +49,69 @@
 }
 
 impl Backoff {
+    /// Returns whether the next request may be sent.
     pub fn is_over(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| now >= until)
     }
 
+    /// Records a failure and doubles the delay.
     pub fn failed(&mut self, now: Instant, random: &mut ChaCha8Rng) {
         self.delay = (self.delay * 2).clamp(MIN_STORE_BACKOFF, MAX_STORE_BACKOFF);
         self.until = Some(now + self.delay.mul_f64(random.random_range(0.5..1.0)));
     }
 
+    /// Records a success, after which the next request may be sent at once.
     pub fn succeeded(&mut self) {
         *self = Self::default();
     }
 
-    /// Records a success after which nothing is asked for a while.
+    /// Records a success after which the next request may be sent after `pause`.
     pub fn pause(&mut self, now: Instant, pause: Duration) {
         self.delay = Duration::ZERO;
         self.until = Some(now + pause);
     }
 }
 
-/// Client side of the store at one node.
+/// Store client of membership at one node.
 #[derive(Debug, Default)]
 pub(super) struct StoreClient {
     next_request: u64,
+    /// Purpose and deadline of each request in flight.
     pending: BTreeMap<StoreRequestId, (Purpose, Instant)>,
-    /// What the store is known to hold, by the last read or write.
+    /// Last known state of the view in the store; `None` before the first read and after a write
+    /// whose result is unknown.
     pub stored: Option<StoredVersion>,
     pub watch_backoff: Backoff,
     pub machines_backoff: Backoff,
     pub write_backoff: Backoff,
     machines_index: Option<ModifyIndex>,
+    /// Last known machine list; only the leaving machines at a node that does not read the list.
     pub machines: Vec<Machine>,
-    /// Since when this node reads the store.
+    /// Time since when this node has been a store reader; `None` if it is none.
     pub reading_since: Option<Instant>,
-    /// What the write under way would store.
+    /// Content of the write in flight.
     pub writing: Option<StoredView>,
 }
 
 impl StoreClient {
-    /// Returns whether a reply is to a request of membership.
+    /// Returns whether a request belongs to membership.
     pub fn is_own(request: StoreRequestId) -> bool {
         request.0 & CONFIGURATION_BIT == 0
     }
 
-    /// Returns whether a request for `purpose` is under way.
+    /// Returns whether a request for `purpose` is in flight.
     pub fn is_pending(&self, purpose: Purpose) -> bool {
         self.pending
             .values()
             .any(|(pending, _)| *pending == purpose)
     }
 
-    /// Ends the request that is answered and returns what it was for.
+    /// Removes an answered request and returns its purpose.
     pub fn take(&mut self, request: StoreRequestId) -> Option<Purpose> {
         self.pending.remove(&request).map(|(purpose, _)| purpose)
     }
 
-    /// Ends the requests whose time is over and returns what they were for.
+    /// Removes the requests that have timed out and returns their purposes.
     pub fn take_expired(&mut self, now: Instant) -> Vec<Purpose> {
         let expired = |deadline: Instant| now >= deadline;
         let purposes = self
@@ -117,7 +124,8 @@
         purposes
     }
 
-    /// Reads the view, at once or when it is later than the one stored last.
+    /// Reads the view: at once, or for [`Purpose::WatchView`] when it changes after the last known
+    /// modify index.
     pub fn read_view(&mut self, now: Instant, purpose: Purpose, out: &mut Outbox) {
         let after = self
             .stored
@@ -130,7 +138,7 @@
         self.request(now, purpose, body, out);
     }
 
-    /// Writes a view if the store still holds what was last read.
+    /// Writes a view by compare-and-set against the last known modify index.
     pub fn write_view(&mut self, now: Instant, stored: StoredView, out: &mut Outbox) {
         let expected = self.stored.map_or(ModifyIndex(0), |stored| stored.index);
         let body = StoreRequest::CompareAndSet {
@@ -142,7 +150,7 @@
         self.request(now, Purpose::WriteView, body, out);
     }
 
-    /// Reads the machine list, when it is later than the one read last.
+    /// Reads the machine list as soon as it is later than the last one read.
     pub fn watch_machines(&mut self, now: Instant, out: &mut Outbox) {
         let body = StoreRequest::Machines {
             after: self.machines_index,
@@ -150,18 +158,18 @@
         self.request(now, Purpose::WatchMachines, body, out);
     }
 
-    /// Takes in the machine list.
+    /// Records the machine list.
     pub fn record_machines(&mut self, index: ModifyIndex, machines: &[Machine]) {
         self.machines_index = Some(index);
         self.machines = machines.to_vec();
     }
 
-    /// Returns the machine list if this node has read it.
+    /// Returns the machine list; `None` if this node has not read it from the store.
     pub fn listed_machines(&self) -> Option<&[Machine]> {
         self.machines_index.map(|_| self.machines.as_slice())
     }
 
-    /// Returns the machines that are marked as leaving.
+    /// Returns the nodes of the machines that are marked as leaving.
     pub fn leaving(&self) -> impl Iterator<Item = NodeId> {
         self.machines
             .iter()
@@ -169,7 +177,8 @@
             .map(|machine| machine.node.id())
     }
 
-    /// Forgets the machine list and gives up the reads that wait: this node reads no longer.
+    /// Cancels the reads that wait for a change and marks the machine list as not read, because
+    /// this node is no longer a store reader.
     pub fn stop_reading(&mut self, out: &mut Outbox) {
         let waits =
             |purpose: Purpose| matches!(purpose, Purpose::WatchView | Purpose::WatchMachines);
--- a/crates/rillgap-core/src/membership/storing.rs
+++ b/crates/rillgap-core/src/membership/storing.rs
@@ -1,4 +1,5 @@
-//! How store readers watch the view and write changes, and how a fresh node bootstraps.
+//! Store access: store readers watch the view and write changes, a joining node may create the
+//! view or add itself to it.
 
 use crate::action::Outbox;
 use crate::id::{NodeId, ViewVersion};
@@ -12,7 +13,7 @@
 use super::timing::{MACHINE_LIST_INTERVAL, MAX_LOGGED_CHANGES, MAX_UNAGREED_CHANGES};
 
 impl Protocol {
-    /// Does what is due at the store: readers watch and write, a lonely fresh node bootstraps.
+    /// Performs the store access that is due for a store reader or a joining node.
     pub fn tick_store(&mut self, now: Instant, out: &mut Outbox) {
         for purpose in self.store.take_expired(now) {
             self.store_failed(now, purpose);
@@ -39,7 +40,8 @@
         }
     }
 
-    /// Reads the view if no peer has helped; the first node of all creates it.
+    /// Reads the view if no member has answered the join requests. The view is created if the store
+    /// has none; otherwise the node adds itself after a delay.
     fn bootstrap(&mut self, now: Instant, out: &mut Outbox) {
         let is_due = now >= self.joining.store_fallback_at && self.store.write_backoff.is_over(now);
         if !self.should_join() || !is_due || self.is_busy() {
@@ -56,8 +58,8 @@
         self.store.is_pending(Purpose::ReadView) || self.store.is_pending(Purpose::WriteView)
     }
 
-    /// Proposes to remove the members of zones that nobody has heard of for long; those whom
-    /// the machine list names stay.
+    /// Proposes to remove the members of zones without a digest for a long time. Members in the
+    /// machine list are kept.
     fn propose_unlisted(&mut self, now: Instant) {
         let Some(since) = self.store.reading_since else {
             return;
@@ -81,7 +83,8 @@
         }
     }
 
-    /// Writes what was proposed, upon the view that the store holds.
+    /// Writes the proposed changes if they are due and the stored view is the one in force here;
+    /// reads the stored view first if it may differ.
     fn write_proposals(&mut self, now: Instant, out: &mut Outbox) {
         self.proposals.prune(now, &self.view);
         let may_write = self.roles.region_relay || self.joining.adds_itself;
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Returns the object in the store after a change.
+    /// Returns the content of the view object after a change.
     fn stored_after(&self, change: ViewChange) -> StoredView {
         let view = apply(&self.view, &change);
         let mut changes = self.log.to_vec();
@@ -123,6 +126,7 @@
         }
     }
 
+    /// Handles a reply of the store; returns false if the request belongs to configuration.
     pub fn on_store(
         &mut self,
         now: Now,
@@ -167,8 +171,8 @@
         self.on_full_view(now, None, written, out);
     }
 
-    /// Takes in the view as read. A write whose answer was lost is settled the same way: what
-    /// the view already fulfils is no longer proposed.
+    /// Handles the view object read from the store. This also resolves a write whose answer was
+    /// lost, because proposals that the view already contains are dropped.
     fn on_object(
         &mut self,
         now: Instant,
@@ -198,7 +202,8 @@
         }
     }
 
-    /// The store holds no view: a node that is alone creates it with itself.
+    /// Handles a store without a view: a joining node that has no view creates one with itself as
+    /// its only member.
     fn on_no_view(&mut self, now: Instant, out: &mut Outbox) {
         let is_first = self.view.version == ViewVersion::default();
         if !is_first || !self.should_join() || self.store.is_pending(Purpose::WriteView) {
@@ -217,7 +222,7 @@
         self.store.write_view(now, self.stored_after(change), out);
     }
 
-    /// A request failed; whether a write took effect is settled by the next read.
+    /// Handles a failed request. Whether a failed write took effect is unknown until the next read.
     fn store_failed(&mut self, now: Instant, purpose: Purpose) {
         match purpose {
             Purpose::WatchView => self.store.watch_backoff.failed(now, &mut self.random),
@@ -230,7 +235,7 @@
         }
     }
 
-    /// Takes in which machines are marked as leaving, at a node that does not read the list.
+    /// Records the machines that are marked as leaving, unless this node reads the list itself.
     pub fn record_leaving(&mut self, leaving: &[NodeId]) {
         if self.roles.region_relay {
             return;
@@ -245,7 +250,8 @@
             .collect();
     }
 
-    /// Returns the members that the machine list marks as leaving.
+    /// Returns the members that the machine list marks as leaving, at most twice
+    /// [`MAX_LISTED_NODES`](super::timing::MAX_LISTED_NODES).
     pub fn leaving_hints(&self) -> Vec<NodeId> {
         let limit = 2 * super::timing::MAX_LISTED_NODES;
         self.store.leaving().take(limit).collect()
--- a/crates/rillgap-core/src/membership/timing.rs
+++ b/crates/rillgap-core/src/membership/timing.rs
@@ -1,87 +1,90 @@
-//! Intervals and limits of the membership protocol.
+//! Intervals, timeouts and size limits of the membership protocol.
 //!
-//! The limits depend on each other: a node that its zone's relays no longer acknowledge stops
-//! serving after [`CONTACT_TIMEOUT`], which is shorter than [`REMOVAL_TIMEOUT`], so that it has
-//! stopped before it can be removed.
+//! [`CONTACT_TIMEOUT`] must be shorter than [`REMOVAL_TIMEOUT`]: a node that the relays of its zone
+//! no longer acknowledge stops serving after the former, so it has stopped before it can be removed
+//! from the view.
 
 use std::time::Duration;
 
-/// Time between two calls of [`super::Membership::poll`].
+/// Interval between two runs of the periodic work in [`super::Membership::poll`].
 pub const TICK: Duration = Duration::from_millis(100);
-/// Shortest time between two heartbeats of a member; its two relays are served in turn.
+/// Minimum interval between two heartbeats of a member, which alternate between its two relays.
 pub const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest time between two heartbeats of a member.
+/// Maximum interval between two heartbeats of a member.
 pub const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(800);
-/// Time that each member of a zone adds to the interval, so that relays of large zones are
-/// spared.
+/// Heartbeat interval per member of the zone; limits the load on the relays of large zones.
 pub const HEARTBEAT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(10);
-/// Time between two exchanges of a zone's relay with its partners.
+/// Interval between two exchanges of a zone relay with its partners.
 pub const RELAY_EXCHANGE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two exchanges of a region's relay with its partners.
+/// Interval between two exchanges of a region relay with its partners.
 pub const REGION_EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time after which an unanswered peer counts as silent.
+/// Time without an answer after which a peer counts as silent.
 pub const PEER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two messages to a silent peer.
+/// Interval between two messages to a silent peer.
 pub const SILENT_PEER_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest time without an acknowledgement of the own zone during which a node serves.
+/// Time without an acknowledgement of the own zone after which a node stops serving.
 pub const CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time without a heartbeat after which a relay suspects a member: three missed heartbeats.
+/// Time without a heartbeat after which a relay suspects a member: three missed heartbeats at the
+/// minimum interval, as each of the two relays receives every second one.
 pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time without a heartbeat after which a relay accuses a member.
+/// Time without a heartbeat after which a relay presumes a member failed and proposes its removal.
 pub const REMOVAL_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time without any news after which a member that the machine list omits is removed.
+/// Time without a heartbeat or digest after which a member is removed if the machine list omits it.
 pub const UNLISTED_REMOVAL_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest age of a member's heartbeat that still counts in a digest.
+/// Maximum age of a heartbeat that is counted in a digest.
 pub const MAX_HEARTBEAT_AGE: Duration = Duration::from_millis(2_500);
-/// Longest age of a digest for confirmations and reachability.
+/// Maximum age of a digest, and of a relay's status, for policy confirmations and reachability.
 pub const MAX_DIGEST_AGE: Duration = Duration::from_secs(5);
-/// Longest age of the evidence under which a node votes.
+/// Maximum age of the evidence on which a node votes.
 ///
-/// The ages of the hops add up, in a large zone to 1.6 s from member to relay, 0.5 s to the
-/// region's relay, 1 s to another region, 1 s to the relay there and 0.8 s to the voting member.
+/// The ages of the hops add up to 4.9 s in a large zone: 1.6 s from member to relay, 0.5 s to the
+/// region relay, 1 s to another region, 1 s to the zone relay there and 0.8 s to the voting member.
 pub const VOTE_LEASE: Duration = Duration::from_secs(6);
-/// Allowance for clocks that run at different rates during a lease.
+/// Allowance for the drift between the clocks of two hosts during a lease.
 pub const CLOCK_DRIFT_ALLOWANCE: Duration = Duration::from_millis(500);
-/// Time that a new policy has to come by itself before it counts as missed.
+/// Time after which a node that knows of a newer policy but has not received it requests it.
 pub const POLICY_PROPAGATION_TIME: Duration = Duration::from_millis(300);
-/// Gap between two polls that shows that the process was frozen.
+/// Gap between two polls above which the process is taken to have been paused.
 pub const PROCESS_PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
-/// Time during which joins and removals are collected into one view.
+/// Time for which joins and removals are collected into one change of the view.
 pub const BATCH_INTERVAL: Duration = Duration::from_millis(300);
-/// Time after which a region writes changes that another region was asked to write.
+/// Time after which a region itself writes changes that it forwarded to another region.
 pub const FALLBACK_BATCH_INTERVAL: Duration = Duration::from_secs(3);
-/// Time after which a planned leave ends, whether or not the store took part.
+/// Time after which a planned leave ends even if the view still contains the node, for example
+/// because the store is down.
 pub const LEAVE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time between two attempts to join or to leave by way of peers.
+/// Interval between two requests to peers to join or to leave; the initial one for joins.
 pub const MEMBERSHIP_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which a node without news of any peer turns to the store itself.
+/// Time without an answer of a member after which a joining node accesses the store itself.
 pub const STORE_FALLBACK_DELAY: Duration = Duration::from_secs(3);
-/// Time between two requests for a newer view.
+/// Minimum interval between two requests for a newer view.
 pub const VIEW_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
-/// Shortest time between two failing requests to the store.
+/// Minimum backoff between failing store requests, before jitter.
 pub const MIN_STORE_BACKOFF: Duration = Duration::from_millis(300);
-/// Longest time between two failing requests to the store.
+/// Maximum backoff between failing store requests.
 pub const MAX_STORE_BACKOFF: Duration = Duration::from_secs(8);
-/// Shortest time between two reads of the machine list, which is long and lags anyway.
+/// Minimum interval between two reads of the machine list, which is large and delayed anyway.
 pub const MACHINE_LIST_INTERVAL: Duration = Duration::from_secs(5);
-/// Time after which a request to the store that waits for no change counts as failed.
+/// Timeout of a store request that does not wait for a change.
 pub const STORE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time after which a request to the store that waits for a change counts as failed.
+/// Timeout of a store request that waits for a change.
 pub const STORE_WATCH_TIMEOUT: Duration = Duration::from_secs(120);
-/// Time for which activated views are kept: the default life of a key and the clocks' skew.
+/// Time for which a replaced view is kept: the default lifetime of a key, plus an allowance for
+/// clock skew.
 pub const VIEW_RETENTION: Duration = Duration::from_secs(660);
 
-/// Relays of one zone, and of one region.
+/// Number of relays of a zone, and of a region.
 pub const RELAYS_PER_GROUP: usize = 2;
-/// First members of a region's order that watch whether its relays live.
-pub const REGION_STANDBYS: usize = 4;
-/// Changes that are kept and stored beside the view.
+/// Number of members at the head of a region's order that are its relays or monitor them.
+pub const REGION_RELAYS_AND_STANDBYS: usize = 4;
+/// Maximum number of recent changes in the log and in the view object.
 pub const MAX_LOGGED_CHANGES: usize = 64;
-/// Changes beyond the agreed view after which no further change is proposed.
+/// Maximum number of changes beyond the agreed view; no further change is written until a later
+/// view is agreed. Must stay below [`MAX_LOGGED_CHANGES`], as agreement needs all these changes.
 pub const MAX_UNAGREED_CHANGES: u64 = 60;
-/// Most activated views that are kept.
+/// Maximum number of views in the history.
 pub const MAX_RETAINED_VIEWS: usize = 64;
-/// Most nodes that a digest or status names.
+/// Maximum number of nodes in a list of a digest; lists of a status may hold twice as many.
 pub const MAX_LISTED_NODES: usize = 8;
-/// Most often that a join or proposal is handed on.
+/// Maximum number of times that a proposal is forwarded.
 pub const MAX_HOPS: u8 = 4;
--- a/crates/rillgap-core/src/membership/topology.rs
+++ b/crates/rillgap-core/src/membership/topology.rs
@@ -1,4 +1,6 @@
-//! Zones, regions and the order of their relays, derived from a view alone.
+//! Zones, regions and the order of their relays, derived from a view.
+//!
+//! The order depends on the view only, so that all nodes with the same view agree on it.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +12,7 @@
 
 use super::timing::RELAYS_PER_GROUP;
 
-/// Members of each zone that may become relays of their region.
+/// Number of members of each zone that may become relays of the region.
 const REGION_CANDIDATES: usize = 2 * RELAYS_PER_GROUP;
 
 /// Identifies a zone by the 32-bit hash of its name.
@@ -37,12 +39,12 @@
     (xxh3_64(name.as_bytes()) & u64::from(u32::MAX)) as u32
 }
 
-/// One zone of a view.
+/// Region and members of one zone.
 #[derive(Clone, Debug)]
 pub struct Zone {
     /// Region of the zone.
     pub region: RegionId,
-    /// Members in rendezvous order: the first live ones are the zone's relays.
+    /// Members in rendezvous order; the first live ones are the relays of the zone.
     pub order: Vec<NodeId>,
 }
 
@@ -51,7 +53,7 @@
 pub struct Topology {
     /// Zones by identifier.
     pub zones: BTreeMap<ZoneId, Zone>,
-    /// Candidates of each region in order: the first live ones are the region's relays.
+    /// Relay candidates of each region in order; the first live ones are its relays.
     pub regions: BTreeMap<RegionId, Vec<NodeId>>,
 }
 
@@ -81,7 +83,7 @@
         self.zones.get(&zone).map_or(&[], |entry| &entry.order)
     }
 
-    /// Returns the candidates of a region in order.
+    /// Returns the relay candidates of a region in order.
     pub fn region_order(&self, region: RegionId) -> &[NodeId] {
         self.regions.get(&region).map_or(&[], Vec::as_slice)
     }
@@ -100,8 +102,8 @@
     }
 }
 
-/// Orders the first members of all zones of a region. Those that are not relays of their zones
-/// come first, so that one node need not carry both kinds of traffic.
+/// Returns the relay candidates of each region: the first members of all its zones. Those that are
+/// not zone relays come first, so that one node need not handle the traffic of both roles.
 fn region_orders(zones: &BTreeMap<ZoneId, Zone>) -> BTreeMap<RegionId, Vec<NodeId>> {
     let mut candidates: BTreeMap<RegionId, Vec<(bool, u64, NodeId)>> = BTreeMap::new();
     for zone in zones.values() {
@@ -120,7 +122,7 @@
         .collect()
 }
 
-/// Rendezvous weight of a node for a zone or region; the lowest comes first.
+/// Returns the rendezvous weight of a node for a zone or region; the lowest comes first.
 fn weight(node: NodeId, group: u32) -> u64 {
     xxh3_64_with_seed(&node.0.to_le_bytes(), u64::from(group))
 }
--- a/crates/rillgap-core/src/membership/views.rs
+++ b/crates/rillgap-core/src/membership/views.rs
@@ -1,4 +1,4 @@
-//! Taking in views and passing them on.
+//! Adopts new views and forwards them to other nodes.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use super::topology::Topology;
 
 impl Protocol {
-    /// Takes in successive changes; a later one than the next means that some are missing.
+    /// Applies successive changes. If some are missing in between, requests the view from `from`.
     pub fn on_changes(
         &mut self,
         now: Instant,
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Takes in a whole view, if it is newer.
+    /// Adopts a whole view if it is newer. Applies its changes one by one if they reach back to the
+    /// own view, so that the history has no gaps.
     pub fn on_full_view(
         &mut self,
         now: Instant,
@@ -77,7 +78,8 @@
         self.record_agreed(now, stored.agreed);
     }
 
-    /// Returns the message that brings a peer from `version` to the view in force.
+    /// Returns the message that updates a peer from `version` to the view in force: the changes, or
+    /// the whole view if the log does not reach back far enough.
     pub fn updates_since(&self, version: ViewVersion) -> MembershipMessage {
         let changes = Some(version)
             .filter(|version| *version > ViewVersion::default())
@@ -88,7 +90,7 @@
         )
     }
 
-    /// Returns the view in force as the store holds it.
+    /// Returns the view in force in the format of the view object.
     pub fn stored_view(&self) -> StoredView {
         StoredView {
             view: self.view.as_ref().clone(),
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Asks a peer for a newer view, unless one was asked just now.
+    /// Requests a newer view from a peer, at most once per [`VIEW_REQUEST_INTERVAL`].
     pub fn request_view(&mut self, now: Instant, peer: NodeId, out: &mut Outbox) {
         let is_due = self
             .last_view_request
@@ -109,6 +111,7 @@
         }
     }
 
+    /// Updates everything that depends on the view and forwards it.
     fn view_changed(
         &mut self,
         now: Instant,
@@ -119,18 +122,19 @@
         self.update_is_member();
         self.topology = Topology::of(&self.view);
         self.history.mark_agreed(now, self.agreed);
-        self.forget_ended_runs(before);
+        self.drop_ended_incarnations(before);
         self.update_own_membership(now, before);
         self.update_roles(now);
         self.forward_view(now, before, from, out);
     }
 
-    fn forget_ended_runs(&mut self, before: &View) {
+    /// Drops the state of nodes whose incarnation is not in both views, and of removed zones.
+    fn drop_ended_incarnations(&mut self, before: &View) {
         let view = &self.view;
-        let run_of = |view: &View, node| view.member(node).map(|member| member.incarnation);
+        let incarnation_of = |view: &View, node| view.member(node).map(|member| member.incarnation);
         let is_member = |node: NodeId| {
-            let run = run_of(view, node);
-            run.is_some() && run == run_of(before, node)
+            let incarnation = incarnation_of(view, node);
+            incarnation.is_some() && incarnation == incarnation_of(before, node)
         };
         self.probes.retain(is_member);
         self.contacts.retain(is_member);
@@ -142,17 +146,19 @@
             .retain(|zone| topology.zones.contains_key(&zone));
     }
 
+    /// Restarts the join if this incarnation was removed, and marks it as superseded if the view
+    /// contains another one after it was a member.
     fn update_own_membership(&mut self, now: Instant, before: &View) {
         let is_member = self.is_member();
-        let own_run = self.identity.member.incarnation;
+        let own_incarnation = self.identity.member.incarnation;
         let was_member = before
             .member(self.identity.id)
-            .is_some_and(|member| member.incarnation == own_run);
+            .is_some_and(|member| member.incarnation == own_incarnation);
         if was_member && !is_member {
             self.joining.restart(now, &mut self.random);
         }
-        let other_run = self.view.member(self.identity.id).is_some() && !is_member;
-        if other_run && self.was_ever_member {
+        let has_other_incarnation = self.view.member(self.identity.id).is_some() && !is_member;
+        if has_other_incarnation && self.was_ever_member {
             self.superseded = true;
         }
         self.was_ever_member |= is_member;
@@ -161,8 +167,8 @@
         }
     }
 
-    /// A new view is passed on along the partners within the region; relays of a zone also pass
-    /// it to its members, even to those that it removes, so that they learn it.
+    /// Forwards a new view to the exchange partners within the region. Zone relays also forward it
+    /// to the members of the zone, including removed ones, so that these detect their removal.
     fn forward_view(&self, now: Instant, before: &View, from: Option<NodeId>, out: &mut Outbox) {
         let partners = self.partners(now);
         if before.version == ViewVersion::default() || partners.is_empty() {
--- a/crates/rillgap-core/tests/membership_bootstrap.rs
+++ b/crates/rillgap-core/tests/membership_bootstrap.rs
@@ -1,4 +1,4 @@
-//! How nodes get into the view and out of it.
+//! Tests of joining, restarting and leaving, also while the store is down or loses answers.
 
 mod membership_support;
 
@@ -10,14 +10,14 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Begins the planned stop of a node.
+/// Starts the planned stop of a node.
 fn start_leaving(mesh: &mut Mesh, leaving: NodeId) {
     let clock = mesh.clock();
     let host = mesh.hosts.get_mut(&leaving).expect("a running node");
     host.membership.leave(clock, &mut Vec::new());
 }
 
-/// Waits until a node has left the view, ends it, and waits for the others.
+/// Waits until a node has left the view, stops it, and waits until the others have converged.
 fn finish_leaving(mesh: &mut Mesh, leaving: NodeId) {
     mesh.run_until(TIMEOUT, |mesh| mesh.membership(leaving).has_left());
     mesh.kill(leaving);
@@ -51,7 +51,7 @@
 }
 
 #[googletest::test]
-fn restarted_node_serves_only_in_its_new_run() {
+fn restarted_node_serves_only_in_its_new_incarnation() {
     let mut mesh = Mesh::start(3, 3);
     mesh.run_until(TIMEOUT, Mesh::has_converged);
     mesh.boot(1, 2);
@@ -93,17 +93,11 @@
     finish_leaving(&mut mesh, leaving);
 }
 
-/// An entry node that starts again may be left out of the view for a second by the leave of its earlier run, and then join again.
-/// Parts of answers to it were dropped meanwhile, and nothing told it of the gap: two downloads of 1 MiB stayed without their rest
-/// for 30 s, until their time was over. The nodes' logs showed it between two views:
+/// Guards against answers that stall because their entry node is briefly outside the view.
 ///
-/// ```text
-/// 01.106 entry-hall-b node: serving requests
-/// 01.409 entry-hall-b node: membership view in force version=8
-/// 01.409 entry-hall-b node: not serving requests
-/// 02.314 entry-hall-b node: membership view in force version=9
-/// 02.410 entry-hall-b node: serving requests
-/// ```
+/// The leave of a node's earlier incarnation may remove the restarted node from the view for about
+/// a second, until it joins again. If parts of answers to it were dropped in between, the node
+/// would not notice the gap, and large downloads would stay incomplete until their timeout of 30 s.
 #[googletest::test]
 fn node_that_has_just_left_the_view_can_still_be_answered() {
     let mut mesh = Mesh::start(3, 3);
@@ -128,7 +122,7 @@
 }
 
 #[googletest::test]
-fn lost_answers_of_the_store_are_settled_by_reading() {
+fn lost_answers_of_the_store_are_resolved_by_reading() {
     let mut mesh = Mesh::empty();
     mesh.set_store(StoreMode::LosesAnswers);
     for zone in 0..3 {
@@ -142,7 +136,7 @@
 }
 
 #[googletest::test]
-fn nodes_replaced_while_the_store_is_down_join_when_it_is_back() {
+fn nodes_replaced_while_the_store_is_down_join_when_it_is_up_again() {
     let mut mesh = Mesh::start(3, 5);
     mesh.run_until(TIMEOUT, Mesh::has_converged);
     mesh.set_store(StoreMode::Down);
--- a/crates/rillgap-core/tests/membership_failures.rs
+++ b/crates/rillgap-core/tests/membership_failures.rs
@@ -1,4 +1,5 @@
-//! Failure detection: who is removed, who is not, and who stops serving and voting.
+//! Tests of failure detection: which nodes are removed from the view, and which stop serving and
+//! voting.
 
 mod membership_support;
 
@@ -11,6 +12,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Starts a mesh and runs it for 10 s after all nodes have joined.
 fn converged_mesh(zones: usize, size: usize) -> Mesh {
     let mut mesh = Mesh::start(zones, size);
     mesh.run_until(TIMEOUT, Mesh::has_converged);
@@ -29,7 +31,7 @@
 }
 
 #[googletest::test]
-fn any_dead_node_is_removed_and_the_others_go_on() {
+fn any_dead_node_is_removed_and_the_others_keep_serving() {
     for zone in 0..3 {
         for number in 0..3 {
             let mut mesh = converged_mesh(3, 3);
@@ -54,7 +56,7 @@
 }
 
 #[googletest::test]
-fn one_way_cut_between_two_nodes_removes_nobody() {
+fn one_way_cut_between_two_nodes_removes_no_node() {
     let mut mesh = converged_mesh(3, 4);
     let before = mesh.view(node(0, 0)).version;
     mesh.cut(node(1, 0), node(1, 1));
@@ -157,9 +159,10 @@
     mesh.run_until(TIMEOUT, Mesh::has_converged);
 }
 
-/// No node votes under a view while another treats a later one as activated.
+/// Checks after every event that no node votes under a view while another node has activated a
+/// later one, during a partition, restarts and process pauses.
 #[googletest::test]
-fn nobody_votes_below_an_activated_view() {
+fn no_node_votes_below_an_activated_view() {
     let mut mesh = converged_mesh(3, 4);
     let mut highest = ViewVersion(0);
     let mut lowest_votes: BTreeMap<ViewVersion, u64> = BTreeMap::new();
--- a/crates/rillgap-core/tests/membership_support/mod.rs
+++ b/crates/rillgap-core/tests/membership_support/mod.rs
@@ -1,6 +1,6 @@
-//! Several memberships on a virtual network with a stand-in for the platform's store.
+//! Simulated network of nodes that run the membership protocol, with an in-memory store.
 
-#![allow(dead_code, reason = "each test file uses a part of the support")]
+#![allow(dead_code, reason = "each test file uses only a part of the support")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -21,15 +21,15 @@
 const STORE_DELAY: Duration = Duration::from_millis(5);
 const EPOCH_MILLIS: u64 = 1_700_000_000_000;
 
-/// What the store does with writes.
+/// Behaviour of the simulated store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreMode {
-    /// Answers everything.
+    /// Answers all requests.
     #[default]
     Up,
-    /// Answers nothing but failures.
+    /// Fails all requests.
     Down,
-    /// Carries out writes and reports them as failed.
+    /// Answers reads, but reports writes as failed although they take effect.
     LosesAnswers,
 }
 
@@ -77,7 +77,7 @@
     cuts: BTreeSet<(NodeId, NodeId)>,
     store_cuts: BTreeSet<NodeId>,
     delays: BTreeMap<NodeId, Duration>,
-    runs: u64,
+    incarnations: u64,
     pub messages: u64,
 }
 
@@ -108,7 +108,7 @@
             cuts: BTreeSet::new(),
             store_cuts: BTreeSet::new(),
             delays: BTreeMap::new(),
-            runs: 0,
+            incarnations: 0,
             messages: 0,
         }
     }
@@ -129,9 +129,9 @@
         self.answer_watchers();
     }
 
-    /// Starts a node, or restarts it with a new incarnation and an empty memory.
+    /// Starts a node, or restarts it with a new incarnation and without its earlier state.
     pub fn boot(&mut self, zone: usize, number: usize) {
-        self.runs += 1;
+        self.incarnations += 1;
         let seeds = (0..2).map(|seed| SeedPeer {
             name: NodeName::new(format!("node-{seed}-0")),
             mesh_address: address(seed, 0),
@@ -140,8 +140,8 @@
             name: NodeName::new(format!("node-{zone}-{number}")),
             zone: ZoneName::new(format!("zone-{zone}")),
             region: RegionName::new("region"),
-            incarnation: Incarnation(self.runs),
-            random_seed: 17 * self.runs,
+            incarnation: Incarnation(self.incarnations),
+            random_seed: 17 * self.incarnations,
             mesh_address: address(zone, number),
             back_end: None,
             seeds: seeds.collect(),
@@ -157,14 +157,17 @@
             held: Vec::new(),
         };
         self.hosts.insert(id, host);
-        self.push(Duration::ZERO, Delivery::Wake(id, Incarnation(self.runs)));
+        self.push(
+            Duration::ZERO,
+            Delivery::Wake(id, Incarnation(self.incarnations)),
+        );
     }
 
     pub fn kill(&mut self, node: NodeId) {
         self.hosts.remove(&node);
     }
 
-    /// Stops a node for a while; whatever arrives meanwhile is handled after it.
+    /// Pauses a node; messages that arrive during the pause are handled after it.
     pub fn freeze(&mut self, node: NodeId, duration: Duration) {
         let until = self.now + duration;
         if let Some(host) = self.hosts.get_mut(&node) {
@@ -172,12 +175,12 @@
         }
     }
 
-    /// Cuts the way from one node to another.
+    /// Drops all further messages from one node to another.
     pub fn cut(&mut self, from: NodeId, to: NodeId) {
         self.cuts.insert((from, to));
     }
 
-    /// Cuts a zone from all others, both ways, and from the store.
+    /// Disconnects a zone from all other zones, in both directions, and from the store.
     pub fn cut_zone(&mut self, zone: usize) {
         let name = ZoneName::new(format!("zone-{zone}"));
         let of_zone = |host: &&Host| host.settings.zone == name;
@@ -203,12 +206,13 @@
         }
     }
 
+    /// Removes all cuts.
     pub fn heal(&mut self) {
         self.cuts.clear();
         self.store_cuts.clear();
     }
 
-    /// Adds a delay to everything that a node sends.
+    /// Adds a delay to every message that a node sends.
     pub fn slow(&mut self, node: NodeId, delay: Duration) {
         self.delays.insert(node, delay);
     }
@@ -260,7 +264,8 @@
         self.membership(node).view()
     }
 
-    /// Returns whether all running nodes hold the same view, which names just them.
+    /// Returns whether all running nodes have the same view and its members are exactly the running
+    /// incarnations.
     pub fn has_converged(&self) -> bool {
         let views: Vec<&View> = self
             .hosts
@@ -269,7 +274,7 @@
             .collect();
         let first = views.first().expect("a running node");
         let is_same = views.iter().all(|view| view.version == first.version);
-        let runs: BTreeSet<_> = first
+        let members: BTreeSet<_> = first
             .members
             .iter()
             .map(|m| (m.id(), m.incarnation))
@@ -279,15 +284,15 @@
             .values()
             .map(|host| (host.settings.id(), host.settings.incarnation))
             .collect();
-        is_same && runs == running
+        is_same && members == running
     }
 
-    /// Runs for a while.
+    /// Runs the simulation for `duration`.
     pub fn run(&mut self, duration: Duration) {
         self.run_watching(duration, |_| ());
     }
 
-    /// Runs for a while and looks at the mesh after every event.
+    /// Runs the simulation for `duration` and calls `watch` after every event.
     pub fn run_watching(&mut self, duration: Duration, mut watch: impl FnMut(&Self)) {
         let end = self.now + duration;
         while let Some((&(at, _), _)) = self.queue.first_key_value() {
@@ -302,7 +307,8 @@
         self.now = end;
     }
 
-    /// Runs until a condition holds; panics if it does not within `limit`.
+    /// Runs the simulation until `condition` holds and returns the time taken; panics if the
+    /// condition does not hold within `limit`.
     pub fn run_until(&mut self, limit: Duration, condition: impl Fn(&Self) -> bool) -> Duration {
         let begin = self.now;
         while !condition(self) {
@@ -451,7 +457,7 @@
         });
     }
 
-    /// Answers a request, or returns `None` if it has to wait.
+    /// Answers a store request; returns `None` if it must wait for a change.
     fn answer(&mut self, body: &StoreRequest) -> Option<StoreReply> {
         match body {
             StoreRequest::Read { key, after } => {
