--- a/crates/rillgap-core/src/membership/contact.rs
+++ b/crates/rillgap-core/src/membership/contact.rs
@@ -21,19 +21,19 @@
 
 impl Contacts {
     /// Records that a message which requires an answer was sent to a peer.
-    pub fn sent(&mut self, now: Instant, peer: NodeId) {
+    pub fn record_sent(&mut self, now: Instant, peer: NodeId) {
         let contact = self.peers.entry(peer).or_default();
         contact.unanswered_since.get_or_insert(now);
         contact.last_sent = Some(now);
     }
 
     /// Records an answer of a peer.
-    pub fn answered(&mut self, peer: NodeId) {
+    pub fn record_answer(&mut self, peer: NodeId) {
         self.peers.entry(peer).or_default().unanswered_since = None;
     }
 
     /// Marks a peer as silent because its incarnation in the view has ended.
-    pub fn ended(&mut self, now: Instant, peer: NodeId) {
+    pub fn mark_ended(&mut self, now: Instant, peer: NodeId) {
         let contact = self.peers.entry(peer).or_default();
         contact.unanswered_since = Some(now - 2 * PEER_TIMEOUT);
         contact.last_sent = Some(now);
--- a/crates/rillgap-core/src/membership/detector.rs
+++ b/crates/rillgap-core/src/membership/detector.rs
@@ -50,6 +50,7 @@
 #[derive(Debug, Default)]
 pub struct Detector {
     heartbeats: BTreeMap<NodeId, HeartbeatRecord>,
+    /// Time since when this node has been a relay; `None` if it is not one.
     relay_since: Option<Instant>,
     last_dated: Option<Instant>,
 }
@@ -57,7 +58,7 @@
 impl Detector {
     /// Records whether this node is a relay. Silence counts from the moment when the node became
     /// one, so that members have time to send a first heartbeat.
-    pub fn watch(&mut self, now: Instant, is_relay: bool) {
+    pub fn set_relay(&mut self, now: Instant, is_relay: bool) {
         if is_relay {
             self.relay_since.get_or_insert(now);
         } else {
--- a/crates/rillgap-core/src/membership/exchange.rs
+++ b/crates/rillgap-core/src/membership/exchange.rs
@@ -113,7 +113,7 @@
             presumed_failed,
             leaving: self.store.leaving().take(MAX_LISTED_NODES).collect(),
         };
-        self.contacts.sent(now, to);
+        self.contacts.record_sent(now, to);
         self.send(to, MembershipMessage::Exchange(Box::new(exchange)), out);
     }
 
@@ -168,10 +168,10 @@
             return;
         }
         let now = now.instant;
-        self.probes.received(now, from, exchange.probe);
+        self.probes.record_received(now, from, exchange.probe);
         let sent_after = exchange.echo.and_then(|echo| self.probes.date(now, echo));
         if let Some(sent_after) = sent_after {
-            self.contacts.answered(from);
+            self.contacts.record_answer(from);
             self.record_contact(from, sent_after);
         }
         for digest in exchange.digests {
--- a/crates/rillgap-core/src/membership/heartbeat.rs
+++ b/crates/rillgap-core/src/membership/heartbeat.rs
@@ -17,7 +17,7 @@
 impl Protocol {
     /// Sends the heartbeats that are due: to the live relays of the zone in rotation, or to all of
     /// them when a new policy or view is to be confirmed. Silent nodes that precede the relays in
-    /// the zone's order are retried every
+    /// the zone's order are retried at most every
     /// [`SILENT_PEER_RETRY_INTERVAL`](super::timing::SILENT_PEER_RETRY_INTERVAL).
     pub fn tick_heartbeat(&mut self, now: Instant, out: &mut Outbox) {
         let confirmed = (self.policy, self.view.version);
@@ -60,7 +60,7 @@
             policy: self.policy,
             status_digest: self.statuses.get(&relay).map_or(0, |status| status.digest),
         };
-        self.contacts.sent(now, relay);
+        self.contacts.record_sent(now, relay);
         self.send(relay, MembershipMessage::Heartbeat(heartbeat), out);
     }
 
@@ -77,7 +77,7 @@
             return;
         }
         let now = now.instant;
-        self.probes.received(now, from, heartbeat.probe);
+        self.probes.record_received(now, from, heartbeat.probe);
         let record = HeartbeatRecord {
             incarnation,
             at: now,
@@ -132,9 +132,10 @@
             return;
         }
         let now = now.instant;
-        self.probes.received(now, from, acknowledgement.probe);
+        self.probes
+            .record_received(now, from, acknowledgement.probe);
         if let Some(sent_after) = self.probes.date(now, acknowledgement.echo) {
-            self.contacts.answered(from);
+            self.contacts.record_answer(from);
             self.zone_contact = self.zone_contact.max(Some(sent_after));
             self.record_lease(sent_after, acknowledgement.lease);
         }
--- a/crates/rillgap-core/src/membership/joining.rs
+++ b/crates/rillgap-core/src/membership/joining.rs
@@ -59,13 +59,13 @@
             None if settings.seeds.is_empty() => Duration::ZERO,
             None => STORE_FALLBACK_DELAY + random.random_range(Duration::ZERO..MAX_DELAY_JITTER),
         };
-        let spread = random.random_range(Duration::ZERO..MEMBERSHIP_REQUEST_INTERVAL / 2);
+        let jitter = random.random_range(Duration::ZERO..MEMBERSHIP_REQUEST_INTERVAL / 2);
         Self {
             started: now,
-            next_request: now + spread / 2,
+            next_request: now + jitter / 2,
             interval: MEMBERSHIP_REQUEST_INTERVAL,
             target_index: random.random_range(0..16),
-            store_fallback_at: now + store_delay + spread,
+            store_fallback_at: now + store_delay + jitter,
             postponed_until: None,
             adds_itself: false,
         }
@@ -103,7 +103,7 @@
         self.postponed_until.is_some_and(|until| now < until)
     }
 
-    /// Postpones store access, because another node writes the view.
+    /// Postpones store access in favour of other nodes, which can write the view.
     fn postpone_store(&mut self, now: Instant, random: &mut ChaCha8Rng) {
         let delay = STORE_FALLBACK_DELAY + random.random_range(Duration::ZERO..MAX_DELAY_JITTER);
         self.store_fallback_at = self.store_fallback_at.max(now + delay);
@@ -218,10 +218,11 @@
     /// identifier, for [`MAX_STORE_POSTPONEMENT`] since it started to join.
     pub fn on_also_joining(&mut self, now: Instant, from: NodeId, accesses_store: bool) {
         let may_postpone = now.saturating_since(self.joining.started) < MAX_STORE_POSTPONEMENT;
-        let is_first = from < self.identity.id;
-        if may_postpone && !self.is_seed() && (accesses_store || is_first) {
-            let defers = is_first || self.seeds.iter().any(|seed| seed.name.id() == from);
-            if defers {
+        let has_lower_id = from < self.identity.id;
+        if may_postpone && !self.is_seed() && (accesses_store || has_lower_id) {
+            let takes_precedence =
+                has_lower_id || self.seeds.iter().any(|seed| seed.name.id() == from);
+            if takes_precedence {
                 self.joining.postpone_store(now, &mut self.random);
             }
         }
--- a/crates/rillgap-core/src/membership/mod.rs
+++ b/crates/rillgap-core/src/membership/mod.rs
@@ -50,7 +50,7 @@
 use history::ViewHistory;
 use protocol::Protocol;
 
-/// Members that are not known to have confirmed a policy version, for use by other modules.
+/// Members that are not known to have confirmed a policy version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Unconfirmed {
     /// Number of members that have not confirmed the version.
@@ -149,7 +149,7 @@
     /// Returns the views within the longest lifetime of a key, the latest last. Views that are not
     /// activated yet have the time [`NOT_ACTIVATED`].
     ///
-    /// Once any node treats a view as activated, no node votes under an earlier one. A replica must
+    /// Once any node treats a view as activated, no node votes under an earlier one. A replica may
     /// vote only if it belongs to the replica group of the key in [`Self::view`] and in all views
     /// back to the one that was activated when the key was first used.
     pub fn view_history(&self) -> &[ActivatedView] {
--- a/crates/rillgap-core/src/membership/probe.rs
+++ b/crates/rillgap-core/src/membership/probe.rs
@@ -55,7 +55,7 @@
     }
 
     /// Records the probe number of a peer's message for the next echo.
-    pub fn received(&mut self, now: Instant, peer: NodeId, probe: u32) {
+    pub fn record_received(&mut self, now: Instant, peer: NodeId, probe: u32) {
         self.received.insert(peer, (probe, now));
     }
 
--- a/crates/rillgap-core/src/membership/protocol.rs
+++ b/crates/rillgap-core/src/membership/protocol.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct ReceivedStatus {
     pub status: Status,
-    /// Hash of the status, by which the relay recognizes whether it has changed.
+    /// Hash of the status. Heartbeats carry it, so that the relay omits an unchanged status.
     pub digest: u32,
     /// Last time at which the relay sent or confirmed this status.
     pub confirmed_at: Instant,
@@ -91,6 +91,7 @@
     pub agreed: ViewVersion,
     /// Policy version in force at this node.
     pub policy: PolicyVersion,
+    /// Highest known policy version; `None` if no node has reported any.
     pub best_policy: Option<KnownPolicy>,
     pub roles: Roles,
     pub probes: ProbeClock,
@@ -99,7 +100,9 @@
     pub digests: DigestTable,
     /// Status that this relay sends to members, with its hash; `None` at other nodes.
     pub own_status: Option<(Box<Status>, u32)>,
+    /// Last status received from each relay.
     pub statuses: BTreeMap<NodeId, ReceivedStatus>,
+    /// Last failure report of each exchange partner.
     pub failure_reports: BTreeMap<NodeId, FailureReport>,
     /// Lower bound on the time of the evidence on which this node votes.
     pub lease: Option<Instant>,
@@ -111,6 +114,7 @@
     pub joining: Joining,
     pub proposals: Proposals,
     pub store: StoreClient,
+    /// Start of the planned leave; `None` if the node is not leaving.
     pub leaving_since: Option<Instant>,
     /// Whether the view has contained a later incarnation of this node, after which this one must
     /// not join again.
@@ -255,15 +259,15 @@
         let relay = is_member && self.zone_relays(now).live.contains(&id);
         let region_relay = is_member && self.region_relays(now, region).live.contains(&id);
         let first = self.topology.region_order(region).iter();
-        let is_first = first
+        let is_near_head = first
             .take(REGION_RELAYS_AND_STANDBYS)
             .any(|node| *node == id);
         self.roles = Roles {
             relay,
             region_relay,
-            region_standby: is_member && is_first && !region_relay,
+            region_standby: is_member && is_near_head && !region_relay,
         };
-        self.detector.watch(now, relay);
+        self.detector.set_relay(now, relay);
         if !relay {
             self.own_status = None;
         }
@@ -295,10 +299,10 @@
     pub fn may_vote(&self, now: Now) -> bool {
         let now = now.instant;
         let not_paused = now.saturating_since(self.last_poll) <= PROCESS_PAUSE_THRESHOLD;
-        let leased = self
+        let has_lease = self
             .lease
             .is_some_and(|lease| now.saturating_since(lease) <= VOTE_LEASE);
-        not_paused && leased && self.is_in_service()
+        not_paused && has_lease && self.is_in_service()
     }
 
     fn is_in_service(&self) -> bool {
@@ -308,20 +312,20 @@
     /// Returns whether the own zone has recently received messages of this node. For the last live
     /// member of a zone, contact with another zone suffices; the only member of a zone needs none.
     pub fn has_recent_contact(&self, now: Instant) -> bool {
-        let recent = |contact: Option<Instant>| {
+        let is_recent = |contact: Option<Instant>| {
             contact.is_some_and(|at| now.saturating_since(at) <= CONTACT_TIMEOUT)
         };
         let order = self.topology.order(self.identity.zone);
         if order.len() <= 1 {
             return true;
         }
-        if recent(self.zone_contact.max(self.detector.last_dated())) {
+        if is_recent(self.zone_contact.max(self.detector.last_dated())) {
             return true;
         }
-        let is_last = order
+        let is_last_live = order
             .iter()
             .all(|&node| node == self.identity.id || self.contacts.is_silent(now, node));
-        is_last && recent(self.other_contact)
+        is_last_live && is_recent(self.other_contact)
     }
 
     pub fn leave(&mut self, now: Instant) {
@@ -462,7 +466,7 @@
     /// has ended.
     fn detect_restart(&mut self, now: Instant, node: NodeId, incarnation: Incarnation) {
         if !self.is_current_incarnation(node, incarnation) && self.view.member(node).is_some() {
-            self.contacts.ended(now, node);
+            self.contacts.mark_ended(now, node);
         }
     }
 }
--- a/crates/rillgap-core/src/membership/store_client.rs
+++ b/crates/rillgap-core/src/membership/store_client.rs
@@ -87,7 +87,7 @@
     machines_index: Option<ModifyIndex>,
     /// Last known machine list; only the leaving machines at a node that does not read the list.
     pub machines: Vec<Machine>,
-    /// Time since when this node has been a store reader; `None` if it is none.
+    /// Time since when this node has been a store reader; `None` if it is not one.
     pub reading_since: Option<Instant>,
     /// Content of the write in flight.
     pub writing: Option<StoredView>,
