--- a/crates/rillgap-mesh/src/accept.rs
+++ b/crates/rillgap-mesh/src/accept.rs
@@ -26,7 +26,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 /// Size of the read buffer in bytes; it grows to the longest frame where needed.
-const READ_BUFFER: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Receiving side of the mesh.
 #[derive(Clone, Debug)]
@@ -69,7 +69,7 @@
     }
 
     async fn serve(self, stream: TcpStream, address: SocketAddr, permit: OwnedSemaphorePermit) {
-        let (stream, hello) = match self.open(stream).await {
+        let (stream, hello) = match self.exchange_hellos(stream).await {
             Ok(opened) => opened,
             Err(error) => {
                 log::warn!(address:% = address, code = error.code().number(); "mesh: connection refused: {error}");
@@ -81,14 +81,17 @@
             let error = reader.read(stream, hello).await;
             let peer = hello.node;
             log::warn!(peer = peer.0, code = error.code().number(); "mesh: link ended: {error}");
-            reader.forget(peer, tokio::task::id());
+            reader.remove_link(peer, tokio::task::id());
             reader.report_loss(peer).await;
             drop(permit);
         });
-        self.replace(hello.node, task.abort_handle()).await;
+        self.replace_link(hello.node, task.abort_handle()).await;
     }
 
-    async fn open(&self, mut stream: TcpStream) -> Result<(TcpStream, Hello), LinkError> {
+    async fn exchange_hellos(
+        &self,
+        mut stream: TcpStream,
+    ) -> Result<(TcpStream, Hello), LinkError> {
         stream.set_nodelay(true)?;
         let hello = timeout(HELLO_TIMEOUT, hello::accept(&mut stream, self.hello))
             .await
@@ -97,7 +100,7 @@
     }
 
     /// Ends the earlier link of a peer, whose messages in flight are lost.
-    async fn replace(&self, peer: NodeId, task: AbortHandle) {
+    async fn replace_link(&self, peer: NodeId, task: AbortHandle) {
         let earlier = self
             .links
             .lock()
@@ -111,7 +114,7 @@
     }
 
     /// Forgets a link that ended by itself, unless another has taken its place.
-    fn forget(&self, peer: NodeId, task: Id) {
+    fn remove_link(&self, peer: NodeId, task: Id) {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         if links.get(&peer).is_some_and(|link| link.id() == task) {
             links.remove(&peer);
@@ -120,7 +123,8 @@
 
     /// Feeds the messages of a link to the node until the link ends.
     async fn read(&self, stream: TcpStream, hello: Hello) -> LinkError {
-        let mut frames = FramedRead::with_capacity(stream, FrameDecoder::default(), READ_BUFFER);
+        let mut frames =
+            FramedRead::with_capacity(stream, FrameDecoder::default(), READ_BUFFER_BYTES);
         loop {
             let message = match frames.next().await {
                 Some(Ok(message)) => message,
--- a/crates/rillgap-mesh/src/budget.rs
+++ b/crates/rillgap-mesh/src/budget.rs
@@ -19,24 +19,24 @@
 
 impl SendBudget {
     /// Takes room for a frame; returns whether there was room.
-    pub fn try_take(&self, length: usize) -> bool {
+    pub fn try_reserve(&self, length: usize) -> bool {
         let frames = self.frames.fetch_add(1, Ordering::AcqRel) + 1;
         let bytes = self.bytes.fetch_add(length, Ordering::AcqRel) + length;
         let fits = frames <= MAX_QUEUED_FRAMES && bytes <= MAX_QUEUED_BYTES;
         if !fits {
-            self.give_back(length);
+            self.release(length);
         }
         fits
     }
 
     /// Gives back the room of a frame.
-    pub fn give_back(&self, length: usize) {
+    pub fn release(&self, length: usize) {
         self.frames.fetch_sub(1, Ordering::AcqRel);
         self.bytes.fetch_sub(length, Ordering::AcqRel);
     }
 
     /// Returns whether no frame waits.
-    pub fn is_unused(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.frames.load(Ordering::Acquire) == 0
     }
 }
--- a/crates/rillgap-mesh/src/frame.rs
+++ b/crates/rillgap-mesh/src/frame.rs
@@ -14,10 +14,10 @@
 pub const MAX_FRAME_LENGTH: usize = 1024 * 1024;
 
 /// Length of the length field in bytes.
-const LENGTH_FIELD: usize = 4;
+const LENGTH_FIELD_BYTES: usize = 4;
 
 /// Length of the kind in bytes.
-const KIND_FIELD: usize = 1;
+const KIND_FIELD_BYTES: usize = 1;
 
 const KIND_CALL: u8 = 0;
 const KIND_CLAIM: u8 = 1;
@@ -57,14 +57,14 @@
                 (KIND_CONFIGURATION, buffers.configuration.encode(message))
             }
         };
-        let length = KIND_FIELD + payload.len();
+        let length = KIND_FIELD_BYTES + payload.len();
         if length > MAX_FRAME_LENGTH {
             return Err(LinkError::FrameTooLong {
                 limit: MAX_FRAME_LENGTH,
             });
         }
         let length_field = u32::try_from(length).map_err(|_| LinkError::FrameMalformed)?;
-        let mut frame = BytesMut::with_capacity(LENGTH_FIELD + length);
+        let mut frame = BytesMut::with_capacity(LENGTH_FIELD_BYTES + length);
         frame.extend_from_slice(&length_field.to_be_bytes());
         frame.extend_from_slice(&[kind]);
         frame.extend_from_slice(payload);
@@ -81,7 +81,7 @@
 impl Default for FrameDecoder {
     fn default() -> Self {
         let lengths = LengthDelimitedCodec::builder()
-            .length_field_length(LENGTH_FIELD)
+            .length_field_length(LENGTH_FIELD_BYTES)
             .max_frame_length(MAX_FRAME_LENGTH)
             .new_codec();
         Self {
--- a/crates/rillgap-mesh/src/link.rs
+++ b/crates/rillgap-mesh/src/link.rs
@@ -28,7 +28,7 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Size of the write buffer in bytes.
-const WRITE_BUFFER: usize = 16 * 1024;
+const WRITE_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Message of the mesh to a link.
 #[derive(Debug)]
@@ -91,13 +91,13 @@
             .map_err(|_| LinkError::Timeout)??;
         let (reader, writer) = stream.into_split();
         tokio::spawn(report_close(reader, myself));
-        state.writer = Some(BufWriter::with_capacity(WRITE_BUFFER, writer));
+        state.writer = Some(BufWriter::with_capacity(WRITE_BUFFER_BYTES, writer));
         let peer = state.arguments.peer;
         // The supervisor outlives its links.
         let _ = state
             .arguments
             .supervisor
-            .cast(SupervisorMessage::Opened(peer));
+            .cast(SupervisorMessage::LinkOpened(peer));
         log::info!(peer = peer.0, address:% = state.arguments.address; "mesh: link opened");
         Ok(())
     }
@@ -125,8 +125,8 @@
     async fn write(&mut self, frame: &[u8]) -> Result<(), LinkError> {
         let writer = self.writer.as_mut().ok_or(LinkError::Closed)?;
         writer.write_all(frame).await?;
-        self.arguments.budget.give_back(frame.len());
-        if self.arguments.budget.is_unused() {
+        self.arguments.budget.release(frame.len());
+        if self.arguments.budget.is_empty() {
             writer.flush().await?;
         }
         Ok(())
--- a/crates/rillgap-mesh/src/mesh.rs
+++ b/crates/rillgap-mesh/src/mesh.rs
@@ -72,15 +72,15 @@
                 return;
             }
         };
-        let Some(link) = self.link(outgoing.to, outgoing.address).await else {
+        let Some(link) = self.get_or_open_link(outgoing.to, outgoing.address).await else {
             self.report_drop(outgoing.to);
             return;
         };
-        self.push(outgoing.to, &link, frame);
+        self.enqueue(outgoing.to, &link, frame);
     }
 
-    fn push(&self, peer: NodeId, link: &OpenLink, frame: Bytes) {
-        if !link.budget.try_take(frame.len()) {
+    fn enqueue(&self, peer: NodeId, link: &OpenLink, frame: Bytes) {
+        if !link.budget.try_reserve(frame.len()) {
             log::warn!(peer = peer.0; "mesh: peer takes messages too slowly, dropping its link");
             link.actor.kill();
             return;
@@ -91,11 +91,11 @@
     }
 
     /// Returns the link to a peer, opening one unless the last try has just failed.
-    async fn link(&self, peer: NodeId, address: SocketAddr) -> Option<OpenLink> {
+    async fn get_or_open_link(&self, peer: NodeId, address: SocketAddr) -> Option<OpenLink> {
         if let Some(link) = self.existing_link(peer, address) {
             return Some(link);
         }
-        if self.must_back_off(peer) {
+        if self.is_backing_off(peer) {
             return None;
         }
         let budget = Arc::new(SendBudget::default());
@@ -128,29 +128,33 @@
         // The peer has moved: its old link is replaced, and what waited for it is lost.
         link.actor.kill();
         entry.link = None;
-        entry.loss_reported = true;
-        let _ = self.supervisor.cast(SupervisorMessage::Dropped(peer));
+        entry.loss_pending = true;
+        let _ = self
+            .supervisor
+            .cast(SupervisorMessage::MessagesDropped(peer));
         None
     }
 
-    fn must_back_off(&self, peer: NodeId) -> bool {
+    fn is_backing_off(&self, peer: NodeId) -> bool {
         let now = Instant::now();
         self.links
             .lock()
             .get(&peer)
-            .and_then(|entry| entry.not_before)
-            .is_some_and(|not_before| now < not_before)
+            .and_then(|entry| entry.retry_at)
+            .is_some_and(|retry_at| now < retry_at)
     }
 
     /// Reports dropped messages, at most once until the node has been told.
     fn report_drop(&self, peer: NodeId) {
         let mut peers = self.links.lock();
         let entry: &mut PeerEntry = peers.entry(peer).or_default();
-        if entry.loss_reported {
+        if entry.loss_pending {
             return;
         }
-        entry.loss_reported = true;
+        entry.loss_pending = true;
         // The supervisor ends only with the mesh.
-        let _ = self.supervisor.cast(SupervisorMessage::Dropped(peer));
+        let _ = self
+            .supervisor
+            .cast(SupervisorMessage::MessagesDropped(peer));
     }
 }
--- a/crates/rillgap-mesh/src/supervisor.rs
+++ b/crates/rillgap-mesh/src/supervisor.rs
@@ -15,10 +15,10 @@
 use crate::link::LinkMessage;
 
 /// Time after a first failure during which no new link is tried.
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Longest time between two tries.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// A link that is open or being opened.
 #[derive(Clone, Debug)]
@@ -37,9 +37,9 @@
     /// The link, if there is one.
     pub link: Option<OpenLink>,
     /// Time before which no new link is tried.
-    pub not_before: Option<Instant>,
+    pub retry_at: Option<Instant>,
     /// Whether a loss is already on its way to the node.
-    pub loss_reported: bool,
+    pub loss_pending: bool,
     backoff: Duration,
 }
 
@@ -66,8 +66,8 @@
         })?;
         entry.link = None;
         let was_open = entry.backoff.is_zero();
-        entry.backoff = (entry.backoff * 2).clamp(FIRST_BACKOFF, LONGEST_BACKOFF);
-        entry.not_before = Some(now + entry.backoff);
+        entry.backoff = (entry.backoff * 2).clamp(INITIAL_BACKOFF, MAX_BACKOFF);
+        entry.retry_at = Some(now + entry.backoff);
         Some(EndedLink {
             peer: *peer,
             was_open,
@@ -87,9 +87,9 @@
 #[derive(Clone, Copy, Debug)]
 pub enum SupervisorMessage {
     /// Messages to a peer were dropped.
-    Dropped(NodeId),
+    MessagesDropped(NodeId),
     /// A link was opened, so the next failure starts with a short pause again.
-    Opened(NodeId),
+    LinkOpened(NodeId),
 }
 
 /// State of the supervisor.
@@ -123,8 +123,8 @@
         state: &mut SupervisorState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            SupervisorMessage::Dropped(peer) => state.report_loss(peer).await,
-            SupervisorMessage::Opened(peer) => state.reset_backoff(peer),
+            SupervisorMessage::MessagesDropped(peer) => state.report_loss(peer).await,
+            SupervisorMessage::LinkOpened(peer) => state.reset_backoff(peer),
         }
         Ok(())
     }
@@ -137,11 +137,11 @@
     ) -> Result<(), ActorProcessingErr> {
         match event {
             SupervisionEvent::ActorFailed(link, error) => {
-                state.on_ended(&link, &error.to_string()).await;
+                state.on_link_ended(&link, &error.to_string()).await;
             }
             SupervisionEvent::ActorTerminated(link, _, reason) => {
                 state
-                    .on_ended(&link, reason.as_deref().unwrap_or("stopped"))
+                    .on_link_ended(&link, reason.as_deref().unwrap_or("stopped"))
                     .await;
             }
             _ => {}
@@ -151,7 +151,7 @@
 }
 
 impl SupervisorState {
-    async fn on_ended(&mut self, link: &ActorCell, reason: &str) {
+    async fn on_link_ended(&mut self, link: &ActorCell, reason: &str) {
         let Some(ended) = self.links.remove(link.get_id(), Instant::now()) else {
             return;
         };
@@ -167,7 +167,7 @@
 
     async fn report_loss(&mut self, peer: NodeId) {
         if let Some(entry) = self.links.lock().get_mut(&peer) {
-            entry.loss_reported = false;
+            entry.loss_pending = false;
         }
         // The node duty ends before the rings do; a closed ring means that the process ends.
         let _ = self.events.send(Event::PeerLost { peer }).await;
--- a/crates/rillgap-operator/src/client.rs
+++ b/crates/rillgap-operator/src/client.rs
@@ -12,11 +12,11 @@
 use crate::convert;
 use crate::error::{MessageError, OperatorError};
 use crate::schema;
-use crate::schema::operator_client::OperatorClient as Calls;
+use crate::schema::operator_client::OperatorClient as GeneratedClient;
 use crate::status;
 
 /// Longest answer that is read, in bytes.
-const LONGEST_MESSAGE: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// A stored change of the policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 /// Client of one node. Calls fail with [`OperatorError`]; none is repeated by the client itself.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
-    calls: Calls<Channel>,
+    generated: GeneratedClient<Channel>,
     timeout: Duration,
 }
 
@@ -60,18 +60,22 @@
 
     /// Creates a client on a channel that exists already.
     pub fn from_channel(channel: Channel, timeout: Duration) -> Self {
-        let calls = Calls::new(channel).max_decoding_message_size(LONGEST_MESSAGE);
-        Self { calls, timeout }
+        let generated = GeneratedClient::new(channel).max_decoding_message_size(MAX_RESPONSE_BYTES);
+        Self { generated, timeout }
     }
 
     /// Returns the policy in force at the node.
     pub async fn get_policy(&mut self) -> Result<Policy, OperatorError> {
         let request = self.request(schema::GetPolicyRequest {});
-        let response = self.calls.get_policy(request).await.map_err(read)?;
+        let response = self
+            .generated
+            .get_policy(request)
+            .await
+            .map_err(error_from_status)?;
         let policy = response
             .into_inner()
             .policy
-            .ok_or_else(|| missing("policy"))?;
+            .ok_or_else(|| missing_field("policy"))?;
         Ok(convert::policy_from_schema(policy)?)
     }
 
@@ -89,7 +93,11 @@
             expected_version: expected.map(|version| version.0),
             change_id: change_text(change),
         });
-        let response = self.calls.apply_policy(request).await.map_err(read)?;
+        let response = self
+            .generated
+            .apply_policy(request)
+            .await
+            .map_err(error_from_status)?;
         Ok(convert::change_from_schema(response.into_inner().change)?)
     }
 
@@ -104,10 +112,14 @@
     ) -> Result<Change, OperatorError> {
         let request = self.request(schema::SetBackEndStateRequest {
             back_end: back_end.0,
-            state: convert::state_to_schema(state).into(),
+            state: convert::back_end_state_to_schema(state).into(),
             change_id: change_text(change),
         });
-        let response = self.calls.set_back_end_state(request).await.map_err(read)?;
+        let response = self
+            .generated
+            .set_back_end_state(request)
+            .await
+            .map_err(error_from_status)?;
         Ok(convert::change_from_schema(response.into_inner().change)?)
     }
 
@@ -116,27 +128,38 @@
         let request = self.request(schema::GetChangeRequest {
             change_id: change_text(change),
         });
-        let response = self.calls.get_change(request).await.map_err(read)?;
+        let response = self
+            .generated
+            .get_change(request)
+            .await
+            .map_err(error_from_status)?;
         Ok(convert::change_from_schema(response.into_inner().change)?)
     }
 
     /// Tells members and versions as the node sees them.
     pub async fn get_status(&mut self) -> Result<DeploymentStatus, OperatorError> {
         let request = self.request(schema::GetStatusRequest {});
-        let response = self.calls.get_status(request).await.map_err(read)?;
+        let response = self
+            .generated
+            .get_status(request)
+            .await
+            .map_err(error_from_status)?;
         let status = response.into_inner();
         Ok(DeploymentStatus {
             policy: PolicyVersion(status.policy_version),
             view: ViewVersion(status.view_version),
             serving: status.serving,
-            members: status.members.into_iter().map(member).collect(),
+            members: status.members.into_iter().map(member_from_schema).collect(),
         })
     }
 
     /// Stops the node as planned.
     pub async fn stop_node(&mut self) -> Result<(), OperatorError> {
         let request = self.request(schema::StopNodeRequest {});
-        self.calls.stop_node(request).await.map_err(read)?;
+        self.generated
+            .stop_node(request)
+            .await
+            .map_err(error_from_status)?;
         Ok(())
     }
 
@@ -154,10 +177,10 @@
 
 /// Reads a change identifier from the text form of a UUID.
 pub fn parse_change(text: &str) -> Result<ChangeId, MessageError> {
-    convert::change_id(text)
+    convert::parse_change_id(text)
 }
 
-fn member(member: schema::MemberStatus) -> MemberStatus {
+fn member_from_schema(member: schema::MemberStatus) -> MemberStatus {
     MemberStatus {
         node: NodeName(member.node),
         zone: ZoneName(member.zone),
@@ -166,7 +189,7 @@
     }
 }
 
-fn missing(field: &str) -> MessageError {
+fn missing_field(field: &str) -> MessageError {
     MessageError::Missing {
         field: field.to_owned(),
     }
@@ -178,6 +201,6 @@
     }
 }
 
-fn read(status: Status) -> OperatorError {
-    status::read(&status)
+fn error_from_status(status: Status) -> OperatorError {
+    status::error_from_status(&status)
 }
--- a/crates/rillgap-operator/src/convert/change.rs
+++ b/crates/rillgap-operator/src/convert/change.rs
@@ -9,7 +9,7 @@
 use crate::schema;
 
 /// Reads the identifier of a change.
-pub fn change_id(text: &str) -> Result<ChangeId, MessageError> {
+pub fn parse_change_id(text: &str) -> Result<ChangeId, MessageError> {
     Uuid::parse_str(text)
         .map(|id| ChangeId(id.as_u128()))
         .map_err(|_| MessageError::ChangeId {
--- a/crates/rillgap-operator/src/convert/policy.rs
+++ b/crates/rillgap-operator/src/convert/policy.rs
@@ -25,10 +25,20 @@
 
 /// Reads a policy. Whether it is valid is for the core to say.
 pub fn policy_from_schema(policy: schema::Policy) -> Result<Policy, MessageError> {
-    let bounds = policy.bounds.map_or(Ok(Bounds::default()), read_bounds)?;
-    let services = policy.services.into_iter().enumerate().map(read_service);
-    let routes = policy.routes.into_iter().enumerate().map(read_route);
-    let back_ends = policy.back_ends.into_iter().enumerate().map(read_back_end);
+    let bounds = policy
+        .bounds
+        .map_or(Ok(Bounds::default()), bounds_from_schema)?;
+    let services = policy
+        .services
+        .into_iter()
+        .enumerate()
+        .map(service_from_schema);
+    let routes = policy.routes.into_iter().enumerate().map(route_from_schema);
+    let back_ends = policy
+        .back_ends
+        .into_iter()
+        .enumerate()
+        .map(back_end_from_schema);
     Ok(Policy {
         version: PolicyVersion(policy.version),
         bounds,
@@ -40,7 +50,7 @@
 }
 
 /// Writes the state of a back end.
-pub fn state_to_schema(state: BackEndState) -> schema::BackEndState {
+pub fn back_end_state_to_schema(state: BackEndState) -> schema::BackEndState {
     match state {
         BackEndState::Serving => schema::BackEndState::Serving,
         BackEndState::Leaving => schema::BackEndState::Leaving,
@@ -48,11 +58,11 @@
 }
 
 /// Reads the state of a back end.
-pub fn back_end_state(field: &str, value: i32) -> Result<BackEndState, MessageError> {
+pub fn back_end_state_from_schema(field: &str, value: i32) -> Result<BackEndState, MessageError> {
     match schema::BackEndState::try_from(value) {
         Ok(schema::BackEndState::Serving) => Ok(BackEndState::Serving),
         Ok(schema::BackEndState::Leaving) => Ok(BackEndState::Leaving),
-        Ok(schema::BackEndState::Unspecified) | Err(_) => Err(unknown(field, value)),
+        Ok(schema::BackEndState::Unspecified) | Err(_) => Err(unknown_value(field, value)),
     }
 }
 
@@ -65,12 +75,12 @@
     }
 }
 
-fn read_bounds(bounds: schema::Bounds) -> Result<Bounds, MessageError> {
+fn bounds_from_schema(bounds: schema::Bounds) -> Result<Bounds, MessageError> {
     Ok(Bounds {
-        extra_attempts: byte("policy.bounds.extra_attempts", bounds.extra_attempts)?,
-        calls_per_request: byte("policy.bounds.calls_per_request", bounds.calls_per_request)?,
+        extra_attempts: to_u8("policy.bounds.extra_attempts", bounds.extra_attempts)?,
+        calls_per_request: to_u8("policy.bounds.calls_per_request", bounds.calls_per_request)?,
         key_life_seconds: bounds.key_life_seconds,
-        retry_percent: byte("policy.bounds.retry_percent", bounds.retry_percent)?,
+        retry_percent: to_u8("policy.bounds.retry_percent", bounds.retry_percent)?,
     })
 }
 
@@ -83,14 +93,14 @@
     }
 }
 
-fn read_service(
+fn service_from_schema(
     (position, service): (usize, schema::ServicePolicy),
 ) -> Result<ServicePolicy, MessageError> {
     let field = |name: &str| format!("policy.services[{position}].{name}");
     Ok(ServicePolicy {
         name: ServiceName(service.name),
-        slots: short(&field("slots"), service.slots)?,
-        connections: short(&field("connections"), service.connections)?,
+        slots: to_u16(&field("slots"), service.slots)?,
+        connections: to_u16(&field("connections"), service.connections)?,
         queue_millis: service.queue_millis,
     })
 }
@@ -106,12 +116,12 @@
     }
 }
 
-fn read_route(
+fn route_from_schema(
     (position, route): (usize, schema::RoutePolicy),
 ) -> Result<RoutePolicy, MessageError> {
     let field = format!("policy.routes[{position}].class");
     Ok(RoutePolicy {
-        class: read_class(&field, route.class)?,
+        class: class_from_schema(&field, route.class)?,
         service: ServiceName(route.service),
         method: route.method,
         path: route.path,
@@ -129,13 +139,13 @@
     }
 }
 
-fn read_class(field: &str, value: i32) -> Result<Class, MessageError> {
+fn class_from_schema(field: &str, value: i32) -> Result<Class, MessageError> {
     match schema::Class::try_from(value) {
         Ok(schema::Class::Bulk) => Ok(Class::Bulk),
         Ok(schema::Class::Sheddable) => Ok(Class::Sheddable),
         Ok(schema::Class::Standard) => Ok(Class::Standard),
         Ok(schema::Class::Critical) => Ok(Class::Critical),
-        Ok(schema::Class::Unspecified) | Err(_) => Err(unknown(field, value)),
+        Ok(schema::Class::Unspecified) | Err(_) => Err(unknown_value(field, value)),
     }
 }
 
@@ -144,27 +154,27 @@
         name: back_end.name.0,
         service: back_end.service.0,
         node: back_end.node.0,
-        state: state_to_schema(back_end.state).into(),
+        state: back_end_state_to_schema(back_end.state).into(),
     }
 }
 
-fn read_back_end(
+fn back_end_from_schema(
     (position, back_end): (usize, schema::BackEndPolicy),
 ) -> Result<BackEndPolicy, MessageError> {
     let field = format!("policy.back_ends[{position}].state");
     Ok(BackEndPolicy {
-        state: back_end_state(&field, back_end.state)?,
+        state: back_end_state_from_schema(&field, back_end.state)?,
         name: BackEndName(back_end.name),
         service: ServiceName(back_end.service),
         node: NodeName(back_end.node),
     })
 }
 
-fn byte(field: &str, value: u32) -> Result<u8, MessageError> {
+fn to_u8(field: &str, value: u32) -> Result<u8, MessageError> {
     u8::try_from(value).map_err(|_| out_of_range(field, value, u8::MAX.into()))
 }
 
-fn short(field: &str, value: u32) -> Result<u16, MessageError> {
+fn to_u16(field: &str, value: u32) -> Result<u16, MessageError> {
     u16::try_from(value).map_err(|_| out_of_range(field, value, u16::MAX.into()))
 }
 
@@ -176,7 +186,7 @@
     }
 }
 
-fn unknown(field: &str, value: i32) -> MessageError {
+fn unknown_value(field: &str, value: i32) -> MessageError {
     MessageError::UnknownValue {
         field: field.to_owned(),
         value,
--- a/crates/rillgap-operator/src/handle.rs
+++ b/crates/rillgap-operator/src/handle.rs
@@ -19,7 +19,7 @@
 /// The node takes no requests any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the node has stopped")]
-pub struct NodeGone;
+pub struct NodeStopped;
 
 /// Sends requests to the node; clones share one bounded channel.
 #[derive(Clone, Debug)]
@@ -35,12 +35,12 @@
     }
 
     /// Sends one request and waits for its reply.
-    pub async fn call(&self, request: OperatorRequest) -> Result<OperatorReply, NodeGone> {
+    pub async fn call(&self, request: OperatorRequest) -> Result<OperatorReply, NodeStopped> {
         let (reply, answer) = oneshot::channel();
         self.calls
             .send(OperatorCall { request, reply })
             .await
-            .map_err(|_| NodeGone)?;
-        answer.await.map_err(|_| NodeGone)
+            .map_err(|_| NodeStopped)?;
+        answer.await.map_err(|_| NodeStopped)
     }
 }
--- a/crates/rillgap-operator/src/service.rs
+++ b/crates/rillgap-operator/src/service.rs
@@ -17,10 +17,10 @@
 use crate::status;
 
 /// Most calls that one connection of an operator may have open.
-const CALLS_PER_CONNECTION: usize = 16;
+const MAX_CALLS_PER_CONNECTION: usize = 16;
 
 /// Longest message that is read, in bytes: a policy of about 20,000 back ends.
-const LONGEST_MESSAGE: usize = 2 * 1024 * 1024;
+const MAX_REQUEST_BYTES: usize = 2 * 1024 * 1024;
 
 /// The service, in front of one node.
 #[derive(Clone, Debug)]
@@ -36,12 +36,12 @@
 
     /// Returns the service in the form that a tonic server takes.
     pub fn into_server(self) -> OperatorServer<Self> {
-        OperatorServer::new(self).max_decoding_message_size(LONGEST_MESSAGE)
+        OperatorServer::new(self).max_decoding_message_size(MAX_REQUEST_BYTES)
     }
 
-    async fn ask(&self, request: OperatorRequest) -> Result<OperatorReply, Status> {
+    async fn call_node(&self, request: OperatorRequest) -> Result<OperatorReply, Status> {
         let reply = self.node.call(request).await.map_err(|gone| {
-            status::failure(
+            status::failure_status(
                 ResultCode::NodeStopping,
                 PolicyVersion(0),
                 &gone.to_string(),
@@ -52,13 +52,16 @@
                 code,
                 version,
                 detail,
-            } => Err(status::failure(code, version, &detail)),
+            } => Err(status::failure_status(code, version, &detail)),
             reply => Ok(reply),
         }
     }
 
-    async fn ask_change(&self, request: OperatorRequest) -> Result<schema::Change, Status> {
-        match self.ask(request).await? {
+    async fn call_node_for_change(
+        &self,
+        request: OperatorRequest,
+    ) -> Result<schema::Change, Status> {
+        match self.call_node(request).await? {
             OperatorReply::Change { version, state } => {
                 Ok(convert::change_to_schema(version, state))
             }
@@ -74,7 +77,7 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), tonic::transport::Error> {
     Server::builder()
-        .concurrency_limit_per_connection(CALLS_PER_CONNECTION)
+        .concurrency_limit_per_connection(MAX_CALLS_PER_CONNECTION)
         .add_service(OperatorService::new(node).into_server())
         .serve_with_incoming_shutdown(TcpListenerStream::new(listener), stop)
         .await
@@ -86,7 +89,7 @@
         &self,
         _request: Request<schema::GetPolicyRequest>,
     ) -> Result<Response<schema::GetPolicyResponse>, Status> {
-        match self.ask(OperatorRequest::GetPolicy).await? {
+        match self.call_node(OperatorRequest::GetPolicy).await? {
             OperatorReply::Policy(policy) => Ok(Response::new(schema::GetPolicyResponse {
                 policy: Some(convert::policy_to_schema(policy)),
             })),
@@ -102,11 +105,11 @@
         let policy = request.policy.unwrap_or_default();
         let policy = convert::policy_from_schema(policy)
             .map_err(|error| invalid_policy(&error.to_string()))?;
-        let change =
-            convert::change_id(&request.change_id).map_err(|error| status::malformed(&error))?;
+        let change = convert::parse_change_id(&request.change_id)
+            .map_err(|error| status::malformed_status(&error))?;
         let expected = request.expected_version.map(PolicyVersion);
         let change = self
-            .ask_change(OperatorRequest::ApplyPolicy {
+            .call_node_for_change(OperatorRequest::ApplyPolicy {
                 policy,
                 expected,
                 change,
@@ -122,12 +125,12 @@
         request: Request<schema::SetBackEndStateRequest>,
     ) -> Result<Response<schema::SetBackEndStateResponse>, Status> {
         let request = request.into_inner();
-        let state = convert::back_end_state("state", request.state)
-            .map_err(|error| status::malformed(&error))?;
-        let change =
-            convert::change_id(&request.change_id).map_err(|error| status::malformed(&error))?;
+        let state = convert::back_end_state_from_schema("state", request.state)
+            .map_err(|error| status::malformed_status(&error))?;
+        let change = convert::parse_change_id(&request.change_id)
+            .map_err(|error| status::malformed_status(&error))?;
         let change = self
-            .ask_change(OperatorRequest::SetBackEndState {
+            .call_node_for_change(OperatorRequest::SetBackEndState {
                 back_end: rillgap_core::id::BackEndName(request.back_end),
                 state,
                 change,
@@ -142,10 +145,10 @@
         &self,
         request: Request<schema::GetChangeRequest>,
     ) -> Result<Response<schema::GetChangeResponse>, Status> {
-        let change = convert::change_id(&request.into_inner().change_id)
-            .map_err(|error| status::malformed(&error))?;
+        let change = convert::parse_change_id(&request.into_inner().change_id)
+            .map_err(|error| status::malformed_status(&error))?;
         let change = self
-            .ask_change(OperatorRequest::GetChange { change })
+            .call_node_for_change(OperatorRequest::GetChange { change })
             .await?;
         Ok(Response::new(schema::GetChangeResponse {
             change: Some(change),
@@ -156,7 +159,7 @@
         &self,
         _request: Request<schema::GetStatusRequest>,
     ) -> Result<Response<schema::GetStatusResponse>, Status> {
-        match self.ask(OperatorRequest::GetStatus).await? {
+        match self.call_node(OperatorRequest::GetStatus).await? {
             OperatorReply::Status {
                 policy,
                 view,
@@ -173,7 +176,7 @@
         &self,
         _request: Request<schema::StopNodeRequest>,
     ) -> Result<Response<schema::StopNodeResponse>, Status> {
-        match self.ask(OperatorRequest::StopNode).await? {
+        match self.call_node(OperatorRequest::StopNode).await? {
             OperatorReply::Stopping => Ok(Response::new(schema::StopNodeResponse {})),
             reply => Err(unexpected(&reply)),
         }
@@ -181,10 +184,10 @@
 }
 
 fn invalid_policy(detail: &str) -> Status {
-    status::failure(ResultCode::PolicyInvalid, PolicyVersion(0), detail)
+    status::failure_status(ResultCode::PolicyInvalid, PolicyVersion(0), detail)
 }
 
 fn unexpected(reply: &OperatorReply) -> Status {
     log::error!("operator: the node gave an unexpected reply; reply={reply:?}");
-    status::failure(ResultCode::Internal, PolicyVersion(0), "unexpected reply")
+    status::failure_status(ResultCode::Internal, PolicyVersion(0), "unexpected reply")
 }
--- a/crates/rillgap-operator/src/status.rs
+++ b/crates/rillgap-operator/src/status.rs
@@ -12,7 +12,7 @@
 const VERSION_KEY: &str = "policy_version";
 
 /// Returns the status that tells a client of a failure.
-pub fn failure(code: ResultCode, version: PolicyVersion, detail: &str) -> Status {
+pub fn failure_status(code: ResultCode, version: PolicyVersion, detail: &str) -> Status {
     let metadata = [
         (CODE_KEY.to_owned(), code.number().to_string()),
         (VERSION_KEY.to_owned(), version.0.to_string()),
@@ -22,19 +22,19 @@
 }
 
 /// Returns the status that tells a client of a malformed message.
-pub fn malformed(error: &MessageError) -> Status {
+pub fn malformed_status(error: &MessageError) -> Status {
     let detail = error.to_string();
-    failure(ResultCode::MalformedRequest, PolicyVersion(0), &detail)
+    failure_status(ResultCode::MalformedRequest, PolicyVersion(0), &detail)
 }
 
 /// Reads the failure back from a status; one without our details comes from the transport.
-pub fn read(status: &Status) -> OperatorError {
-    numbered(status).unwrap_or_else(|| OperatorError::Unreachable {
+pub fn error_from_status(status: &Status) -> OperatorError {
+    parse_failure(status).unwrap_or_else(|| OperatorError::Unreachable {
         detail: status.message().to_owned(),
     })
 }
 
-fn numbered(status: &Status) -> Option<OperatorError> {
+fn parse_failure(status: &Status) -> Option<OperatorError> {
     let info = status.get_details_error_info()?;
     if info.domain != DOMAIN {
         return None;
--- a/crates/rillgap-platform/src/client.rs
+++ b/crates/rillgap-platform/src/client.rs
@@ -14,12 +14,12 @@
 use crate::wire;
 
 /// Time in which a request that does not wait must be answered.
-pub const PLAIN_TIMEOUT: Duration = Duration::from_secs(2);
+pub const NON_BLOCKING_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for which a blocking query asks the platform to wait.
 pub const BLOCKING_WAIT: Duration = Duration::from_secs(30);
 
 /// Time that a blocking query may take beyond [`BLOCKING_WAIT`].
-const BLOCKING_GRACE: Duration = Duration::from_secs(5);
+const BLOCKING_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
 /// Client of the platform, cheap to clone; its requests may run at the same time.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
@@ -40,7 +40,7 @@
         Self {
             endpoints: endpoints.into(),
             preferred: Arc::new(AtomicUsize::new(0)),
-            transport: Transport::new(PLAIN_TIMEOUT),
+            transport: Transport::new(NON_BLOCKING_TIMEOUT),
         }
     }
 
@@ -101,7 +101,7 @@
         after: Option<ModifyIndex>,
     ) -> Result<ReadAnswer, PlatformError> {
         let path = format!("/v1/kv/{}{}", key.0, blocking_query(after));
-        let answer = self.get(&path, timeout_of(after)).await?;
+        let answer = self.get(&path, request_timeout(after)).await?;
         let object = match answer.status {
             StatusCode::OK => Some(wire::decode_object(&answer.body)?),
             _ => None,
@@ -114,7 +114,7 @@
 
     async fn machines(&self, after: Option<ModifyIndex>) -> Result<StoreReply, PlatformError> {
         let path = format!("/v1/catalog/nodes{}", blocking_query(after));
-        let answer = self.get(&path, timeout_of(after)).await?;
+        let answer = self.get(&path, request_timeout(after)).await?;
         let index = answer
             .index
             .ok_or_else(|| PlatformError::Malformed(format!("no {INDEX_HEADER}")))?;
@@ -133,18 +133,24 @@
         let value = Bytes::from(value);
         let answer = self
             .transport
-            .send(endpoint, Method::PUT, &path, value.clone(), PLAIN_TIMEOUT)
+            .send(
+                endpoint,
+                Method::PUT,
+                &path,
+                value.clone(),
+                NON_BLOCKING_TIMEOUT,
+            )
             .await
-            .inspect_err(|_| self.prefer_next())?;
+            .inspect_err(|_| self.select_next_endpoint())?;
         answer.expect_status(&[StatusCode::OK])?;
-        if !wire::decode_written(&answer.body)? {
+        if !wire::decode_put_result(&answer.body)? {
             return Ok(StoreReply::Conflict);
         }
-        self.written_index(key, &value).await
+        self.read_written_index(key, &value).await
     }
 
     /// Reads back the index of a write that took effect, as the answer to a put does not tell.
-    async fn written_index(
+    async fn read_written_index(
         &self,
         key: &StoreKey,
         value: &Bytes,
@@ -168,7 +174,7 @@
                 Err(error) => {
                     log::debug!(attempt = attempt; "platform: read failed: {error}");
                     last_error = error;
-                    self.prefer_next();
+                    self.select_next_endpoint();
                 }
             }
         }
@@ -197,7 +203,7 @@
         Ok(self.endpoints[position % self.endpoints.len()])
     }
 
-    fn prefer_next(&self) {
+    fn select_next_endpoint(&self) {
         self.preferred.fetch_add(1, Ordering::Relaxed);
     }
 }
@@ -209,9 +215,9 @@
     }
 }
 
-const fn timeout_of(after: Option<ModifyIndex>) -> Duration {
+const fn request_timeout(after: Option<ModifyIndex>) -> Duration {
     match after {
-        Some(_) => BLOCKING_WAIT.saturating_add(BLOCKING_GRACE),
-        None => PLAIN_TIMEOUT,
+        Some(_) => BLOCKING_WAIT.saturating_add(BLOCKING_TIMEOUT_MARGIN),
+        None => NON_BLOCKING_TIMEOUT,
     }
 }
--- a/crates/rillgap-platform/src/lib.rs
+++ b/crates/rillgap-platform/src/lib.rs
@@ -9,5 +9,5 @@
 mod transport;
 mod wire;
 
-pub use client::{BLOCKING_WAIT, PLAIN_TIMEOUT, PlatformClient};
+pub use client::{BLOCKING_WAIT, NON_BLOCKING_TIMEOUT, PlatformClient};
 pub use error::PlatformError;
--- a/crates/rillgap-platform/src/wire.rs
+++ b/crates/rillgap-platform/src/wire.rs
@@ -70,7 +70,7 @@
 /// # Errors
 ///
 /// Returns [`PlatformError::Malformed`] if the answer is neither `true` nor `false`.
-pub(crate) fn decode_written(body: &[u8]) -> Result<bool, PlatformError> {
+pub(crate) fn decode_put_result(body: &[u8]) -> Result<bool, PlatformError> {
     decode_json(body)
 }
 
--- a/crates/rillgap-ring/src/lib.rs
+++ b/crates/rillgap-ring/src/lib.rs
@@ -24,13 +24,13 @@
 /// Sending half of a ring; clones send to the same ring.
 #[derive(Debug)]
 pub struct RingSender<T> {
-    sender: mpsc::Sender<Option<T>, Vacate>,
+    sender: mpsc::Sender<Option<T>, ClearSlot>,
 }
 
 /// Receiving half of a ring.
 #[derive(Debug)]
 pub struct RingReceiver<T> {
-    receiver: mpsc::Receiver<Option<T>, Vacate>,
+    receiver: mpsc::Receiver<Option<T>, ClearSlot>,
 }
 
 /// Creates a ring with a number of slots.
@@ -39,7 +39,7 @@
 ///
 /// Panics if `capacity` is zero.
 pub fn ring<T>(capacity: usize) -> (RingSender<T>, RingReceiver<T>) {
-    let (sender, receiver) = mpsc::with_recycle(capacity, Vacate);
+    let (sender, receiver) = mpsc::with_recycle(capacity, ClearSlot);
     (RingSender { sender }, RingReceiver { receiver })
 }
 
@@ -115,9 +115,9 @@
 
 /// Empties a slot, so that a message's memory is freed as soon as it is received.
 #[derive(Clone, Copy, Debug)]
-struct Vacate;
+struct ClearSlot;
 
-impl<T> Recycle<Option<T>> for Vacate {
+impl<T> Recycle<Option<T>> for ClearSlot {
     fn new_element(&self) -> Option<T> {
         None
     }
