--- a/crates/rillgap-cli/src/arguments.rs
+++ b/crates/rillgap-cli/src/arguments.rs
@@ -69,7 +69,7 @@
 
 impl FromArgValue for ChangeArgument {
     fn from_arg_value(value: &str) -> Result<Self, String> {
-        rillgap_operator::client::parse_change(value)
+        rillgap_operator::client::parse_change_id(value)
             .map(Self)
             .map_err(|error| error.to_string())
     }
--- a/crates/rillgap-cli/src/command.rs
+++ b/crates/rillgap-cli/src/command.rs
@@ -9,7 +9,7 @@
 use rillgap_core::id::{BackEndName, ChangeId, PolicyVersion};
 use rillgap_core::operator::ChangeState;
 use rillgap_core::policy::BackEndState;
-use rillgap_operator::client::{Change, change_text};
+use rillgap_operator::client::{Change, format_change_id};
 use uuid::Uuid;
 
 use crate::arguments::{
@@ -111,7 +111,7 @@
         id: ChangeId,
         wait: Seconds,
     ) -> Result<ResultCode, CommandError> {
-        log::info!("ctl: sending change; change={}", change_text(id));
+        log::info!("ctl: sending change; change={}", format_change_id(id));
         let wait = Duration::from_secs(wait.0);
         let change = self.session.change(&request, id, wait).await?;
         self.report(id, &change)
--- a/crates/rillgap-cli/src/output.rs
+++ b/crates/rillgap-cli/src/output.rs
@@ -5,7 +5,7 @@
 use rillgap_core::id::{ChangeId, PolicyVersion};
 use rillgap_core::operator::{ChangeState, MemberStatus};
 use rillgap_core::policy::Policy;
-use rillgap_operator::client::{Change, DeploymentStatus, change_text};
+use rillgap_operator::client::{Change, DeploymentStatus, format_change_id};
 use serde_json::{Value, json};
 
 use crate::arguments::OutputForm;
@@ -102,7 +102,7 @@
 
     /// Writes whether a change is in force everywhere, and which nodes have not confirmed it.
     pub fn change(&mut self, id: ChangeId, change: &Change) -> Result<(), CommandError> {
-        let id = change_text(id);
+        let id = format_change_id(id);
         let version = change.version.0;
         match (self.form, &change.state) {
             (OutputForm::Json, state) => self.json(&change_value(&id, version, state)),
--- a/crates/rillgap-cli/src/session.rs
+++ b/crates/rillgap-cli/src/session.rs
@@ -6,7 +6,7 @@
 use rillgap_core::id::{BackEndName, ChangeId, PolicyVersion};
 use rillgap_core::operator::ChangeState;
 use rillgap_core::policy::{BackEndState, Policy};
-use rillgap_operator::client::{Change, OperatorClient, change_text};
+use rillgap_operator::client::{Change, OperatorClient, format_change_id};
 use rillgap_operator::error::OperatorError;
 use tokio::time::{Instant, sleep, timeout_at};
 
@@ -105,7 +105,7 @@
         for _ in 1..MAX_CALLS {
             match self.send(request, change).await {
                 Err(error) if has_unknown_effect(&error) => {
-                    let change = change_text(change);
+                    let change = format_change_id(change);
                     log::warn!(
                         "ctl: effect of the change unknown, retrying; change={change} error={error}"
                     );
@@ -125,7 +125,7 @@
             return CommandError::Call(error);
         }
         CommandError::Unsettled {
-            change: change_text(change),
+            change: format_change_id(change),
             source: error,
         }
     }
--- a/crates/rillgap-operator/src/client.rs
+++ b/crates/rillgap-operator/src/client.rs
@@ -91,7 +91,7 @@
         let request = self.request(schema::ApplyPolicyRequest {
             policy: Some(convert::policy_to_schema(policy)),
             expected_version: expected.map(|version| version.0),
-            change_id: change_text(change),
+            change_id: format_change_id(change),
         });
         let response = self
             .generated
@@ -113,7 +113,7 @@
         let request = self.request(schema::SetBackEndStateRequest {
             back_end: back_end.0,
             state: convert::back_end_state_to_schema(state).into(),
-            change_id: change_text(change),
+            change_id: format_change_id(change),
         });
         let response = self
             .generated
@@ -126,7 +126,7 @@
     /// Tells how far a change has spread.
     pub async fn get_change(&mut self, change: ChangeId) -> Result<Change, OperatorError> {
         let request = self.request(schema::GetChangeRequest {
-            change_id: change_text(change),
+            change_id: format_change_id(change),
         });
         let response = self
             .generated
@@ -171,12 +171,12 @@
 }
 
 /// Returns a change identifier as text, in the form of a UUID.
-pub fn change_text(change: ChangeId) -> String {
+pub fn format_change_id(change: ChangeId) -> String {
     Uuid::from_u128(change.0).to_string()
 }
 
 /// Reads a change identifier from the text form of a UUID.
-pub fn parse_change(text: &str) -> Result<ChangeId, MessageError> {
+pub fn parse_change_id(text: &str) -> Result<ChangeId, MessageError> {
     convert::parse_change_id(text)
 }
 
