--- a/crates/rillgap-mesh/src/accept.rs
+++ b/crates/rillgap-mesh/src/accept.rs
@@ -1,4 +1,4 @@
-//! The receiving side of the mesh: accepts links and feeds their messages to the node.
+//! Receiving side of the mesh: accepts links from peers and passes their messages to the node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,27 +19,30 @@
 use crate::frame::FrameDecoder;
 use crate::hello::{self, Hello};
 
-/// Longest time until a new connection has sent its hello.
+/// Timeout of the exchange of hellos on a new connection.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after a failed accept, which means that descriptors or memory ran out.
+/// Delay after a failed `accept`. It fails when descriptors or memory run out, so an immediate
+/// retry would fail again.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Size of the read buffer in bytes; it grows to the longest frame where needed.
+/// Initial size of the read buffer of a link; the buffer grows if a frame is longer.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Receiving side of the mesh.
+/// Accepts links from peers and sends their messages to the node as events.
 #[derive(Clone, Debug)]
 pub struct MeshReceiver {
     hello: Hello,
     events: RingSender<Event>,
-    /// The link that each peer opened last.
+    /// Task that reads the most recent link of each peer.
     links: Arc<Mutex<BTreeMap<NodeId, AbortHandle>>>,
     permits: Arc<Semaphore>,
 }
 
 impl MeshReceiver {
-    /// Creates the receiving side, which accepts a bounded number of connections.
+    /// Creates a receiver that keeps at most `max_connections` connections open.
+    ///
+    /// `hello` is the answer to the hello of each peer; messages are sent to `events`.
     pub fn new(hello: Hello, events: RingSender<Event>, max_connections: usize) -> Self {
         Self {
             hello,
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Accepts links until the task is dropped.
+    /// Accepts connections until the task is dropped.
     pub async fn run(self, listener: TcpListener) {
         loop {
             let (stream, address) = match listener.accept().await {
@@ -99,7 +102,9 @@
         Ok((stream, hello))
     }
 
-    /// Ends the earlier link of a peer, whose messages in flight are lost.
+    /// Registers a new link of a peer and aborts the previous one.
+    ///
+    /// The messages in flight on the previous link are lost, so the loss is reported.
     async fn replace_link(&self, peer: NodeId, task: AbortHandle) {
         let earlier = self
             .links
@@ -113,7 +118,7 @@
         self.report_loss(peer).await;
     }
 
-    /// Forgets a link that ended by itself, unless another has taken its place.
+    /// Removes a link that has ended, unless a newer link of the peer has replaced it.
     fn remove_link(&self, peer: NodeId, task: Id) {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         if links.get(&peer).is_some_and(|link| link.id() == task) {
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Feeds the messages of a link to the node until the link ends.
+    /// Sends the messages of a link to the node until the link ends; returns why it ended.
     async fn read(&self, stream: TcpStream, hello: Hello) -> LinkError {
         let mut frames =
             FramedRead::with_capacity(stream, FrameDecoder::default(), READ_BUFFER_BYTES);
@@ -136,7 +141,7 @@
                 incarnation: hello.incarnation,
                 message,
             };
-            // A full ring holds back this link only, and through it the peer.
+            // A full ring blocks this link only; TCP flow control then slows down the peer.
             if self.events.send(event).await.is_err() {
                 return LinkError::Closed;
             }
@@ -144,7 +149,7 @@
     }
 
     async fn report_loss(&self, peer: NodeId) {
-        // A closed ring means that the process ends.
+        // The ring is closed only when the process shuts down.
         let _ = self.events.send(Event::PeerLost { peer }).await;
     }
 }
--- a/crates/rillgap-mesh/src/budget.rs
+++ b/crates/rillgap-mesh/src/budget.rs
@@ -1,16 +1,16 @@
-//! Bound on the frames that wait for one link.
+//! Limit on the frames that are queued for one link.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Most frames that may wait for one link.
+/// Maximum number of frames that are queued for one link.
 pub const MAX_QUEUED_FRAMES: usize = 4_096;
 
-/// Most bytes that may wait for one link.
+/// Maximum total size of the frames that are queued for one link, in bytes.
 pub const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
 
-/// Counts the frames that wait for one link.
+/// Counts the frames that are queued for one link, and their bytes.
 ///
-/// The mailbox of an actor has no bound of its own; the budget gives it one.
+/// The mailbox of a `ractor` actor is unbounded, so the sender checks this budget first.
 #[derive(Debug, Default)]
 pub struct SendBudget {
     frames: AtomicUsize,
@@ -18,7 +18,7 @@
 }
 
 impl SendBudget {
-    /// Takes room for a frame; returns whether there was room.
+    /// Reserves space for a frame of `length` bytes; returns `false` if a limit is exceeded.
     pub fn try_reserve(&self, length: usize) -> bool {
         let frames = self.frames.fetch_add(1, Ordering::AcqRel) + 1;
         let bytes = self.bytes.fetch_add(length, Ordering::AcqRel) + length;
@@ -29,13 +29,13 @@
         fits
     }
 
-    /// Gives back the room of a frame.
+    /// Releases the space of a frame of `length` bytes.
     pub fn release(&self, length: usize) {
         self.frames.fetch_sub(1, Ordering::AcqRel);
         self.bytes.fetch_sub(length, Ordering::AcqRel);
     }
 
-    /// Returns whether no frame waits.
+    /// Returns whether no frame is queued.
     pub fn is_empty(&self) -> bool {
         self.frames.load(Ordering::Acquire) == 0
     }
--- a/crates/rillgap-mesh/src/error.rs
+++ b/crates/rillgap-mesh/src/error.rs
@@ -1,55 +1,55 @@
-//! Errors of links.
+//! Errors of mesh links.
 
 use std::io;
 
 use rillgap_core::code::ResultCode;
 use rillgap_core::id::NodeId;
 
-/// Why a link was closed or never opened.
+/// Reason why a link was closed or could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// The connection failed.
+    /// An operation on the connection failed.
     #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The other side closed the connection.
+    /// The peer closed the connection, or the event ring of this node is closed.
     #[error("connection closed by the peer")]
     Closed,
-    /// The peer did not answer in time.
+    /// Connecting, exchanging hellos or writing a frame timed out.
     #[error("peer did not answer in time")]
     Timeout,
-    /// The peer speaks another version of the protocol.
-    #[error("peer speaks mesh version {theirs}, this node {ours}")]
+    /// The peer uses another version of the mesh protocol.
+    #[error("peer uses mesh version {theirs}, this node uses {ours}")]
     Version {
         /// Version of this node.
         ours: u16,
         /// Version of the peer.
         theirs: u16,
     },
-    /// The first bytes are not those of a mesh link.
+    /// The connection does not start with the magic bytes of a hello.
     #[error("not a mesh link")]
     NotMesh,
-    /// A frame is longer than the limit.
-    #[error("frame of more than {limit} bytes")]
+    /// A frame exceeds the maximum length.
+    #[error("frame exceeds {limit} bytes")]
     FrameTooLong {
-        /// Longest frame allowed, in bytes.
+        /// Maximum length of a frame, in bytes.
         limit: usize,
     },
-    /// A frame cannot be decoded.
+    /// A frame is empty, of an unknown kind or cannot be decoded.
     #[error("frame cannot be decoded")]
     FrameMalformed,
-    /// Another node answers at the peer's address.
+    /// A node other than the expected peer answered at the address.
     #[error("address belongs to node {found:?}")]
     OtherNode {
         /// Node that answered.
         found: NodeId,
     },
-    /// The peer refused the link.
+    /// The peer refused the link with the number of a result code.
     #[error("peer refused the link with code {0}")]
     Refused(u8),
 }
 
 impl LinkError {
-    /// Returns the numbered result code under which the error is logged.
+    /// Returns the result code that is logged, and sent to the peer if its link is refused.
     pub const fn code(&self) -> ResultCode {
         match self {
             Self::Version { .. } => ResultCode::MeshVersion,
--- a/crates/rillgap-mesh/src/frame.rs
+++ b/crates/rillgap-mesh/src/frame.rs
@@ -1,8 +1,11 @@
-//! Frames: a big-endian length of four bytes, the kind of the message in one byte, then the
-//! message encoded by `bitcode`.
+//! Encodes and decodes the frames of mesh links.
 //!
-//! The kind stands outside the encoding because the codec visits the fields of every variant of
-//! an enumeration, used or not: a message of the data path would pay for all other subsystems.
+//! A frame consists of a big-endian length (4 bytes), the kind of the message (1 byte) and the
+//! message encoded by `bitcode`. The length covers the kind and the message.
+//!
+//! The kind is not part of the `bitcode` encoding, because `bitcode` processes the fields of all
+//! variants of an enum, including unused ones. Encoding [`PeerMessage`] as a whole would make
+//! messages of the data path pay for the fields of all other subsystems.
 
 use bytes::{Bytes, BytesMut};
 use rillgap_core::message::PeerMessage;
@@ -10,13 +13,13 @@
 
 use crate::error::LinkError;
 
-/// Longest frame in bytes, without its length.
+/// Maximum length of a frame in bytes, without the length field.
 pub const MAX_FRAME_LENGTH: usize = 1024 * 1024;
 
-/// Length of the length field in bytes.
+/// Size of the length field.
 const LENGTH_FIELD_BYTES: usize = 4;
 
-/// Length of the kind in bytes.
+/// Size of the field with the kind of the message.
 const KIND_FIELD_BYTES: usize = 1;
 
 const KIND_CALL: u8 = 0;
@@ -24,7 +27,7 @@
 const KIND_MEMBERSHIP: u8 = 2;
 const KIND_CONFIGURATION: u8 = 3;
 
-/// Working memory of the codec, one for each kind of message.
+/// Reusable `bitcode` buffers, one for each kind of message.
 #[derive(Default)]
 struct Buffers {
     call: bitcode::Buffer,
@@ -33,18 +36,18 @@
     configuration: bitcode::Buffer,
 }
 
-/// Encodes messages into frames and reuses its working memory.
+/// Encodes messages into frames; reuses its buffers from one message to the next.
 #[derive(Default)]
 pub struct FrameEncoder {
     buffers: Buffers,
 }
 
 impl FrameEncoder {
-    /// Encodes a message into a frame with its length.
+    /// Encodes a message into a frame, including the length field.
     ///
     /// # Errors
     ///
-    /// Fails if the message is too long for a frame.
+    /// Returns [`LinkError::FrameTooLong`] if the frame exceeds [`MAX_FRAME_LENGTH`].
     pub fn encode(&mut self, message: &PeerMessage) -> Result<Bytes, LinkError> {
         let buffers = &mut self.buffers;
         let (kind, payload) = match message {
@@ -72,20 +75,20 @@
     }
 }
 
-/// Decodes frames out of a stream of bytes.
+/// Decodes the frames of a byte stream into messages.
 pub struct FrameDecoder {
-    lengths: LengthDelimitedCodec,
+    length_codec: LengthDelimitedCodec,
     buffers: Buffers,
 }
 
 impl Default for FrameDecoder {
     fn default() -> Self {
-        let lengths = LengthDelimitedCodec::builder()
+        let length_codec = LengthDelimitedCodec::builder()
             .length_field_length(LENGTH_FIELD_BYTES)
             .max_frame_length(MAX_FRAME_LENGTH)
             .new_codec();
         Self {
-            lengths,
+            length_codec,
             buffers: Buffers::default(),
         }
     }
@@ -96,10 +99,10 @@
     type Error = LinkError;
 
     fn decode(&mut self, source: &mut BytesMut) -> Result<Option<PeerMessage>, LinkError> {
-        let frame = match self.lengths.decode(source) {
+        let frame = match self.length_codec.decode(source) {
             Ok(Some(frame)) => frame,
             Ok(None) => return Ok(None),
-            // The codec's only error of its own is a length over the limit.
+            // `LengthDelimitedCodec` fails only if the length exceeds the maximum.
             Err(_) => {
                 return Err(LinkError::FrameTooLong {
                     limit: MAX_FRAME_LENGTH,
--- a/crates/rillgap-mesh/src/hello.rs
+++ b/crates/rillgap-mesh/src/hello.rs
@@ -1,8 +1,8 @@
-//! The opening of a link: who connects, in which run, with which version of the protocol.
+//! Handshake of a link: each side sends a hello with its protocol version, node and incarnation.
 //!
-//! The layout is fixed and does not go through the frame codec, so that every version can read
-//! every other version's hello: 8 bytes magic, then big-endian version (2 bytes), result code
-//! (1 byte), node (8 bytes) and incarnation (8 bytes).
+//! The layout is fixed and independent of the frame codec, so that every version can read the
+//! hello of every other version: 8 bytes magic, then, all big-endian, version (2 bytes), result
+//! code (1 byte), node (8 bytes) and incarnation (8 bytes).
 
 use rillgap_core::code::ResultCode;
 use rillgap_core::id::{Incarnation, NodeId};
@@ -10,10 +10,10 @@
 
 use crate::error::LinkError;
 
-/// Version of the mesh protocol; peers of another version are refused.
+/// Version of the mesh protocol; links from and to nodes of other versions are refused.
 pub const MESH_VERSION: u16 = 1;
 
-/// First bytes of every link.
+/// First bytes of every hello.
 const MAGIC: [u8; 8] = *b"rillgap\n";
 
 /// Length of an encoded hello in bytes.
@@ -24,21 +24,21 @@
 const NODE_OFFSET: usize = 11;
 const INCARNATION_OFFSET: usize = 19;
 
-/// The first message of each side of a link.
+/// First message that each side of a link sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hello {
-    /// Version of the sender's protocol.
+    /// Protocol version of the sender.
     pub version: u16,
-    /// Number of the result code: zero, or why the link is refused.
+    /// Number of a result code: zero if the link is accepted, otherwise the reason of the refusal.
     pub code: u8,
-    /// The sender.
+    /// Node that sends the hello.
     pub node: NodeId,
-    /// Run of the sender.
+    /// Incarnation (process lifetime) of the sender.
     pub incarnation: Incarnation,
 }
 
 impl Hello {
-    /// Creates the hello of a node of this version.
+    /// Creates a hello with this node's protocol version and no refusal.
     pub const fn new(node: NodeId, incarnation: Incarnation) -> Self {
         Self {
             version: MESH_VERSION,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns this hello as a refusal.
+    /// Returns a copy of this hello that refuses the link with `code`.
     pub const fn refusing(self, code: ResultCode) -> Self {
         Self {
             code: code.number(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Encodes the hello.
+    /// Encodes the hello in the layout of the module documentation.
     pub fn encode(&self) -> [u8; HELLO_LENGTH] {
         let mut bytes = [0; HELLO_LENGTH];
         bytes[..VERSION_OFFSET].copy_from_slice(&MAGIC);
@@ -67,11 +67,12 @@
         bytes
     }
 
-    /// Decodes a hello.
+    /// Decodes a hello from the layout of the module documentation.
     ///
     /// # Errors
     ///
-    /// Fails if the bytes are not a hello, or one of another version.
+    /// Returns [`LinkError::NotMesh`] if the magic bytes differ, and [`LinkError::Version`] if the
+    /// sender uses another protocol version.
     pub fn decode(bytes: &[u8; HELLO_LENGTH]) -> Result<Self, LinkError> {
         if bytes[..VERSION_OFFSET] != MAGIC {
             return Err(LinkError::NotMesh);
@@ -98,11 +99,12 @@
     u64::from_be_bytes(value)
 }
 
-/// Opens a link as the connecting side and returns the peer's hello.
+/// Exchanges hellos as the connecting side and returns the peer's hello.
 ///
 /// # Errors
 ///
-/// Fails if the connection breaks or the peer refuses the link.
+/// Fails if the connection fails, the reply is not a hello of this version or the peer refuses
+/// the link.
 pub async fn connect<S>(stream: &mut S, own: Hello) -> Result<Hello, LinkError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -115,12 +117,12 @@
     Ok(reply)
 }
 
-/// Opens a link as the accepting side and returns the peer's hello.
+/// Exchanges hellos as the accepting side and returns the peer's hello.
 ///
 /// # Errors
 ///
-/// Fails if the connection breaks or the first bytes are not a hello of this version; the peer
-/// is told the numbered code before the link is closed.
+/// Fails if writing fails, if reading fails or if the first bytes are not a hello of this version.
+/// In the last two cases, a refusing hello is sent to the peer before the connection is closed.
 pub async fn accept<S>(stream: &mut S, own: Hello) -> Result<Hello, LinkError>
 where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -132,7 +134,7 @@
         }
         Err(error) => {
             let refusal = own.refusing(error.code());
-            // The refusal is a courtesy; the connection is closed whether it arrives or not.
+            // Best effort: the connection is closed even if the refusal cannot be sent.
             let _ = stream.write_all(&refusal.encode()).await;
             let _ = stream.shutdown().await;
             Err(error)
@@ -145,7 +147,8 @@
     S: AsyncRead + Unpin,
 {
     let mut bytes = [0; HELLO_LENGTH];
-    // The magic is checked first, so that a peer that sends less than a hello is refused too.
+    // Check the magic first, so that a peer that sends fewer bytes than a hello is refused without
+    // waiting for the rest.
     stream.read_exact(&mut bytes[..VERSION_OFFSET]).await?;
     if bytes[..VERSION_OFFSET] != MAGIC {
         return Err(LinkError::NotMesh);
--- a/crates/rillgap-mesh/src/lib.rs
+++ b/crates/rillgap-mesh/src/lib.rs
@@ -1,9 +1,10 @@
-//! Peer: other nodes. Frames and links.
+//! Transport of messages between nodes over TCP links.
 //!
-//! Each node keeps one outgoing link to every peer it sends to and reads from the links that
-//! peers open to it, so messages from one node to another keep their order. A link starts with
-//! a [`hello`]; after that it carries length-prefixed `bitcode` frames in one direction.
-//! A lost link is reported as [`rillgap_core::event::Event::PeerLost`] by both ends.
+//! Each node keeps one outgoing link to every peer that it sends to, and reads from the links that
+//! peers open to it. All messages from one node to another use the same link and keep their order.
+//! A link starts with an exchange of hellos (see [`hello`]); after that, the node that opened it
+//! sends length-prefixed `bitcode` frames (see [`frame`]), and the other sends nothing. When a link
+//! is lost, both ends report [`rillgap_core::event::Event::PeerLost`] to their node.
 
 pub mod accept;
 pub mod budget;
--- a/crates/rillgap-mesh/src/link.rs
+++ b/crates/rillgap-mesh/src/link.rs
@@ -1,8 +1,8 @@
-//! Outgoing link to one peer, as an actor under the mesh's supervisor.
+//! Outgoing link to one peer, implemented as an actor that the [`crate::supervisor`] supervises.
 //!
-//! The actor connects, then writes the frames of its mailbox in order. It ends with an error
-//! as soon as the connection fails or the peer closes it; frames still in the mailbox are lost,
-//! and the supervisor reports that.
+//! The actor connects to the peer and writes the frames of its mailbox in order. It ends with an
+//! error when the connection fails or the peer closes it. Frames that are still in the mailbox are
+//! then lost, and the supervisor reports the loss to the node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,47 +21,47 @@
 use crate::hello::{self, Hello};
 use crate::supervisor::SupervisorMessage;
 
-/// Longest time to connect and exchange hellos.
+/// Timeout of connecting to a peer and exchanging hellos.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest time that a peer may take no bytes before its link is dropped.
+/// Timeout of writing one frame; a link whose peer does not read is then dropped.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Size of the write buffer in bytes.
+/// Size of the write buffer of a link.
 const WRITE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Message of the mesh to a link.
+/// Message to the actor of a link.
 #[derive(Debug)]
 pub enum LinkMessage {
-    /// Sends a frame.
+    /// Write this frame to the connection.
     Frame(Bytes),
     /// The peer closed the connection.
     PeerClosed,
 }
 
-/// Where a link leads and how it introduces itself.
+/// Arguments with which the actor of a link is started.
 #[derive(Clone, Debug)]
 pub struct LinkArguments {
-    /// The peer.
+    /// Peer that is expected at `address`.
     pub peer: NodeId,
     /// Address of the peer's mesh listener.
     pub address: SocketAddr,
     /// Hello of this node.
     pub hello: Hello,
-    /// Bound on waiting frames, shared with the sender.
+    /// Limit on queued frames, shared with [`crate::mesh::MeshSender`].
     pub budget: Arc<SendBudget>,
-    /// Supervisor, which is told when the link is open.
+    /// Supervisor that receives [`SupervisorMessage::LinkOpened`] once the link is open.
     pub supervisor: ActorRef<SupervisorMessage>,
 }
 
-/// State of a link.
+/// State of the actor of a link.
 #[derive(Debug)]
 pub struct LinkState {
     arguments: LinkArguments,
     writer: Option<BufWriter<OwnedWriteHalf>>,
 }
 
-/// Outgoing link to one peer.
+/// Actor that owns the outgoing link to one peer.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerLink;
 
@@ -93,7 +93,7 @@
         tokio::spawn(report_close(reader, myself));
         state.writer = Some(BufWriter::with_capacity(WRITE_BUFFER_BYTES, writer));
         let peer = state.arguments.peer;
-        // The supervisor outlives its links.
+        // The supervisor outlives its links, so a failed send can be ignored.
         let _ = state
             .arguments
             .supervisor
@@ -121,7 +121,7 @@
 }
 
 impl LinkState {
-    /// Writes a frame; flushes once no further frame waits, so that a burst is sent in one go.
+    /// Writes a frame, and flushes if no further frame is queued, to send bursts in few writes.
     async fn write(&mut self, frame: &[u8]) -> Result<(), LinkError> {
         let writer = self.writer.as_mut().ok_or(LinkError::Closed)?;
         writer.write_all(frame).await?;
@@ -143,10 +143,12 @@
     Ok(stream)
 }
 
-/// Waits until the peer closes the connection; it sends nothing else on this link.
+/// Waits until the peer closes the connection and reports that to the link.
+///
+/// The peer sends nothing after its hello, so any result of the read ends the link.
 async fn report_close(mut reader: OwnedReadHalf, link: ActorRef<LinkMessage>) {
     let mut unexpected = [0; 1];
     let _ = reader.read(&mut unexpected).await;
-    // The link may have ended already; then there is nobody to tell.
+    // The send fails if the link has already ended.
     let _ = link.cast(LinkMessage::PeerClosed);
 }
--- a/crates/rillgap-mesh/src/mesh.rs
+++ b/crates/rillgap-mesh/src/mesh.rs
@@ -1,4 +1,4 @@
-//! The sending side of the mesh: encodes messages and hands them to the link of their peer.
+//! Sending side of the mesh: encodes messages and queues them on the links to their receivers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,18 +17,18 @@
 use crate::link::{LinkArguments, LinkMessage, PeerLink};
 use crate::supervisor::{LinkSupervisor, LinkTable, OpenLink, PeerEntry, SupervisorMessage};
 
-/// A message on its way to a peer.
+/// Message to a peer.
 #[derive(Clone, Debug)]
 pub struct OutgoingMessage {
-    /// Receiver.
+    /// Node that receives the message.
     pub to: NodeId,
     /// Address of the receiver's mesh listener.
     pub address: SocketAddr,
-    /// The message.
+    /// Message to send.
     pub message: PeerMessage,
 }
 
-/// Sending side of the mesh.
+/// Sends messages to peers and opens the links that they need.
 pub struct MeshSender {
     hello: Hello,
     encoder: FrameEncoder,
@@ -37,11 +37,13 @@
 }
 
 impl MeshSender {
-    /// Starts the supervisor of the links.
+    /// Creates a sender and starts the supervisor of its links.
+    ///
+    /// Lost links and dropped messages are reported to `events`.
     ///
     /// # Errors
     ///
-    /// Fails if the supervisor cannot be started.
+    /// Fails if the supervisor actor cannot be started.
     pub async fn start(hello: Hello, events: RingSender<Event>) -> Result<Self, SpawnErr> {
         let links = LinkTable::default();
         let (supervisor, _) = Actor::spawn(None, LinkSupervisor, (links.clone(), events)).await?;
@@ -53,9 +55,10 @@
         })
     }
 
-    /// Sends every message of a ring until all its senders are gone.
+    /// Sends the messages of a ring until all senders of the ring are dropped.
     ///
-    /// The loop never waits for a peer: what does not fit into a link's budget drops the link.
+    /// The loop never waits for a peer: a message that exceeds the budget of its link drops the
+    /// link.
     pub async fn run(mut self, outgoing: RingReceiver<OutgoingMessage>) {
         while let Some(message) = outgoing.recv().await {
             self.send(message).await;
@@ -90,7 +93,9 @@
         }
     }
 
-    /// Returns the link to a peer, opening one unless the last try has just failed.
+    /// Returns the link to a peer; opens one if there is none.
+    ///
+    /// Returns `None` during the backoff after a failure, or if the link cannot be started.
     async fn get_or_open_link(&self, peer: NodeId, address: SocketAddr) -> Option<OpenLink> {
         if let Some(link) = self.existing_link(peer, address) {
             return Some(link);
@@ -125,7 +130,8 @@
         if link.address == address {
             return Some(link);
         }
-        // The peer has moved: its old link is replaced, and what waited for it is lost.
+        // The peer has another address now: the old link is closed, and the messages that were
+        // queued on it are lost.
         link.actor.kill();
         entry.link = None;
         entry.loss_pending = true;
@@ -144,7 +150,7 @@
             .is_some_and(|retry_at| now < retry_at)
     }
 
-    /// Reports dropped messages, at most once until the node has been told.
+    /// Reports that messages to a peer were dropped, unless a report is already pending.
     fn report_drop(&self, peer: NodeId) {
         let mut peers = self.links.lock();
         let entry: &mut PeerEntry = peers.entry(peer).or_default();
@@ -152,7 +158,7 @@
             return;
         }
         entry.loss_pending = true;
-        // The supervisor ends only with the mesh.
+        // The supervisor is stopped only at the end of `run`, so a failed send can be ignored.
         let _ = self
             .supervisor
             .cast(SupervisorMessage::MessagesDropped(peer));
--- a/crates/rillgap-mesh/src/supervisor.rs
+++ b/crates/rillgap-mesh/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! Supervisor of the outgoing links: drops ended links and reports their loss.
+//! Supervisor of the outgoing links: removes ended links, sets the backoff and reports the loss.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,48 +14,51 @@
 use crate::budget::SendBudget;
 use crate::link::LinkMessage;
 
-/// Time after a first failure during which no new link is tried.
+/// Backoff after the first failure of a link; it doubles with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Longest time between two tries.
+/// Maximum backoff between two attempts to open a link.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// A link that is open or being opened.
 #[derive(Clone, Debug)]
 pub struct OpenLink {
-    /// Address to which it leads.
+    /// Address of the peer's mesh listener.
     pub address: SocketAddr,
-    /// Bound on its waiting frames.
+    /// Limit on the frames that are queued for the link.
     pub budget: Arc<SendBudget>,
-    /// Its actor.
+    /// Actor that owns the link.
     pub actor: ActorRef<LinkMessage>,
 }
 
-/// What is known of one peer.
+/// Sending state of one peer.
 #[derive(Debug, Default)]
 pub struct PeerEntry {
-    /// The link, if there is one.
+    /// Current link; `None` if it ended or was never opened.
     pub link: Option<OpenLink>,
-    /// Time before which no new link is tried.
+    /// Earliest time of the next attempt to open a link; `None` before the first failure.
     pub retry_at: Option<Instant>,
-    /// Whether a loss is already on its way to the node.
+    /// Whether a loss was passed to the supervisor that it has not yet reported to the node.
     pub loss_pending: bool,
+    /// Backoff after the last failure; zero if no link has failed since one was last opened.
     backoff: Duration,
 }
 
-/// The outgoing links by peer, shared by the sending side and the supervisor.
+/// Outgoing links by peer, shared by [`crate::mesh::MeshSender`] and the supervisor.
 #[derive(Clone, Debug, Default)]
 pub struct LinkTable {
     peers: Arc<Mutex<BTreeMap<NodeId, PeerEntry>>>,
 }
 
 impl LinkTable {
-    /// Gives access to the table.
+    /// Locks the table and returns its entries.
     pub fn lock(&self) -> MutexGuard<'_, BTreeMap<NodeId, PeerEntry>> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Forgets a link that ended; `None` if it was replaced before.
+    /// Removes a link that ended and doubles the backoff of its peer.
+    ///
+    /// Returns `None` if the link is no longer in the table because it was replaced.
     fn remove(&self, actor: ActorId, now: Instant) -> Option<EndedLink> {
         let mut peers = self.lock();
         let (peer, entry) = peers.iter_mut().find(|(_, entry)| {
@@ -75,20 +78,20 @@
     }
 }
 
-/// A link that ended.
+/// Link that has ended.
 #[derive(Clone, Copy, Debug)]
 struct EndedLink {
     peer: NodeId,
-    /// Whether it had been opened, or was the first try to open one.
+    /// Whether the backoff was zero: the link had been open, or was the first attempt to open one.
     was_open: bool,
 }
 
-/// Message to the supervisor.
+/// Message to the supervisor of the links.
 #[derive(Clone, Copy, Debug)]
 pub enum SupervisorMessage {
-    /// Messages to a peer were dropped.
+    /// Messages to a peer were dropped; the loss must be reported to the node.
     MessagesDropped(NodeId),
-    /// A link was opened, so the next failure starts with a short pause again.
+    /// A link was opened; the backoff of the peer is reset.
     LinkOpened(NodeId),
 }
 
@@ -99,7 +102,7 @@
     events: RingSender<Event>,
 }
 
-/// Supervisor of the outgoing links.
+/// Actor that supervises the outgoing links.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkSupervisor;
 
@@ -155,7 +158,8 @@
         let Some(ended) = self.links.remove(link.get_id(), Instant::now()) else {
             return;
         };
-        // A peer that stays away is tried every second; only its first loss is news.
+        // An unreachable peer is retried about once per second (`MAX_BACKOFF`), so only the first
+        // failure is logged as a warning.
         let level = if ended.was_open {
             log::Level::Warn
         } else {
@@ -169,7 +173,8 @@
         if let Some(entry) = self.links.lock().get_mut(&peer) {
             entry.loss_pending = false;
         }
-        // The node duty ends before the rings do; a closed ring means that the process ends.
+        // The ring is closed only after the node duty, its receiver, has ended; the process then
+        // ends too.
         let _ = self.events.send(Event::PeerLost { peer }).await;
     }
 
--- a/crates/rillgap-mesh/tests/frame.rs
+++ b/crates/rillgap-mesh/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames survive any split of the stream; arbitrary bytes never panic and never grow memory.
+//! Tests of the frame codec: frames in arbitrary chunks, malformed input and the length limit.
 
 use bytes::BytesMut;
 use googletest::prelude::*;
@@ -22,7 +22,7 @@
     })
 }
 
-/// Feeds bytes in pieces and returns the messages up to the first error.
+/// Decodes bytes in chunks of `piece` bytes and returns the messages before the first error.
 fn decode_in_pieces(bytes: &[u8], piece: usize) -> Vec<PeerMessage> {
     let mut decoder = FrameDecoder::default();
     let mut buffer = BytesMut::new();
@@ -44,7 +44,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(256) })]
 
     #[test]
-    fn messages_survive_any_split(
+    fn messages_are_decoded_from_chunks_of_any_size(
         chunks in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..300), 1..8),
         piece in 1_usize..64,
     ) {
@@ -93,7 +93,7 @@
 
 #[gtest]
 fn a_message_over_the_limit_is_not_sent() {
-    // All byte values occur, since the codec packs runs of small ones.
+    // The chunk contains all byte values, because `bitcode` compresses sequences of small values.
     let chunk = (0..=u8::MAX).cycle().take(MAX_FRAME_LENGTH + 1).collect();
     let result = FrameEncoder::default().encode(&answer_body(0, chunk));
     expect_that!(
--- a/crates/rillgap-mesh/tests/link.rs
+++ b/crates/rillgap-mesh/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links over loopback: delivery in order, loss, garbage and other versions.
+//! Tests of links over loopback: order of delivery, lost links, invalid input, other versions.
 
 use std::net::SocketAddr;
 
@@ -52,12 +52,12 @@
     (outgoing, received)
 }
 
-/// Sends bytes to a mesh listener and returns what it answers before it closes.
+/// Sends bytes to a mesh listener and returns its reply up to the close of the connection.
 async fn answer_to(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).await.expect("connect");
     stream.write_all(bytes).await.expect("write");
     let mut answer = Vec::new();
-    // A reset in place of a clean close is as good.
+    // A connection reset is accepted as well as a clean close.
     let _ = stream.read_to_end(&mut answer).await;
     answer
 }
@@ -106,7 +106,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn both_ends_learn_of_a_lost_link() {
+async fn the_receiver_reports_a_lost_link() {
     let (listener, address) = listen().await;
     let received = start_receiver(listener);
     let mut stream = TcpStream::connect(address).await.expect("connect");
@@ -123,7 +123,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn another_node_at_the_address_is_not_taken_for_the_peer() {
+async fn a_link_to_another_node_than_the_peer_is_reported_lost() {
     let (listener, address) = listen().await;
     let _received = start_receiver(listener);
     let (outgoing, losses) = start_sender().await;
@@ -142,11 +142,11 @@
 
 #[gtest]
 #[tokio::test]
-async fn garbage_is_answered_by_its_code_and_disturbs_nobody() {
+async fn invalid_input_is_refused_with_its_code_and_other_links_still_work() {
     let (listener, address) = listen().await;
     let received = start_receiver(listener);
     let answer = answer_to(address, b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await;
-    // A close with unread bytes may discard the courtesy answer.
+    // The listener closes the connection with unread bytes, so a reset may discard its reply.
     if !answer.is_empty() {
         expect_that!(answer[10], eq(ResultCode::MeshFrame.number()));
     }
@@ -162,7 +162,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn another_version_is_answered_by_its_code() {
+async fn another_version_is_refused_with_its_code() {
     let (listener, address) = listen().await;
     let _received = start_receiver(listener);
     let mut bytes = Hello::new(ALICE, Incarnation(1)).encode();
@@ -190,8 +190,8 @@
     );
 }
 
-/// Opens a link by hand and returns its stream.
-async fn open_by_hand(address: SocketAddr, incarnation: u64) -> TcpStream {
+/// Opens a link as `ALICE` without a [`MeshSender`] and returns its stream.
+async fn open_raw_link(address: SocketAddr, incarnation: u64) -> TcpStream {
     let mut stream = TcpStream::connect(address).await.expect("connect");
     let hello = Hello::new(ALICE, Incarnation(incarnation));
     stream.write_all(&hello.encode()).await.expect("write");
@@ -205,8 +205,8 @@
 async fn a_second_link_of_a_peer_ends_the_first() {
     let (listener, address) = listen().await;
     let received = start_receiver(listener);
-    let mut first = open_by_hand(address, 1).await;
-    let _second = open_by_hand(address, 2).await;
+    let mut first = open_raw_link(address, 1).await;
+    let _second = open_raw_link(address, 2).await;
     expect_that!(
         received.recv().await,
         some(eq(&Event::PeerLost { peer: ALICE }))
--- a/crates/rillgap-operator/examples/generate.rs
+++ b/crates/rillgap-operator/examples/generate.rs
@@ -1,4 +1,4 @@
-//! Regenerates the committed code of the schema: `cargo run -p rillgap-operator --example generate`.
+//! Regenerates `src/generated` from the schema: `cargo run -p rillgap-operator --example generate`.
 
 #[path = "../tests/support/generator.rs"]
 mod generator;
--- a/crates/rillgap-operator/src/client.rs
+++ b/crates/rillgap-operator/src/client.rs
@@ -1,4 +1,4 @@
-//! Typed client of the operators' interface.
+//! Typed client of the operator service.
 
 use std::time::Duration;
 
@@ -15,22 +15,22 @@
 use crate::schema::operator_client::OperatorClient as GeneratedClient;
 use crate::status;
 
-/// Longest answer that is read, in bytes.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A stored change of the policy.
+/// Stored change of the policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Version that the change made.
+    /// Policy version that the change created.
     pub version: PolicyVersion,
-    /// How far it has come.
+    /// Whether all nodes of the membership view have confirmed the change.
     pub state: ChangeState,
 }
 
-/// Status of the deployment as one node sees it.
+/// Status of the deployment, as reported by one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeploymentStatus {
-    /// Policy version in force at the node; zero for none.
+    /// Policy version in force at the node; zero if there is none.
     pub policy: PolicyVersion,
     /// Membership view in force at the node.
     pub view: ViewVersion,
@@ -40,7 +40,7 @@
     pub members: Vec<MemberStatus>,
 }
 
-/// Client of one node. Calls fail with [`OperatorError`]; none is repeated by the client itself.
+/// Client of the operator service of one node. It does not retry failed calls.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
     generated: GeneratedClient<Channel>,
@@ -48,9 +48,9 @@
 }
 
 impl OperatorClient {
-    /// Creates a client of the node at `address` (`IP:PORT`); it connects with the first call.
+    /// Creates a client of the node at `address` (`IP:PORT`). The first call opens the connection.
     ///
-    /// A call without an answer after `timeout` fails as unreachable.
+    /// A call that is not answered within `timeout` fails with [`OperatorError::Unreachable`].
     pub fn new(address: &str, timeout: Duration) -> Result<Self, OperatorError> {
         let endpoint = Endpoint::from_shared(format!("http://{address}"))
             .map_err(|error| unreachable(&error))?
@@ -58,7 +58,7 @@
         Ok(Self::from_channel(endpoint.connect_lazy(), timeout))
     }
 
-    /// Creates a client on a channel that exists already.
+    /// Creates a client that uses an existing channel.
     pub fn from_channel(channel: Channel, timeout: Duration) -> Self {
         let generated = GeneratedClient::new(channel).max_decoding_message_size(MAX_RESPONSE_BYTES);
         Self { generated, timeout }
@@ -79,9 +79,9 @@
         Ok(convert::policy_from_schema(policy)?)
     }
 
-    /// Replaces the policy if its version is `expected`, or whichever it is.
+    /// Replaces the policy if its version is `expected`; with `None`, whatever its version.
     ///
-    /// After [`OperatorError::Unreachable`] the call can be repeated with the same `change`.
+    /// After [`OperatorError::Unreachable`] the call can be retried with the same `change`.
     pub async fn apply_policy(
         &mut self,
         policy: Policy,
@@ -101,9 +101,9 @@
         Ok(convert::change_from_schema(response.into_inner().change)?)
     }
 
-    /// Moves a back end into or out of service.
+    /// Sets the state of a back end, to take it out of service or to restore it.
     ///
-    /// After [`OperatorError::Unreachable`] the call can be repeated with the same `change`.
+    /// After [`OperatorError::Unreachable`] the call can be retried with the same `change`.
     pub async fn set_back_end_state(
         &mut self,
         back_end: BackEndName,
@@ -123,7 +123,7 @@
         Ok(convert::change_from_schema(response.into_inner().change)?)
     }
 
-    /// Tells how far a change has spread.
+    /// Returns the version and state of a change.
     pub async fn get_change(&mut self, change: ChangeId) -> Result<Change, OperatorError> {
         let request = self.request(schema::GetChangeRequest {
             change_id: format_change_id(change),
@@ -136,7 +136,7 @@
         Ok(convert::change_from_schema(response.into_inner().change)?)
     }
 
-    /// Tells members and versions as the node sees them.
+    /// Returns the node's view of the members and of the versions in force.
     pub async fn get_status(&mut self) -> Result<DeploymentStatus, OperatorError> {
         let request = self.request(schema::GetStatusRequest {});
         let response = self
@@ -153,7 +153,7 @@
         })
     }
 
-    /// Stops the node as planned.
+    /// Starts a planned stop of the node.
     pub async fn stop_node(&mut self) -> Result<(), OperatorError> {
         let request = self.request(schema::StopNodeRequest {});
         self.generated
@@ -170,12 +170,12 @@
     }
 }
 
-/// Returns a change identifier as text, in the form of a UUID.
+/// Formats a change identifier as a UUID.
 pub fn format_change_id(change: ChangeId) -> String {
     Uuid::from_u128(change.0).to_string()
 }
 
-/// Reads a change identifier from the text form of a UUID.
+/// Parses a change identifier from the text form of a UUID.
 pub fn parse_change_id(text: &str) -> Result<ChangeId, MessageError> {
     convert::parse_change_id(text)
 }
--- a/crates/rillgap-operator/src/convert.rs
+++ b/crates/rillgap-operator/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between the messages of the schema and the types of the core.
+//! Conversions between the messages of the schema and the types of `rillgap-core`.
 
 mod change;
 mod policy;
--- a/crates/rillgap-operator/src/convert/change.rs
+++ b/crates/rillgap-operator/src/convert/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the policy and the status of the deployment.
+//! Conversions of policy changes and of the deployment status.
 
 use rillgap_core::id::{ChangeId, NodeName, PolicyVersion, ViewVersion};
 use rillgap_core::operator::{ChangeState, MemberStatus};
@@ -8,7 +8,7 @@
 use crate::error::MessageError;
 use crate::schema;
 
-/// Reads the identifier of a change.
+/// Parses the identifier of a change from the text form of a UUID.
 pub fn parse_change_id(text: &str) -> Result<ChangeId, MessageError> {
     Uuid::parse_str(text)
         .map(|id| ChangeId(id.as_u128()))
@@ -17,7 +17,7 @@
         })
 }
 
-/// Writes a change.
+/// Converts the version and state of a change to its schema message.
 pub fn change_to_schema(version: PolicyVersion, state: ChangeState) -> schema::Change {
     let (state, missing, nodes) = match state {
         ChangeState::Accepted => (schema::ChangeState::Accepted, 0, Vec::new()),
@@ -31,7 +31,7 @@
     }
 }
 
-/// Reads a change.
+/// Converts a change from its schema message.
 pub fn change_from_schema(change: Option<schema::Change>) -> Result<Change, MessageError> {
     let change = change.ok_or_else(|| MessageError::Missing {
         field: "change".to_owned(),
@@ -55,7 +55,7 @@
     })
 }
 
-/// Writes the status of the deployment.
+/// Converts the status of the deployment to its schema message.
 pub fn status_to_schema(
     policy: PolicyVersion,
     view: ViewVersion,
--- a/crates/rillgap-operator/src/convert/policy.rs
+++ b/crates/rillgap-operator/src/convert/policy.rs
@@ -1,4 +1,4 @@
-//! The policy.
+//! Conversions of the policy.
 
 use rillgap_core::id::{BackEndName, NodeName, PolicyVersion, ServiceName};
 use rillgap_core::policy::{
@@ -8,7 +8,7 @@
 use crate::error::MessageError;
 use crate::schema;
 
-/// Writes a policy.
+/// Converts a policy to its schema message.
 pub fn policy_to_schema(policy: Policy) -> schema::Policy {
     schema::Policy {
         version: policy.version.0,
@@ -23,7 +23,7 @@
     }
 }
 
-/// Reads a policy. Whether it is valid is for the core to say.
+/// Converts a policy from its schema message; `rillgap-core` validates the result.
 pub fn policy_from_schema(policy: schema::Policy) -> Result<Policy, MessageError> {
     let bounds = policy
         .bounds
@@ -49,7 +49,7 @@
     })
 }
 
-/// Writes the state of a back end.
+/// Converts the state of a back end to its schema value.
 pub fn back_end_state_to_schema(state: BackEndState) -> schema::BackEndState {
     match state {
         BackEndState::Serving => schema::BackEndState::Serving,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reads the state of a back end.
+/// Converts the state of a back end from its schema value; `field` is the path in errors.
 pub fn back_end_state_from_schema(field: &str, value: i32) -> Result<BackEndState, MessageError> {
     match schema::BackEndState::try_from(value) {
         Ok(schema::BackEndState::Serving) => Ok(BackEndState::Serving),
--- a/crates/rillgap-operator/src/error.rs
+++ b/crates/rillgap-operator/src/error.rs
@@ -1,70 +1,71 @@
-//! Errors of the operators' interface.
+//! Errors of the operator service and its client.
 
 use rillgap_core::code::ResultCode;
 use rillgap_core::id::PolicyVersion;
 use thiserror::Error;
 
-/// A message of the schema that does not state what it must.
+/// Error in a message of the schema.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// A field that must be there is absent.
+    /// A required field is missing.
     #[error("`{field}` is missing")]
     Missing {
         /// Path of the field.
         field: String,
     },
-    /// A number does not fit.
+    /// A number exceeds the range of its field.
     #[error("`{field}` = {value} is out of range; allowed are 0 to {maximum}")]
     OutOfRange {
         /// Path of the field.
         field: String,
-        /// The value as sent.
+        /// Value that was received.
         value: u32,
-        /// Largest value that fits.
+        /// Maximum value of the field.
         maximum: u32,
     },
-    /// An enumeration has a value that this version does not know, or none.
+    /// An enum field is unspecified or has a value that is unknown to this version.
     #[error("`{field}` = {value} is not a known value")]
     UnknownValue {
         /// Path of the field.
         field: String,
-        /// The number as sent.
+        /// Number that was received.
         value: i32,
     },
     /// A change identifier is not a UUID.
     #[error("`change_id` = `{value}` is not a UUID")]
     ChangeId {
-        /// The value as sent.
+        /// Text that was received.
         value: String,
     },
 }
 
-/// Failure of a call, as its client sees it.
+/// Error of a call, as returned by the client.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OperatorError {
-    /// No answer came. The call may or may not have taken effect.
+    /// No answer was received. The call may or may not have taken effect.
     #[error("no answer from the node: {detail}")]
     Unreachable {
-        /// What the transport says.
+        /// Message of the transport.
         detail: String,
     },
-    /// The node answered with a numbered failure.
+    /// The node answered with a result code of a failure.
     #[error("{}: {detail}", code.title())]
     Failed {
-        /// Numbered reason.
+        /// Result code.
         code: ResultCode,
-        /// Policy version in force at the node.
+        /// Policy version in force at the node; zero if there is none or the failure
+        /// did not come from the node.
         version: PolicyVersion,
-        /// What exactly is wrong.
+        /// Description of the failure.
         detail: String,
     },
-    /// The answer is not what the schema asks for.
+    /// The answer does not follow the schema.
     #[error("malformed answer: {0}")]
     Malformed(#[from] MessageError),
 }
 
 impl OperatorError {
-    /// Returns the numbered result of the call.
+    /// Returns the result code of the call.
     pub fn code(&self) -> ResultCode {
         match self {
             Self::Unreachable { .. } => ResultCode::OperatorUnreachable,
--- a/crates/rillgap-operator/src/handle.rs
+++ b/crates/rillgap-operator/src/handle.rs
@@ -1,22 +1,22 @@
-//! Hands the requests of operators to the node and its replies back.
+//! Channel that carries requests of operators to the node and replies back to the service.
 
 use rillgap_core::operator::{OperatorReply, OperatorRequest};
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot};
 
-/// A request on its way to the node, with the place for its reply.
+/// Request to the node, with the channel for its reply.
 #[derive(Debug)]
 pub struct OperatorCall {
-    /// What is asked.
+    /// Request of the operator.
     pub request: OperatorRequest,
-    /// Takes the reply; it fails if nobody waits for it any more, which is no error.
+    /// Sender of the reply. The send fails if the caller has been cancelled; ignore that error.
     pub reply: oneshot::Sender<OperatorReply>,
 }
 
-/// Receives the requests of operators on the side of the node.
+/// Receiver of the requests of operators, used by the node.
 pub type OperatorCalls = mpsc::Receiver<OperatorCall>;
 
-/// The node takes no requests any more.
+/// Error of a request to a node that has stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the node has stopped")]
 pub struct NodeStopped;
@@ -28,7 +28,7 @@
 }
 
 impl OperatorHandle {
-    /// Creates a handle and the node's side of it; at most `capacity` requests wait in between.
+    /// Creates a handle and the receiver for the node; at most `capacity` requests are queued.
     pub fn channel(capacity: usize) -> (Self, OperatorCalls) {
         let (calls, receiver) = mpsc::channel(capacity);
         (Self { calls }, receiver)
--- a/crates/rillgap-operator/src/lib.rs
+++ b/crates/rillgap-operator/src/lib.rs
@@ -1,7 +1,7 @@
-//! Peer: operators. Schema, generated code, service and client.
+//! gRPC interface for operators: schema, generated code, service and client.
 //!
-//! The schema is in `proto/`; its code is committed in `src/generated/` and made by
-//! `cargo run -p rillgap-operator --example generate`.
+//! The schema is in `proto/`. The code generated from it is committed in `src/generated/`;
+//! `cargo run -p rillgap-operator --example generate` regenerates it.
 
 pub mod client;
 mod convert;
--- a/crates/rillgap-operator/src/schema.rs
+++ b/crates/rillgap-operator/src/schema.rs
@@ -1,4 +1,4 @@
-//! Generated code of the schema.
+//! Messages, client and server generated from the schema in `proto/`.
 
 #![allow(missing_docs, clippy::all)]
 
--- a/crates/rillgap-operator/src/service.rs
+++ b/crates/rillgap-operator/src/service.rs
@@ -1,4 +1,4 @@
-//! Service: takes calls of operators and hands them to the node.
+//! gRPC service that forwards the calls of operators to the node.
 
 use std::future::Future;
 
@@ -16,35 +16,37 @@
 use crate::schema::operator_server::{Operator, OperatorServer};
 use crate::status;
 
-/// Most calls that one connection of an operator may have open.
+/// Maximum number of concurrent calls on one connection.
 const MAX_CALLS_PER_CONNECTION: usize = 16;
 
-/// Longest message that is read, in bytes: a policy of about 20,000 back ends.
+/// Maximum size of a request, in bytes; fits a policy of about 20,000 back ends.
 const MAX_REQUEST_BYTES: usize = 2 * 1024 * 1024;
 
-/// The service, in front of one node.
+/// Operator service of one node.
 #[derive(Clone, Debug)]
 pub struct OperatorService {
     node: OperatorHandle,
 }
 
 impl OperatorService {
-    /// Creates the service in front of a node.
+    /// Creates a service that forwards calls to `node`.
     pub fn new(node: OperatorHandle) -> Self {
         Self { node }
     }
 
-    /// Returns the service in the form that a tonic server takes.
+    /// Wraps the service in the generated server, which can be added to a tonic server.
     pub fn into_server(self) -> OperatorServer<Self> {
         OperatorServer::new(self).max_decoding_message_size(MAX_REQUEST_BYTES)
     }
 
+    /// Sends a request to the node; converts [`OperatorReply::Failed`] and a stopped node to a
+    /// [`Status`].
     async fn call_node(&self, request: OperatorRequest) -> Result<OperatorReply, Status> {
-        let reply = self.node.call(request).await.map_err(|gone| {
+        let reply = self.node.call(request).await.map_err(|error| {
             status::failure_status(
                 ResultCode::NodeStopping,
                 PolicyVersion(0),
-                &gone.to_string(),
+                &error.to_string(),
             )
         })?;
         match reply {
@@ -70,7 +72,7 @@
     }
 }
 
-/// Serves operators on `listener` until `stop` completes and open calls are done.
+/// Serves calls on `listener` until `stop` completes and the open calls are finished.
 pub async fn serve(
     listener: TcpListener,
     node: OperatorHandle,
--- a/crates/rillgap-operator/src/status.rs
+++ b/crates/rillgap-operator/src/status.rs
@@ -1,4 +1,4 @@
-//! Numbered result codes in the status details of a call.
+//! Conversion between result codes and the details of a gRPC status.
 
 use rillgap_core::code::ResultCode;
 use rillgap_core::id::PolicyVersion;
@@ -7,11 +7,12 @@
 
 use crate::error::{MessageError, OperatorError};
 
+/// Domain of the error info in the status details; other domains are ignored.
 const DOMAIN: &str = "rillgap";
 const CODE_KEY: &str = "code";
 const VERSION_KEY: &str = "policy_version";
 
-/// Returns the status that tells a client of a failure.
+/// Returns the gRPC status of a failure, with its result code and the policy version as details.
 pub fn failure_status(code: ResultCode, version: PolicyVersion, detail: &str) -> Status {
     let metadata = [
         (CODE_KEY.to_owned(), code.number().to_string()),
@@ -21,13 +22,16 @@
     Status::with_error_details(rpc_code(code), detail, details)
 }
 
-/// Returns the status that tells a client of a malformed message.
+/// Returns the gRPC status of a malformed message.
 pub fn malformed_status(error: &MessageError) -> Status {
     let detail = error.to_string();
     failure_status(ResultCode::MalformedRequest, PolicyVersion(0), &detail)
 }
 
-/// Reads the failure back from a status; one without our details comes from the transport.
+/// Converts a status to an error.
+///
+/// A status without the details of [`failure_status`] was created by the transport and is
+/// converted to [`OperatorError::Unreachable`].
 pub fn error_from_status(status: &Status) -> OperatorError {
     parse_failure(status).unwrap_or_else(|| OperatorError::Unreachable {
         detail: status.message().to_owned(),
--- a/crates/rillgap-operator/tests/calls.rs
+++ b/crates/rillgap-operator/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls from client to node and back over a connection.
+//! Tests of calls from the client through the service to a simulated node.
 
 use std::future::pending;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Serves a node that gives `reply` to one request; its task returns that request.
+/// Starts a service whose node answers one request with `reply`; the task returns that request.
 async fn node_with(
     reply: OperatorReply,
 ) -> (OperatorClient, tokio::task::JoinHandle<OperatorRequest>) {
@@ -63,7 +63,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn policy_survives_both_directions() -> Result<()> {
+async fn policy_is_converted_unchanged_in_both_directions() -> Result<()> {
     let (mut client, node) = node_with(OperatorReply::Change {
         version: PolicyVersion(8),
         state: ChangeState::Accepted,
@@ -115,7 +115,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn every_numbered_failure_reaches_the_client() -> Result<()> {
+async fn every_result_code_reaches_the_client() -> Result<()> {
     for &code in ResultCode::ALL {
         let (mut client, _node) = node_with(OperatorReply::Failed {
             code,
@@ -140,7 +140,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn silent_node_is_unreachable() -> Result<()> {
+async fn refused_connection_is_reported_as_unreachable() -> Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
     drop(listener);
--- a/crates/rillgap-operator/tests/generated.rs
+++ b/crates/rillgap-operator/tests/generated.rs
@@ -1,4 +1,4 @@
-//! The committed code of the schema is current.
+//! Checks that the committed generated code matches the schema.
 
 #[path = "support/generator.rs"]
 mod generator;
--- a/crates/rillgap-operator/tests/support/generator.rs
+++ b/crates/rillgap-operator/tests/support/generator.rs
@@ -1,9 +1,9 @@
-//! Generates the Rust code of the schema without `protoc`.
+//! Generates the Rust code of the schema; compiles it with `protox`, so `protoc` is not needed.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
 
-/// File that the generator writes, named after the schema's package.
+/// Name of the generated file, which is derived from the package of the schema.
 pub const GENERATED_FILE: &str = "rillgap.operator.v1.rs";
 
 const SCHEMA_FILE: &str = "rillgap/operator/v1/operator.proto";
@@ -13,7 +13,7 @@
     package_directory().join("src/generated")
 }
 
-/// Generates the code of the schema into `directory`, which must exist.
+/// Writes the generated code to `directory`, which must exist.
 pub fn generate(directory: &Path) -> Result<(), Box<dyn Error>> {
     let include = package_directory().join("proto");
     let descriptors = protox::compile([SCHEMA_FILE], [include])?;
--- a/crates/rillgap-platform/src/client.rs
+++ b/crates/rillgap-platform/src/client.rs
@@ -13,29 +13,33 @@
 use crate::transport::{Answer, INDEX_HEADER, Transport};
 use crate::wire;
 
-/// Time in which a request that does not wait must be answered.
+/// Timeout of requests other than blocking queries, and of connecting.
 pub const NON_BLOCKING_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for which a blocking query asks the platform to wait.
+/// Time that a blocking query lets the platform wait for a change.
 pub const BLOCKING_WAIT: Duration = Duration::from_secs(30);
-
-/// Time that a blocking query may take beyond [`BLOCKING_WAIT`].
+/// Time beyond [`BLOCKING_WAIT`] after which a blocking query times out.
 const BLOCKING_TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
-/// Client of the platform, cheap to clone; its requests may run at the same time.
+
+/// Client of the platform. Clones are cheap and share the preferred endpoint; requests can run
+/// concurrently.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     endpoints: Arc<[SocketAddr]>,
+    /// Counter whose value modulo the number of endpoints is the index of the endpoint to use.
     preferred: Arc<AtomicUsize>,
     transport: Transport,
 }
 
-/// A read, with its answer if the object exists, and the index on which to wait next.
+/// Answer to a read of one object.
 struct ReadAnswer {
+    /// The object; `None` if it does not exist.
     object: Option<StoreObject>,
+    /// Index to pass to a blocking query that waits for the next change.
     wait_index: ModifyIndex,
 }
 
 impl PlatformClient {
-    /// Creates a client of the given endpoints, of which the first is asked first.
+    /// Creates a client of the given endpoints; it uses the first one until a request fails.
     pub fn new(endpoints: impl Into<Arc<[SocketAddr]>>) -> Self {
         Self {
             endpoints: endpoints.into(),
@@ -46,8 +50,9 @@
 
     /// Sends a request and returns its reply.
     ///
-    /// A read is tried at one endpoint after another. A write is sent once: if its answer is
-    /// unclear the reply is [`StoreReply::Failed`], and it may or may not have taken effect.
+    /// A read is tried at one endpoint after another until one answers. A write is sent only once:
+    /// if no valid answer is received, the reply is [`StoreReply::Failed`], and the write may or
+    /// may not have taken effect.
     pub async fn execute(&self, request: StoreRequest) -> StoreReply {
         let result = match request {
             StoreRequest::Read { key, after } => self.read(&key, after).await,
@@ -80,9 +85,9 @@
         })))
     }
 
-    /// Waits for an object that does not exist.
+    /// Reads an object; if it does not exist, waits until it is created or the wait ends.
     ///
-    /// Index zero never waits, so the wait needs the index that the first answer names.
+    /// A query with index zero returns immediately, so the wait uses the index of a first answer.
     async fn wait_for_creation(
         &self,
         key: &StoreKey,
@@ -149,7 +154,7 @@
         self.read_written_index(key, &value).await
     }
 
-    /// Reads back the index of a write that took effect, as the answer to a put does not tell.
+    /// Reads the index of a write that took effect; the answer to a put does not contain it.
     async fn read_written_index(
         &self,
         key: &StoreKey,
@@ -159,12 +164,12 @@
             Some(object) if object.value.as_deref() == Some(value) => {
                 Ok(StoreReply::Written(object.index))
             }
-            // Already replaced by a later write: the index of ours cannot be learned any more.
+            // A later write has replaced the value, so the index of this write is unknown.
             _ => Ok(StoreReply::Failed),
         }
     }
 
-    /// Sends a read to one endpoint after another until one answers.
+    /// Sends a read to the endpoints in turn, starting with the preferred one, until one answers.
     async fn get(&self, path: &str, timeout: Duration) -> Result<Answer, PlatformError> {
         let mut last_error = PlatformError::NoEndpoint;
         for attempt in 0..self.endpoints.len() {
--- a/crates/rillgap-platform/src/error.rs
+++ b/crates/rillgap-platform/src/error.rs
@@ -1,55 +1,55 @@
-//! Why an exchange with the platform failed.
+//! Errors of requests to the platform.
 
 use std::net::SocketAddr;
 
 use rillgap_core::code::ResultCode;
 
-/// Why an exchange with one endpoint of the platform failed.
+/// Error of a request to an endpoint of the platform.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
     /// No endpoint is configured.
     #[error("no endpoint of the platform is configured")]
     NoEndpoint,
-    /// The request could not be formed, for instance because of its key.
-    #[error("request cannot be formed: {0}")]
+    /// The request could not be built, for instance because its key is not valid in a path.
+    #[error("request cannot be built: {0}")]
     Request(#[from] http::Error),
     /// The endpoint did not answer in time.
     #[error("{endpoint} did not answer within {millis} ms")]
     Timeout {
-        /// Endpoint that was asked.
+        /// Endpoint to which the request was sent.
         endpoint: SocketAddr,
-        /// Time that was allowed, in milliseconds.
+        /// Timeout in milliseconds.
         millis: u128,
     },
-    /// The connection failed or broke off.
+    /// The connection could not be established or was lost.
     #[error("connection to {endpoint} failed: {source}")]
     Connection {
-        /// Endpoint that was asked.
+        /// Endpoint to which the request was sent.
         endpoint: SocketAddr,
-        /// What the HTTP library reported.
+        /// Error of the HTTP client.
         source: hyper_util::client::legacy::Error,
     },
-    /// The answer's body broke off or was too long.
-    #[error("answer of {endpoint} is broken or too long: {detail}")]
+    /// The body of the answer was incomplete or too long.
+    #[error("answer of {endpoint} is incomplete or too long: {detail}")]
     Body {
-        /// Endpoint that was asked.
+        /// Endpoint to which the request was sent.
         endpoint: SocketAddr,
-        /// What the HTTP library reported.
+        /// Text of the error that the HTTP library returned.
         detail: String,
     },
-    /// The endpoint answered with a status that the request does not allow for.
+    /// The endpoint answered with an unexpected HTTP status.
     #[error("unexpected status {status}")]
     Status {
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// The answer is not what the conventions call for.
+    /// The answer does not follow the HTTP conventions of the platform.
     #[error("malformed answer: {0}")]
     Malformed(String),
 }
 
 impl PlatformError {
-    /// Returns the numbered code under which the error is reported.
+    /// Returns the result code that is logged with the error.
     pub const fn code(&self) -> ResultCode {
         match self {
             Self::NoEndpoint | Self::Timeout { .. } | Self::Connection { .. } => {
--- a/crates/rillgap-platform/src/lib.rs
+++ b/crates/rillgap-platform/src/lib.rs
@@ -1,6 +1,6 @@
-//! Peer: the platform. Client of its object store and of its machine list.
+//! Client of the platform's object store and machine list.
 //!
-//! The platform is spoken to by the published HTTP conventions of a common key-value store:
+//! The platform implements the published HTTP interface of a common key-value store:
 //! `GET /v1/kv/KEY?index=N&wait=30s` is a blocking query, `PUT /v1/kv/KEY?cas=N` is a
 //! conditional put, and `GET /v1/catalog/nodes` lists the machines.
 
--- a/crates/rillgap-platform/src/transport.rs
+++ b/crates/rillgap-platform/src/transport.rs
@@ -1,4 +1,4 @@
-//! Single exchanges with an endpoint of the platform.
+//! HTTP transport: sends one request to one endpoint of the platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,30 +13,32 @@
 
 use crate::error::PlatformError;
 
-/// Longest answer that is read, in bytes.
+/// Maximum size of the body of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// Header with the index that a blocking query waits to be passed.
+/// Response header with the index of the data; a blocking query with this index waits for a
+/// larger one.
 pub(crate) const INDEX_HEADER: &str = "x-consul-index";
 
-/// Sends requests over connections that it keeps open.
+/// HTTP client that reuses its connections.
 #[derive(Clone, Debug)]
 pub(crate) struct Transport {
     http: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// A whole answer of the platform.
+/// Complete answer of the platform.
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
+    /// Value of [`INDEX_HEADER`]; `None` if the header is missing or not a number.
     pub(crate) index: Option<ModifyIndex>,
     pub(crate) body: Bytes,
 }
 
 impl Answer {
-    /// Checks that the status is one that the request allows for.
+    /// Checks that the status is one of `expected`.
     ///
     /// # Errors
     ///
-    /// Returns [`PlatformError::Status`] if it is another one.
+    /// Returns [`PlatformError::Status`] if it is not.
     pub(crate) fn expect_status(&self, expected: &[StatusCode]) -> Result<(), PlatformError> {
         if expected.contains(&self.status) {
             Ok(())
@@ -49,7 +51,7 @@
 }
 
 impl Transport {
-    /// Creates a transport that gives up a connection attempt after `connect_timeout`.
+    /// Creates a transport whose connection attempts time out after `connect_timeout`.
     pub(crate) fn new(connect_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Sends a request and returns the whole answer.
+    /// Sends a request and returns the complete answer; fails after `timeout`.
     pub(crate) async fn send(
         &self,
         endpoint: SocketAddr,
--- a/crates/rillgap-platform/src/wire.rs
+++ b/crates/rillgap-platform/src/wire.rs
@@ -1,4 +1,4 @@
-//! What the platform's answers look like on the wire.
+//! JSON format of the platform's answers.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,12 @@
 
 use crate::error::PlatformError;
 
-/// Metadata key under which the machine list states whether a machine is leaving.
+/// Metadata key of the machine list that holds the state of a machine.
 const STATE_KEY: &str = "state";
 /// Value of [`STATE_KEY`] for a machine that is leaving.
 const STATE_LEAVING: &str = "leaving";
 
-/// One object in the answer to `GET /v1/kv/KEY`.
+/// Object in the answer to `GET /v1/kv/KEY`.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct KeyValue {
@@ -23,7 +23,7 @@
     value: Option<String>,
 }
 
-/// One machine in the answer to `GET /v1/catalog/nodes`.
+/// Machine in the answer to `GET /v1/catalog/nodes`.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct CatalogNode {
@@ -65,7 +65,7 @@
     Ok(nodes.into_iter().map(machine).collect())
 }
 
-/// Decodes the answer to a conditional put.
+/// Decodes the answer to a conditional put: whether the value was written.
 ///
 /// # Errors
 ///
--- a/crates/rillgap-ring/src/lib.rs
+++ b/crates/rillgap-ring/src/lib.rs
@@ -1,22 +1,22 @@
-//! Bounded rings that join the duties of the daemon.
+//! Bounded channels ("rings") between the duties (long-running tasks) of the daemon.
 //!
-//! A ring has many senders and one receiver. It is allocated once and never grows. What
-//! happens when it is full is the sender's choice: [`RingSender::try_send`] fails at once,
-//! [`RingSender::send`] waits. To keep two duties from waiting for each other, the task that
-//! receives from a ring never waits for anything but that ring; `docs/design/duties.md` lists
-//! every ring with its choice.
+//! A ring has many senders and one receiver. Its slots are allocated once; it never grows. The
+//! sender chooses what happens when the ring is full: [`RingSender::try_send`] fails immediately,
+//! [`RingSender::send`] waits for a free slot. To prevent deadlocks between duties, the task that
+//! receives from a ring waits for nothing but that ring. `docs/design/duties.md` lists all rings
+//! and which of the two their senders use.
 
 use thingbuf::mpsc;
 use thingbuf::mpsc::errors::TrySendError;
 use thingbuf::recycling::Recycle;
 
-/// Why a message was not sent; the message comes back.
+/// Error of a send; it returns the message that was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RingError<T> {
     /// The ring has no free slot.
     #[error("ring is full")]
     Full(T),
-    /// The receiver is gone.
+    /// The receiver was dropped.
     #[error("ring is closed")]
     Closed(T),
 }
@@ -52,26 +52,26 @@
 }
 
 impl<T> RingSender<T> {
-    /// Sends a message if there is a free slot.
+    /// Sends a message if there is a free slot; never waits.
     ///
     /// # Errors
     ///
-    /// Returns the message if the ring is full or its receiver is gone.
+    /// Returns the message if the ring is full or the receiver was dropped.
     pub fn try_send(&self, message: T) -> Result<(), RingError<T>> {
         self.sender
             .try_send(Some(message))
             .map_err(|error| match error {
                 TrySendError::Full(message) => RingError::Full(unwrap_message(message)),
                 TrySendError::Closed(message) => RingError::Closed(unwrap_message(message)),
-                _ => unreachable!("thingbuf knows no other error"),
+                _ => unreachable!("`thingbuf` has no other error"),
             })
     }
 
-    /// Sends a message, waiting for a free slot.
+    /// Sends a message; waits for a free slot if the ring is full.
     ///
     /// # Errors
     ///
-    /// Returns the message if the receiver is gone.
+    /// Returns the message if the receiver was dropped.
     pub async fn send(&self, message: T) -> Result<(), RingError<T>> {
         self.sender
             .send(Some(message))
@@ -91,17 +91,18 @@
 }
 
 impl<T> RingReceiver<T> {
-    /// Waits for the next message; `None` once all senders are gone and the ring is empty.
+    /// Waits for the next message; returns `None` once the ring is empty and all senders
+    /// were dropped.
     pub async fn recv(&self) -> Option<T> {
         loop {
-            // A sender that was dropped between reserving and filling a slot leaves it vacant.
+            // A slot is empty if its sender was dropped after reserving and before filling it.
             if let Some(message) = self.receiver.recv().await? {
                 return Some(message);
             }
         }
     }
 
-    /// Returns the next message if there is one now.
+    /// Returns the next message, or `None` if the ring is empty; never waits.
     pub fn try_recv(&self) -> Option<T> {
         loop {
             match self.receiver.try_recv() {
@@ -113,7 +114,7 @@
     }
 }
 
-/// Empties a slot, so that a message's memory is freed as soon as it is received.
+/// Clears recycled slots, so that the memory of a message is not kept after it is received.
 #[derive(Clone, Copy, Debug)]
 struct ClearSlot;
 
@@ -130,6 +131,6 @@
 fn unwrap_message<T>(message: Option<T>) -> T {
     match message {
         Some(message) => message,
-        None => unreachable!("the ring sends whole messages only"),
+        None => unreachable!("senders fill slots with `Some` only"),
     }
 }
--- a/crates/rillgap-ring/tests/ring.rs
+++ b/crates/rillgap-ring/tests/ring.rs
@@ -1,10 +1,10 @@
-//! Behaviour of a full, a closed and a busy ring.
+//! Tests of rings that are full, closed or used by several senders.
 
 use googletest::prelude::*;
 use rillgap_ring::{RingError, ring};
 
 #[gtest]
-fn a_full_ring_refuses_at_once() {
+fn try_send_fails_on_a_full_ring() {
     let (sender, _receiver) = ring(2);
     expect_that!(sender.try_send(1), ok(eq(())));
     expect_that!(sender.try_send(2), ok(eq(())));
@@ -29,7 +29,7 @@
             .expect("a runtime starts");
         runtime.block_on(async {
             for message in 0..MESSAGES {
-                sender.send(message).await.expect("the receiver lives");
+                sender.send(message).await.expect("the receiver is open");
             }
         });
     });
