--- a/crates/rillgap-mesh/src/link.rs
+++ b/crates/rillgap-mesh/src/link.rs
@@ -33,7 +33,7 @@
 /// Message to the actor of a link.
 #[derive(Debug)]
 pub enum LinkMessage {
-    /// Write this frame to the connection.
+    /// Frame to write to the connection.
     Frame(Bytes),
     /// The peer closed the connection.
     PeerClosed,
--- a/crates/rillgap-operator/src/error.rs
+++ b/crates/rillgap-operator/src/error.rs
@@ -53,8 +53,8 @@
     Failed {
         /// Result code.
         code: ResultCode,
-        /// Policy version in force at the node; zero if there is none or the failure
-        /// did not come from the node.
+        /// Policy version in force at the node; zero if there is none or the failure did not
+        /// come from the node.
         version: PolicyVersion,
         /// Description of the failure.
         detail: String,
