--- a/crates/rillgap-backend/src/announcement.rs
+++ b/crates/rillgap-backend/src/announcement.rs
@@ -10,7 +10,7 @@
 /// Time for which an answer that says "leaving" outweighs a health endpoint that says "serving".
 ///
 /// The health endpoint lags behind; answers do not.
-const ANSWER_HOLD: Duration = Duration::from_secs(10);
+const ANSWER_PRECEDENCE: Duration = Duration::from_secs(10);
 
 /// Passes on to the node when the back end begins or ceases to leave.
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 struct State {
     is_leaving: bool,
-    held_until: Option<Instant>,
+    answer_precedence_until: Option<Instant>,
 }
 
 impl Announcement {
@@ -38,7 +38,7 @@
     pub async fn on_answer_leaving(&self) {
         let has_changed = {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-            state.held_until = Some(Instant::now() + ANSWER_HOLD);
+            state.answer_precedence_until = Some(Instant::now() + ANSWER_PRECEDENCE);
             !std::mem::replace(&mut state.is_leaving, true)
         };
         if has_changed {
@@ -50,9 +50,11 @@
     pub async fn on_health(&self, leaving: bool) {
         let has_changed = {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-            let is_held = state.held_until.is_some_and(|until| Instant::now() < until);
-            let is_outweighed = is_held && !leaving;
-            !is_outweighed && std::mem::replace(&mut state.is_leaving, leaving) != leaving
+            let has_precedence = state
+                .answer_precedence_until
+                .is_some_and(|until| Instant::now() < until);
+            let is_overridden = has_precedence && !leaving;
+            !is_overridden && std::mem::replace(&mut state.is_leaving, leaving) != leaving
         };
         if has_changed {
             self.announce(leaving).await;
--- a/crates/rillgap-backend/src/attempt.rs
+++ b/crates/rillgap-backend/src/attempt.rs
@@ -17,11 +17,11 @@
 use crate::request;
 
 /// Longest body of a shed answer that is read so that its connection can be reused, in bytes.
-const SHED_BODY: usize = 16 * 1024;
+const MAX_SHED_BODY_BYTES: usize = 16 * 1024;
 
 /// What an attempt needs besides its request.
 #[derive(Clone, Debug)]
-pub struct AttemptPorts {
+pub struct AttemptContext {
     /// Connections to the back end.
     pub pool: ConnectionPool,
     /// Events for the node.
@@ -37,19 +37,23 @@
 pub struct Attempt {
     id: AttemptId,
     credit: Arc<Credit>,
-    ports: AttemptPorts,
+    context: AttemptContext,
 }
 
 impl Attempt {
     /// Creates an attempt that reads as much as `credit` allows.
-    pub fn new(id: AttemptId, credit: Arc<Credit>, ports: AttemptPorts) -> Self {
-        Self { id, credit, ports }
+    pub fn new(id: AttemptId, credit: Arc<Credit>, context: AttemptContext) -> Self {
+        Self {
+            id,
+            credit,
+            context,
+        }
     }
 
     /// Sends the request and passes its answer on to the node.
     pub async fn run(self, request: BackEndRequest) {
         if let Err(failure) = self.try_run(request).await {
-            self.tell(Event::BackEndFailed {
+            self.send_event(Event::BackEndFailed {
                 attempt: self.id,
                 failure,
             })
@@ -58,30 +62,30 @@
     }
 
     async fn try_run(&self, request: BackEndRequest) -> Result<(), BackEndFailure> {
-        let outgoing = request::build(request, &self.ports.host).map_err(|error| {
+        let outgoing = request::build(request, &self.context.host).map_err(|error| {
             log::warn!("back end: request cannot be built: {error}");
             BackEndFailure::NotConnected
         })?;
         let is_head_request = outgoing.method() == Method::HEAD;
-        let (response, lease) = self.ports.pool.send(outgoing).await.map_err(failure_of)?;
+        let (response, lease) = self.context.pool.send(outgoing).await.map_err(failure_of)?;
         if request::is_leaving(&response) {
-            self.ports.announcement.on_answer_leaving().await;
+            self.context.announcement.on_answer_leaving().await;
         }
         if request::is_shed(&response) {
             discard(response, lease).await;
             return Err(BackEndFailure::Shed);
         }
-        self.pass_on(response, lease, is_head_request).await
+        self.forward_answer(response, lease, is_head_request).await
     }
 
-    async fn pass_on(
+    async fn forward_answer(
         &self,
         response: Response<Incoming>,
         lease: Lease,
         is_head_request: bool,
     ) -> Result<(), BackEndFailure> {
         let is_delimited = request::is_delimited(&response, is_head_request);
-        self.tell(Event::BackEndHead {
+        self.send_event(Event::BackEndHead {
             attempt: self.id,
             head: request::answer_head(&response),
         })
@@ -93,22 +97,23 @@
                 BackEndFailure::Broken
             })?;
             if let Ok(data) = frame.into_data() {
-                self.pass_on_chunk(data).await;
+                self.forward_chunk(data).await;
             }
         }
         if !is_delimited {
             log::warn!("back end: answer has neither length nor chunks, so its end proves nothing");
             return Err(BackEndFailure::Broken);
         }
-        lease.give_back();
-        self.tell(Event::BackEndEnd { attempt: self.id }).await;
+        lease.return_to_pool();
+        self.send_event(Event::BackEndEnd { attempt: self.id })
+            .await;
         Ok(())
     }
 
-    async fn pass_on_chunk(&self, mut data: Bytes) {
+    async fn forward_chunk(&self, mut data: Bytes) {
         while !data.is_empty() {
             let length = self.credit.take(data.len()).await;
-            self.tell(Event::BackEndBody {
+            self.send_event(Event::BackEndBody {
                 attempt: self.id,
                 chunk: data.split_to(length),
             })
@@ -116,9 +121,9 @@
         }
     }
 
-    async fn tell(&self, event: Event) {
+    async fn send_event(&self, event: Event) {
         // A full ring holds back this attempt only; a closed one means that the process ends.
-        let _ = self.ports.events.send(event).await;
+        let _ = self.context.events.send(event).await;
     }
 }
 
@@ -132,8 +137,8 @@
 
 /// Reads a short body to its end, so that the connection can be reused.
 async fn discard(response: Response<Incoming>, lease: Lease) {
-    let body = Limited::new(response.into_body(), SHED_BODY);
+    let body = Limited::new(response.into_body(), MAX_SHED_BODY_BYTES);
     if body.collect().await.is_ok() {
-        lease.give_back();
+        lease.return_to_pool();
     }
 }
--- a/crates/rillgap-backend/src/client.rs
+++ b/crates/rillgap-backend/src/client.rs
@@ -11,7 +11,7 @@
 use tokio::task::AbortHandle;
 
 use crate::announcement::Announcement;
-use crate::attempt::{Attempt, AttemptPorts};
+use crate::attempt::{Attempt, AttemptContext};
 use crate::credit::Credit;
 use crate::health;
 use crate::pool::ConnectionPool;
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct BackEndClient {
     settings: BackEndSettings,
-    ports: AttemptPorts,
+    context: AttemptContext,
     running: RunningAttempts,
 }
 
@@ -66,7 +66,7 @@
         );
         let host = HeaderValue::from_str(&settings.address.to_string())
             .unwrap_or(HeaderValue::from_static("back-end"));
-        let ports = AttemptPorts {
+        let context = AttemptContext {
             pool,
             announcement: Announcement::new(events.clone()),
             events,
@@ -74,7 +74,7 @@
         };
         Self {
             settings,
-            ports,
+            context,
             running: RunningAttempts::default(),
         }
     }
@@ -84,8 +84,8 @@
     pub async fn run(self, commands: RingReceiver<BackEndCommand>) {
         let health = tokio::spawn(health::watch(
             self.settings.clone(),
-            self.ports.host.clone(),
-            self.ports.announcement.clone(),
+            self.context.host.clone(),
+            self.context.announcement.clone(),
         ));
         while let Some(command) = commands.recv().await {
             self.execute(command);
@@ -105,7 +105,7 @@
         let id = request.attempt;
         let credit = Arc::new(Credit::default());
         self.running.begin(id, Arc::clone(&credit));
-        let attempt = Attempt::new(id, credit, self.ports.clone());
+        let attempt = Attempt::new(id, credit, self.context.clone());
         let running = self.running.clone();
         let task = tokio::spawn(async move {
             attempt.run(request).await;
--- a/crates/rillgap-backend/src/health.rs
+++ b/crates/rillgap-backend/src/health.rs
@@ -16,10 +16,10 @@
 use crate::settings::BackEndSettings;
 
 /// Longest time in which the endpoint must answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+const HEALTH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Longest answer that is read, in bytes.
-const MAX_ANSWER: usize = 4 * 1024;
+const MAX_REPORT_BYTES: usize = 4 * 1024;
 
 /// State that the endpoint reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
@@ -45,19 +45,19 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let report = timeout(ANSWER_TIMEOUT, look(&pool, &path, &host)).await;
+        let report = timeout(HEALTH_TIMEOUT, fetch_state(&pool, &path, &host)).await;
         if let Ok(Some(state)) = report {
             announcement.on_health(state == HealthState::Leaving).await;
         }
     }
 }
 
-async fn look(pool: &ConnectionPool, path: &str, host: &HeaderValue) -> Option<HealthState> {
+async fn fetch_state(pool: &ConnectionPool, path: &str, host: &HeaderValue) -> Option<HealthState> {
     let request = request::build_health(path, host).ok()?;
     let (response, lease) = pool.send(request).await.ok()?;
-    let body = Limited::new(response.into_body(), MAX_ANSWER);
+    let body = Limited::new(response.into_body(), MAX_REPORT_BYTES);
     let bytes = body.collect().await.ok()?.to_bytes();
-    lease.give_back();
+    lease.return_to_pool();
     let report: HealthReport = serde_json::from_slice(&bytes).ok()?;
     Some(report.state)
 }
--- a/crates/rillgap-backend/src/pool.rs
+++ b/crates/rillgap-backend/src/pool.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, timeout};
 
 /// Read buffer of a connection in bytes, which bounds the parts in which a body is read.
-const CONNECTION_BUFFER: usize = 64 * 1024;
+const CONNECTION_BUFFER_BYTES: usize = 64 * 1024;
 
 /// Longest time for which a connection stays idle.
 ///
@@ -52,10 +52,10 @@
 #[derive(Debug)]
 struct IdleConnection {
     sender: Sender,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// A connection in use; dropping it closes it, [`Lease::give_back`] keeps it for reuse.
+/// A connection in use; dropping it closes it, [`Lease::return_to_pool`] keeps it for reuse.
 ///
 /// A new connection is opened only if none is idle, so the number of connections never exceeds
 /// the number of leases that were held at one time.
@@ -136,7 +136,7 @@
         let mut idle = self.lock_idle();
         let now = Instant::now();
         idle.retain(|connection| {
-            !connection.sender.is_closed() && now - connection.since < IDLE_TIMEOUT
+            !connection.sender.is_closed() && now - connection.idle_since < IDLE_TIMEOUT
         });
         idle.pop().map(|connection| connection.sender)
     }
@@ -150,7 +150,7 @@
             .set_nodelay(true)
             .map_err(|error| SendError::NotSent(error.to_string()))?;
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(CONNECTION_BUFFER)
+            .max_buf_size(CONNECTION_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|error| SendError::NotSent(error.to_string()))?;
@@ -169,10 +169,10 @@
 
 impl Lease {
     /// Keeps the connection for reuse; its last response must have been read to the end.
-    pub fn give_back(self) {
+    pub fn return_to_pool(self) {
         self.pool.lock_idle().push(IdleConnection {
             sender: self.sender,
-            since: Instant::now(),
+            idle_since: Instant::now(),
         });
     }
 }
--- a/crates/rillgap-backend/tests/client.rs
+++ b/crates/rillgap-backend/tests/client.rs
@@ -15,8 +15,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const WINDOW: u32 = 64 * 1024;
-const WHOLE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
+const LARGE_CREDIT: u32 = 64 * 1024;
+const COMPLETE_ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
 
 /// Whole body of an answer, or why there is none.
 type Outcome = std::result::Result<Vec<u8>, BackEndFailure>;
@@ -48,10 +48,10 @@
 }
 
 impl Fixture {
-    async fn start(change: impl FnOnce(&mut BackEndSettings)) -> Self {
+    async fn start(configure: impl FnOnce(&mut BackEndSettings)) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let mut settings = settings(listener.local_addr().expect("bound"));
-        change(&mut settings);
+        configure(&mut settings);
         let (sender, events) = ring(64);
         let (commands, receiver) = ring(64);
         tokio::spawn(BackEndClient::new(settings, sender).run(receiver));
@@ -108,9 +108,9 @@
     }
 
     /// Calls, answers by raw bytes, closes the connection and returns the outcome.
-    async fn answered_by(answer: &[u8]) -> Outcome {
+    async fn outcome_of_answer(answer: &[u8]) -> Outcome {
         let fixture = Self::start(|_| {}).await;
-        fixture.call(1, WINDOW).await;
+        fixture.call(1, LARGE_CREDIT).await;
         let mut connection = fixture.accept().await;
         read_request(&mut connection).await;
         connection.write_all(answer).await.expect("write");
@@ -119,7 +119,7 @@
     }
 }
 
-fn whole(body: &str) -> Outcome {
+fn complete(body: &str) -> Outcome {
     Ok(body.as_bytes().to_vec())
 }
 
@@ -135,17 +135,23 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_whole_answer_is_passed_on() {
-    expect_that!(Fixture::answered_by(WHOLE).await, eq(&whole("hello")));
+async fn a_complete_answer_is_forwarded() {
+    expect_that!(
+        Fixture::outcome_of_answer(COMPLETE_ANSWER).await,
+        eq(&complete("hello"))
+    );
     let chunked = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
-    expect_that!(Fixture::answered_by(chunked).await, eq(&whole("hello")));
+    expect_that!(
+        Fixture::outcome_of_answer(chunked).await,
+        eq(&complete("hello"))
+    );
 }
 
 #[gtest]
 #[tokio::test]
-async fn the_back_end_gets_token_and_remaining_time() {
+async fn the_back_end_receives_token_and_remaining_time() {
     let fixture = Fixture::start(|_| {}).await;
-    fixture.call(1, WINDOW).await;
+    fixture.call(1, LARGE_CREDIT).await;
     let request = read_request(&mut fixture.accept().await).await;
     expect_that!(request, starts_with("POST /fare?zone=1 HTTP/1.1\r\n"));
     expect_that!(
@@ -160,7 +166,7 @@
 async fn a_refused_connection_means_that_nothing_was_sent() {
     let mut fixture = Fixture::start(|_| {}).await;
     fixture.listener = None;
-    fixture.call(1, WINDOW).await;
+    fixture.call(1, LARGE_CREDIT).await;
     expect_that!(
         fixture.outcome().await,
         eq(&Err(BackEndFailure::NotConnected))
@@ -180,7 +186,7 @@
     ];
     for answer in answers {
         expect_that!(
-            Fixture::answered_by(answer).await,
+            Fixture::outcome_of_answer(answer).await,
             eq(&Err(BackEndFailure::Broken))
         );
     }
@@ -191,49 +197,49 @@
 async fn only_an_answer_with_the_published_header_counts_as_shed() {
     let shed = b"HTTP/1.1 503 Busy\r\nrillgap-not-run: true\r\ncontent-length: 0\r\n\r\n";
     expect_that!(
-        Fixture::answered_by(shed).await,
+        Fixture::outcome_of_answer(shed).await,
         eq(&Err(BackEndFailure::Shed))
     );
     let plain = b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n";
-    expect_that!(Fixture::answered_by(plain).await, eq(&whole("")));
+    expect_that!(Fixture::outcome_of_answer(plain).await, eq(&complete("")));
 }
 
 #[gtest]
 #[tokio::test]
 async fn a_connection_is_reused_and_replaced_once_it_is_closed() {
     let fixture = Fixture::start(|_| {}).await;
-    fixture.call(1, WINDOW).await;
+    fixture.call(1, LARGE_CREDIT).await;
     let mut first = fixture.accept().await;
     for sequence in 2..4 {
         read_request(&mut first).await;
-        first.write_all(WHOLE).await.expect("write");
-        expect_that!(fixture.outcome().await, eq(&whole("hello")));
-        fixture.call(sequence, WINDOW).await;
+        first.write_all(COMPLETE_ANSWER).await.expect("write");
+        expect_that!(fixture.outcome().await, eq(&complete("hello")));
+        fixture.call(sequence, LARGE_CREDIT).await;
     }
     read_request(&mut first).await;
-    first.write_all(WHOLE).await.expect("write");
-    expect_that!(fixture.outcome().await, eq(&whole("hello")));
+    first.write_all(COMPLETE_ANSWER).await.expect("write");
+    expect_that!(fixture.outcome().await, eq(&complete("hello")));
     drop(first);
     // Lets the client notice the close before it sends again.
     tokio::time::sleep(Duration::from_millis(20)).await;
-    fixture.call(4, WINDOW).await;
+    fixture.call(4, LARGE_CREDIT).await;
     let mut second = fixture.accept().await;
     read_request(&mut second).await;
-    second.write_all(WHOLE).await.expect("write");
-    expect_that!(fixture.outcome().await, eq(&whole("hello")));
+    second.write_all(COMPLETE_ANSWER).await.expect("write");
+    expect_that!(fixture.outcome().await, eq(&complete("hello")));
 }
 
 #[gtest]
 #[tokio::test]
-async fn connections_are_bounded() {
+async fn connections_are_limited() {
     let fixture = Fixture::start(|settings| settings.connections = 1).await;
-    fixture.call(1, WINDOW).await;
-    fixture.call(2, WINDOW).await;
+    fixture.call(1, LARGE_CREDIT).await;
+    fixture.call(2, LARGE_CREDIT).await;
     let mut connection = fixture.accept().await;
     for _ in 0..2 {
         read_request(&mut connection).await;
-        connection.write_all(WHOLE).await.expect("write");
-        expect_that!(fixture.outcome().await, eq(&whole("hello")));
+        connection.write_all(COMPLETE_ANSWER).await.expect("write");
+        expect_that!(fixture.outcome().await, eq(&complete("hello")));
     }
 }
 
@@ -241,7 +247,7 @@
 #[tokio::test]
 async fn cancelling_closes_the_connection() {
     let fixture = Fixture::start(|_| {}).await;
-    fixture.call(1, WINDOW).await;
+    fixture.call(1, LARGE_CREDIT).await;
     let mut connection = fixture.accept().await;
     read_request(&mut connection).await;
     let attempt = attempt(1);
@@ -252,12 +258,12 @@
 
 #[gtest]
 #[tokio::test]
-async fn no_more_is_passed_on_than_the_node_allows() {
+async fn no_more_is_forwarded_than_the_credit_allows() {
     let fixture = Fixture::start(|_| {}).await;
     fixture.call(1, 3).await;
     let mut connection = fixture.accept().await;
     read_request(&mut connection).await;
-    connection.write_all(WHOLE).await.expect("write");
+    connection.write_all(COMPLETE_ANSWER).await.expect("write");
     expect_that!(
         fixture.events.recv().await,
         some(matches_pattern!(Event::BackEndHead { .. }))
@@ -275,14 +281,14 @@
     };
     fixture.command(read).await;
     expect_that!(fixture.events.recv().await, some(eq(&part(b"lo"))));
-    expect_that!(fixture.outcome().await, eq(&whole("")));
+    expect_that!(fixture.outcome().await, eq(&complete("")));
 }
 
 #[gtest]
 #[tokio::test]
 async fn an_answer_can_announce_that_the_back_end_leaves() {
     let fixture = Fixture::start(|_| {}).await;
-    fixture.call(1, WINDOW).await;
+    fixture.call(1, LARGE_CREDIT).await;
     let mut connection = fixture.accept().await;
     read_request(&mut connection).await;
     let answer = b"HTTP/1.1 200 OK\r\nrillgap-leaving: 1\r\ncontent-length: 0\r\n\r\n";
--- a/crates/rillgap-caller/src/body.rs
+++ b/crates/rillgap-caller/src/body.rs
@@ -46,7 +46,7 @@
     ) -> Poll<Option<Result<Bytes, AnswerBroken>>> {
         match self.inbound.poll_part(context) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(Some(AnswerPart::Body(chunk))) => Poll::Ready(Some(self.take(chunk))),
+            Poll::Ready(Some(AnswerPart::Body(chunk))) => Poll::Ready(Some(self.on_chunk(chunk))),
             Poll::Ready(Some(AnswerPart::End)) => {
                 self.inbound.set_ended();
                 Poll::Ready(self.check_end())
@@ -58,7 +58,7 @@
         }
     }
 
-    fn take(&mut self, chunk: Bytes) -> Result<Bytes, AnswerBroken> {
+    fn on_chunk(&mut self, chunk: Bytes) -> Result<Bytes, AnswerBroken> {
         let length = chunk.len() as u64;
         if let Some(remaining) = &mut self.remaining {
             *remaining = remaining.checked_sub(length).ok_or(AnswerBroken)?;
--- a/crates/rillgap-caller/src/exchange.rs
+++ b/crates/rillgap-caller/src/exchange.rs
@@ -13,7 +13,7 @@
 /// Parts of one answer that may wait for the caller's connection.
 ///
 /// The node bounds the bytes by its credits; this bounds the parts, however small.
-const WAITING_PARTS: usize = 1_024;
+const MAX_QUEUED_PARTS: usize = 1_024;
 
 /// A part of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -48,15 +48,15 @@
 /// The requests that wait for an answer, shared by all listeners of a node.
 #[derive(Clone, Debug, Default)]
 pub struct Exchange {
-    waiting: Arc<Mutex<BTreeMap<InboundId, mpsc::Sender<AnswerPart>>>>,
-    next: Arc<AtomicU64>,
+    pending: Arc<Mutex<BTreeMap<InboundId, mpsc::Sender<AnswerPart>>>>,
+    next_id: Arc<AtomicU64>,
 }
 
 impl Exchange {
     /// Registers a new request.
     pub fn register(&self) -> (InboundId, mpsc::Receiver<AnswerPart>) {
-        let inbound = InboundId(self.next.fetch_add(1, Ordering::Relaxed));
-        let (sender, receiver) = mpsc::channel(WAITING_PARTS);
+        let inbound = InboundId(self.next_id.fetch_add(1, Ordering::Relaxed));
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_PARTS);
         self.lock().insert(inbound, sender);
         (inbound, receiver)
     }
@@ -75,14 +75,14 @@
     ///
     /// If too many parts wait already, the request is forgotten, which breaks its answer off.
     pub fn deliver(&self, answer: Answer) {
-        let mut waiting = self.lock();
-        let Some(sender) = waiting.get(&answer.inbound) else {
+        let mut pending = self.lock();
+        let Some(sender) = pending.get(&answer.inbound) else {
             return;
         };
         let is_last = answer.part.is_last();
         let delivered = sender.try_send(answer.part).is_ok();
         if is_last || !delivered {
-            waiting.remove(&answer.inbound);
+            pending.remove(&answer.inbound);
         }
     }
 
@@ -94,6 +94,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<InboundId, mpsc::Sender<AnswerPart>>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/rillgap-caller/src/handler.rs
+++ b/crates/rillgap-caller/src/handler.rs
@@ -32,7 +32,7 @@
     exchange: Exchange,
     events: RingSender<Event>,
     /// Bytes of bodies that may be received in addition.
-    receiving: Semaphore,
+    receive_budget: Semaphore,
 }
 
 impl Handler {
@@ -49,7 +49,7 @@
                 limits,
                 exchange,
                 events,
-                receiving: Semaphore::new(limits.receiving_bytes),
+                receive_budget: Semaphore::new(limits.receiving_bytes),
             }),
         }
     }
@@ -81,9 +81,14 @@
             return Err(problem::refusal(ResultCode::TokenInvalid));
         }
         let is_head_request = request.method() == Method::HEAD;
-        let request = request::read(request, &shared.audience, &shared.limits, &shared.receiving)
-            .await
-            .map_err(problem::refusal)?;
+        let request = request::read(
+            request,
+            &shared.audience,
+            &shared.limits,
+            &shared.receive_budget,
+        )
+        .await
+        .map_err(problem::refusal)?;
         let mut inbound = Inbound::register(&shared.exchange, &shared.events);
         let event = Event::Inbound {
             inbound: inbound.id(),
@@ -93,7 +98,7 @@
         // further behind.
         if let Err(error) = shared.events.try_send(event) {
             inbound.set_ended();
-            return Err(problem::refusal(not_taken(&error)));
+            return Err(problem::refusal(ring_error_code(&error)));
         }
         match inbound.next_part().await {
             Some(AnswerPart::Head(head)) => Ok(respond(head, is_head_request, inbound)),
@@ -109,7 +114,7 @@
     }
 }
 
-fn not_taken<T>(error: &RingError<T>) -> ResultCode {
+fn ring_error_code<T>(error: &RingError<T>) -> ResultCode {
     match error {
         RingError::Full(_) => ResultCode::Overloaded,
         RingError::Closed(_) => ResultCode::NodeStopping,
@@ -126,9 +131,9 @@
     is_head_request: bool,
     mut inbound: Inbound,
 ) -> Response<ResponseBody> {
-    let mut map = http::HeaderMap::with_capacity(head.headers.len());
-    headers::append(&head.headers, &mut map);
-    let content_length = map
+    let mut response_headers = http::HeaderMap::with_capacity(head.headers.len());
+    headers::append(&head.headers, &mut response_headers);
+    let content_length = response_headers
         .get(http::header::CONTENT_LENGTH)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.parse().ok());
@@ -140,7 +145,7 @@
     let body = ResponseBody::Streamed(AnswerStream::new(inbound, content_length));
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    *response.headers_mut() = map;
+    *response.headers_mut() = response_headers;
     response
 }
 
--- a/crates/rillgap-caller/src/inbound.rs
+++ b/crates/rillgap-caller/src/inbound.rs
@@ -9,7 +9,7 @@
 /// Bytes after which the node is told that the caller took in a part of the answer.
 ///
 /// A fraction of the node's window, so that short answers cause no event at all.
-const CONSUMED_STEP: u32 = 16 * 1024;
+const CONSUMED_EVENT_BYTES: u32 = 16 * 1024;
 
 /// A request that has been handed to the node.
 ///
@@ -65,9 +65,9 @@
     pub fn consume(&mut self, bytes: usize) {
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
         self.consumed = self.consumed.saturating_add(bytes);
-        if self.consumed >= CONSUMED_STEP {
+        if self.consumed >= CONSUMED_EVENT_BYTES {
             let bytes = std::mem::take(&mut self.consumed);
-            self.tell(Event::InboundConsumed {
+            self.send_event(Event::InboundConsumed {
                 inbound: self.id,
                 bytes,
             });
@@ -75,7 +75,7 @@
     }
 
     /// Tells the node something that must not get lost, without waiting here.
-    fn tell(&self, event: Event) {
+    fn send_event(&self, event: Event) {
         let Err(RingError::Full(event)) = self.events.try_send(event) else {
             return;
         };
@@ -91,7 +91,7 @@
     fn drop(&mut self) {
         self.exchange.forget(self.id);
         if !self.is_ended {
-            self.tell(Event::InboundGone { inbound: self.id });
+            self.send_event(Event::InboundGone { inbound: self.id });
         }
     }
 }
--- a/crates/rillgap-caller/src/key.rs
+++ b/crates/rillgap-caller/src/key.rs
@@ -5,7 +5,7 @@
 use uuid::Uuid;
 
 /// Version of UUID that carries its time.
-const KEY_VERSION: usize = 7;
+const KEY_UUID_VERSION: usize = 7;
 
 /// Parses a key: a UUID of version 7, bare or as the quoted string of the header's draft.
 ///
@@ -19,7 +19,7 @@
         .and_then(|rest| rest.strip_suffix('"'))
         .unwrap_or(trimmed);
     let key = Uuid::try_parse(bare).map_err(|_| ResultCode::KeyMalformed)?;
-    if key.get_version_num() != KEY_VERSION {
+    if key.get_version_num() != KEY_UUID_VERSION {
         return Err(ResultCode::KeyMalformed);
     }
     Ok(IdempotencyKey(key.as_u128()))
--- a/crates/rillgap-caller/src/listener.rs
+++ b/crates/rillgap-caller/src/listener.rs
@@ -23,14 +23,14 @@
 use crate::settings::HttpLimits;
 
 /// Pause after a failed accept, which means that descriptors or memory ran out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(100);
 
 /// Time for which resting connections are kept open on a stop. Callers that use them often are told to go over to another
 /// connection with an answer; closed at once, a request that crosses the close would be cut.
-const FAREWELL: Duration = Duration::from_millis(500);
+const SHUTDOWN_GRACE_PERIOD: Duration = Duration::from_millis(500);
 
 /// Read and write buffer of an HTTP/1.1 connection in bytes; longer heads end the connection.
-const CONNECTION_BUFFER: usize = 64 * 1024;
+const CONNECTION_BUFFER_BYTES: usize = 64 * 1024;
 
 /// Most header fields of a request.
 const MAX_HEADER_FIELDS: usize = 128;
@@ -39,7 +39,7 @@
 const MAX_STREAMS: u32 = 128;
 
 /// Longest header list of an HTTP/2 request in bytes; longer ones are refused by the library.
-const MAX_HEADER_LIST: u32 = 64 * 1024;
+const MAX_HEADER_LIST_BYTES: u32 = 64 * 1024;
 
 /// Why a connection ended other than by its caller's wish.
 #[derive(Debug, thiserror::Error)]
@@ -94,7 +94,7 @@
                 Ok((stream, peer)) => self.admit(stream, peer),
                 Err(error) => {
                     log::error!("caller: accept failed: {error}");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_ERROR_PAUSE).await;
                 }
             }
         }
@@ -138,10 +138,10 @@
             has_request.store(true, Ordering::Relaxed);
             let handler = self.handler.clone();
             let stop = self.stop.clone();
-            let may_say_close = request.version() < Version::HTTP_2;
+            let allows_connection_header = request.version() < Version::HTTP_2;
             async move {
                 let mut response = handler.handle(peer, request).await;
-                if may_say_close && stop.is_cancelled() {
+                if allows_connection_header && stop.is_cancelled() {
                     let close = HeaderValue::from_static("close");
                     response.headers_mut().insert(CONNECTION, close);
                 }
@@ -156,8 +156,8 @@
             error = first_request_timeout(&has_request, self.handler.limits()) => return Err(error),
         }
         // A request that the caller is just sending on a resting connection still gets its answer.
-        let farewell = tokio::time::timeout(FAREWELL, connection.as_mut());
-        if let Ok(result) = farewell.await {
+        let drained = tokio::time::timeout(SHUTDOWN_GRACE_PERIOD, connection.as_mut());
+        if let Ok(result) = drained.await {
             return result.map_err(ConnectionError::Http);
         }
         connection.as_mut().graceful_shutdown();
@@ -182,11 +182,11 @@
         .timer(TokioTimer::new())
         .header_read_timeout(request_timeout)
         .max_headers(MAX_HEADER_FIELDS)
-        .max_buf_size(CONNECTION_BUFFER);
+        .max_buf_size(CONNECTION_BUFFER_BYTES);
     builder
         .http2()
         .timer(TokioTimer::new())
         .max_concurrent_streams(MAX_STREAMS)
-        .max_header_list_size(MAX_HEADER_LIST);
+        .max_header_list_size(MAX_HEADER_LIST_BYTES);
     builder
 }
--- a/crates/rillgap-caller/src/request.rs
+++ b/crates/rillgap-caller/src/request.rs
@@ -17,10 +17,10 @@
 use crate::{key, trace};
 
 /// Request headers that the node replaces by its own.
-const REPLACED: [&str; 4] = ["host", "content-length", "expect", names::TIMEOUT];
+const REPLACED_HEADERS: [&str; 4] = ["host", "content-length", "expect", names::TIMEOUT];
 
 /// Digits of a call token.
-const TOKEN_DIGITS: usize = 32;
+const CALL_TOKEN_HEX_DIGITS: usize = 32;
 
 /// Reads a whole request, if there is room for its body.
 ///
@@ -31,11 +31,11 @@
     request: http::Request<Incoming>,
     audience: &Audience,
     limits: &HttpLimits,
-    receiving: &Semaphore,
+    receive_budget: &Semaphore,
 ) -> Result<InboundRequest, ResultCode> {
     let (parts, body) = request.into_parts();
     let mut inbound = read_head(&parts, audience, limits)?;
-    let _room = reserve(&body, limits, receiving)?;
+    let _reservation = reserve_body(&body, limits, receive_budget)?;
     inbound.body = tokio::time::timeout(limits.request_timeout, read_body(body, limits))
         .await
         .map_err(|_| ResultCode::RequestTimeout)??;
@@ -101,7 +101,7 @@
 
 fn read_token(headers: &HeaderMap) -> Option<CallToken> {
     let value = headers.get(names::CALL_TOKEN)?.to_str().ok()?;
-    if value.len() != TOKEN_DIGITS || !value.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+    if value.len() != CALL_TOKEN_HEX_DIGITS || !value.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
     }
     u128::from_str_radix(value, 16).ok().map(CallToken)
@@ -137,7 +137,7 @@
 
 fn forwarded_headers(headers: &HeaderMap) -> Vec<Header> {
     let mut forwarded = headers::forwarded(headers, |name| {
-        REPLACED.contains(&name)
+        REPLACED_HEADERS.contains(&name)
             || name == names::TRACE_PARENT
             || name.starts_with(names::RESERVED_PREFIX)
     });
@@ -157,19 +157,21 @@
 }
 
 /// Takes room for a body before any of it is received; `receiving` counts bytes.
-fn reserve<'a>(
+fn reserve_body<'a>(
     body: &Incoming,
     limits: &HttpLimits,
-    receiving: &'a Semaphore,
+    receive_budget: &'a Semaphore,
 ) -> Result<SemaphorePermit<'a>, ResultCode> {
-    let longest = limits.body_bytes as u64;
+    let max_body_bytes = limits.body_bytes as u64;
     let size = body.size_hint();
-    if size.lower() > longest {
+    if size.lower() > max_body_bytes {
         return Err(ResultCode::BodyTooLong);
     }
-    let expected = size.upper().map_or(longest, |upper| upper.min(longest));
+    let expected = size
+        .upper()
+        .map_or(max_body_bytes, |upper| upper.min(max_body_bytes));
     let expected = u32::try_from(expected).unwrap_or(u32::MAX);
-    receiving
+    receive_budget
         .try_acquire_many(expected)
         .map_err(|_| ResultCode::Overloaded)
 }
--- a/crates/rillgap-caller/src/trace.rs
+++ b/crates/rillgap-caller/src/trace.rs
@@ -3,7 +3,7 @@
 use uuid::Uuid;
 
 /// Bits by which the identifier of the parent is turned against that of the trace.
-const PARENT_ROTATION: u32 = 29;
+const PARENT_ROTATION_BITS: u32 = 29;
 
 /// Returns whether a `traceparent` value is well formed.
 pub fn is_valid(value: &str) -> bool {
@@ -22,7 +22,7 @@
     let trace = Uuid::new_v4();
     // Random bits are drawn once a request; the parent's differ from the trace's by a rotation.
     let (high, low) = trace.as_u64_pair();
-    let parent = (high.rotate_left(PARENT_ROTATION) ^ low) | 1;
+    let parent = (high.rotate_left(PARENT_ROTATION_BITS) ^ low) | 1;
     format!("00-{}-{parent:016x}-01", trace.simple())
 }
 
--- a/crates/rillgap-caller/tests/http/answers.rs
+++ b/crates/rillgap-caller/tests/http/answers.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 
 /// Sends a request and answers it by the given parts.
-async fn answered_by(http2: bool, parts: impl IntoIterator<Item = AnswerPart>) -> ClientAnswer {
+async fn answer_request(http2: bool, parts: impl IntoIterator<Item = AnswerPart>) -> ClientAnswer {
     let server = start(limits()).await;
     let request = server
         .get("/takst/fare")
@@ -40,7 +40,7 @@
                 chunk(b"lohei"),
                 AnswerPart::End,
             ];
-            let answer = answered_by(http2, parts).await;
+            let answer = answer_request(http2, parts).await;
             expect_that!(answer.status, eq(StatusCode::OK));
             expect_that!(answer.body, some(eq(&Bytes::from_static(b"hellohei"))));
         }
@@ -50,7 +50,7 @@
 /// Sends a request, answers it by the given parts, and returns whether the transfer broke.
 ///
 /// If the answer breaks off before its head is on the wire, the client sees no answer at all.
-async fn is_broken_by(http2: bool, parts: impl IntoIterator<Item = AnswerPart>) -> bool {
+async fn is_transfer_broken(http2: bool, parts: impl IntoIterator<Item = AnswerPart>) -> bool {
     let server = start(limits()).await;
     let request = server
         .get("/takst/fare")
@@ -72,10 +72,10 @@
     for http2 in [false, true] {
         for length in [None, Some(8)] {
             let parts = [head(length), chunk(b"hel"), AnswerPart::Abort];
-            expect_that!(is_broken_by(http2, parts).await, eq(true));
+            expect_that!(is_transfer_broken(http2, parts).await, eq(true));
         }
         let parts = [head(None), AnswerPart::Abort];
-        expect_that!(is_broken_by(http2, parts).await, eq(true));
+        expect_that!(is_transfer_broken(http2, parts).await, eq(true));
     }
 }
 
@@ -84,7 +84,7 @@
 async fn an_answer_shorter_than_announced_is_a_broken_transfer() {
     for http2 in [false, true] {
         let parts = [head(Some(8)), chunk(b"hel"), AnswerPart::End];
-        expect_that!(is_broken_by(http2, parts).await, eq(true));
+        expect_that!(is_transfer_broken(http2, parts).await, eq(true));
     }
 }
 
@@ -95,7 +95,7 @@
         code: ResultCode::Overloaded,
         retry_after: RetryAfter { millis: 1_500 },
     };
-    let answer = answered_by(false, [AnswerPart::Refusal(refusal)]).await;
+    let answer = answer_request(false, [AnswerPart::Refusal(refusal)]).await;
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(
         answer.headers["content-type"],
@@ -118,7 +118,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn the_node_learns_that_a_caller_went_away() {
+async fn node_is_notified_when_a_caller_disconnects() {
     for http2 in [false, true] {
         let server = start(limits()).await;
         let request = server
@@ -138,7 +138,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn the_node_learns_what_a_caller_took_in() {
+async fn node_is_notified_of_bytes_that_a_caller_consumed() {
     const PART: &[u8] = &[7; 16 * 1024];
     let server = start(limits()).await;
     let request = server
@@ -183,7 +183,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_without_body_does_not_look_like_a_lost_caller() {
+async fn answer_without_body_is_not_reported_as_a_disconnect() {
     for (method, length) in [("GET", 0), ("HEAD", 8)] {
         let server = start(limits()).await;
         let request = server.get("/takst/fare").method(method);
@@ -219,7 +219,7 @@
 /// would be cut, and a caller cannot know whether it ran.
 #[gtest]
 #[tokio::test]
-async fn request_that_crosses_the_stop_is_answered_and_the_connection_is_closed_after_it() {
+async fn request_sent_during_shutdown_is_answered_before_the_connection_closes() {
     let server = start(limits()).await;
     let mut stream = TcpStream::connect(server.address).await.expect("connected");
     let request = format!(
@@ -232,8 +232,8 @@
         server.answer(inbound, [head(Some(5)), chunk(b"hello"), AnswerPart::End]);
         let response = read_response(&mut stream).await.to_ascii_lowercase();
         expect_that!(response, starts_with("http/1.1 200"), "round {round}");
-        let says_close = response.contains("connection: close");
-        expect_that!(says_close, eq(round == 1), "round {round}");
+        let has_close_header = response.contains("connection: close");
+        expect_that!(has_close_header, eq(round == 1), "round {round}");
         server.stop.cancel();
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/crates/rillgap-caller/tests/http/requests.rs
+++ b/crates/rillgap-caller/tests/http/requests.rs
@@ -19,7 +19,7 @@
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
 /// Sends a request, answers it by an empty answer, and returns what the node got.
-async fn received(server: &Server, request: http::Request<Full<Bytes>>) -> InboundRequest {
+async fn request_at_node(server: &Server, request: http::Request<Full<Bytes>>) -> InboundRequest {
     let caller = tokio::spawn(exchange_with(client(false), request));
     let (inbound, request) = server.next_request().await;
     server.answer(inbound, [head(Some(0)), AnswerPart::End]);
@@ -28,14 +28,14 @@
 }
 
 /// Sends a request that must be refused before it reaches the node; returns the code.
-async fn refused(server: &Server, request: http::Request<Full<Bytes>>) -> u64 {
+async fn refusal_code(server: &Server, request: http::Request<Full<Bytes>>) -> u64 {
     let code = server.send(request).await.code();
     assert!(server.events.try_recv().is_none());
     code
 }
 
 /// Writes raw bytes and returns everything that comes back before the connection closes.
-async fn raw(server: &Server, bytes: &[u8]) -> String {
+async fn send_raw(server: &Server, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(server.address).await.expect("connect");
     stream.write_all(bytes).await.expect("write");
     let mut answer = Vec::new();
@@ -44,13 +44,13 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-fn number(code: ResultCode) -> u64 {
+fn code_number(code: ResultCode) -> u64 {
     u64::from(code.number())
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_request_is_handed_on_with_service_path_key_and_timeout() {
+async fn a_request_is_forwarded_with_service_path_key_and_timeout() {
     let server = start(limits()).await;
     let request = server
         .get("/bestilling/trips/7?full=1")
@@ -61,7 +61,7 @@
         .header("accept", "text/plain")
         .body(Full::from("body"))
         .expect("valid");
-    let request = received(&server, request).await;
+    let request = request_at_node(&server, request).await;
     expect_that!(request.origin, eq(&Origin::Caller));
     expect_that!(request.service.as_str(), eq("bestilling"));
     expect_that!(request.head.method, eq("POST"));
@@ -89,7 +89,7 @@
     for (sent, is_kept) in [(VALID, true), ("00-00-00-01", false)] {
         let server = start(limits()).await;
         let request = server.get("/takst").header("traceparent", sent);
-        let request = received(&server, request.body(Full::default()).expect("valid")).await;
+        let request = request_at_node(&server, request.body(Full::default()).expect("valid")).await;
         let trace = request
             .head
             .headers
@@ -103,20 +103,20 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_back_end_is_known_by_its_listener_and_its_token() {
+async fn a_back_end_is_identified_by_its_listener_and_token() {
     let audience = Audience::LocalBackEnd {
         from: vec![LOOPBACK],
     };
     let server = start_for(limits(), audience).await;
     let token = "000000000000000000000000000000ff";
     let request = server.get("/takst/fare").header("rillgap-call", token);
-    let request = received(&server, request.body(Full::default()).expect("valid")).await;
+    let request = request_at_node(&server, request.body(Full::default()).expect("valid")).await;
     let expected = Origin::LocalBackEnd {
         token: Some(CallToken(255)),
     };
     expect_that!(request.origin, eq(&expected));
     let request = server.get("/takst/fare").header("rillgap-call", "ff");
-    let request = received(&server, request.body(Full::default()).expect("valid")).await;
+    let request = request_at_node(&server, request.body(Full::default()).expect("valid")).await;
     expect_that!(request.origin, eq(&Origin::LocalBackEnd { token: None }));
 }
 
@@ -135,15 +135,15 @@
             .body(Full::default())
             .expect("valid");
         expect_that!(
-            refused(&server, request).await,
-            eq(number(ResultCode::TokenInvalid))
+            refusal_code(&server, request).await,
+            eq(code_number(ResultCode::TokenInvalid))
         );
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn malformed_headers_have_their_codes() {
+async fn malformed_headers_are_refused_with_their_codes() {
     let server = start(limits()).await;
     let cases = [
         ("idempotency-key", "not-a-uuid", ResultCode::KeyMalformed),
@@ -158,12 +158,12 @@
     for (name, value, code) in cases {
         let request = server.get("/takst/fare").header(name, value);
         let request = request.body(Full::default()).expect("valid");
-        expect_that!(refused(&server, request).await, eq(number(code)));
+        expect_that!(refusal_code(&server, request).await, eq(code_number(code)));
     }
     let request = server.get("/").body(Full::default()).expect("valid");
     expect_that!(
-        refused(&server, request).await,
-        eq(number(ResultCode::UnknownRoute))
+        refusal_code(&server, request).await,
+        eq(code_number(ResultCode::UnknownRoute))
     );
     let twice = server
         .get("/takst/fare")
@@ -171,14 +171,14 @@
         .header("idempotency-key", KEY);
     let twice = twice.body(Full::default()).expect("valid");
     expect_that!(
-        refused(&server, twice).await,
-        eq(number(ResultCode::KeyMalformed))
+        refusal_code(&server, twice).await,
+        eq(code_number(ResultCode::KeyMalformed))
     );
 }
 
 #[gtest]
 #[tokio::test]
-async fn long_headers_and_bodies_have_their_codes() {
+async fn long_headers_and_bodies_are_refused_with_their_codes() {
     let server = start(HttpLimits {
         body_bytes: 100,
         ..limits()
@@ -188,20 +188,20 @@
     let request = server.get("/takst/fare").header("x-long", long_header);
     let request = request.body(Full::default()).expect("valid");
     expect_that!(
-        refused(&server, request).await,
-        eq(number(ResultCode::HeadersTooLong))
+        refusal_code(&server, request).await,
+        eq(code_number(ResultCode::HeadersTooLong))
     );
     let request = server.get("/takst/fare").method("POST");
     let request = request.body(Full::from(vec![0; 101])).expect("valid");
     expect_that!(
-        refused(&server, request).await,
-        eq(number(ResultCode::BodyTooLong))
+        refusal_code(&server, request).await,
+        eq(code_number(ResultCode::BodyTooLong))
     );
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_body_of_unannounced_length_is_bounded_too() {
+async fn a_body_of_unannounced_length_is_limited() {
     let server = start(HttpLimits {
         body_bytes: 4,
         ..limits()
@@ -209,17 +209,17 @@
     .await;
     let request = b"POST /takst/fare HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
         transfer-encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
-    let answer = raw(&server, request).await;
+    let answer = send_raw(&server, request).await;
     expect_that!(answer, contains_substring("\"code\":17"));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_body_that_never_ends_is_refused_in_time() {
+async fn an_incomplete_body_is_refused_after_the_request_timeout() {
     let server = start(limits()).await;
     let request = b"POST /takst/fare HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
         content-length: 10\r\n\r\nhalf";
-    let answer = raw(&server, request).await;
+    let answer = send_raw(&server, request).await;
     expect_that!(answer, contains_substring("\"code\":19"));
 }
 
@@ -234,18 +234,18 @@
         b"\x16\x03\x01\x02\x00\x01",
     ] {
         // Returning at all shows that the connection was closed.
-        raw(&server, bytes).await;
+        send_raw(&server, bytes).await;
     }
     let request = server
         .get("/takst/fare")
         .body(Full::default())
         .expect("valid");
-    received(&server, request).await;
+    request_at_node(&server, request).await;
 }
 
 #[gtest]
 #[tokio::test]
-async fn further_connections_are_closed_and_open_ones_go_on() {
+async fn connections_over_the_limit_are_closed_and_open_ones_continue() {
     let server = start(HttpLimits {
         connections: 1,
         ..limits()
@@ -258,7 +258,10 @@
         .expect("valid");
     let caller = tokio::spawn(exchange_with(client, request));
     let (inbound, _) = server.next_request().await;
-    expect_that!(raw(&server, b"GET /takst HTTP/1.1\r\n\r\n").await, eq(""));
+    expect_that!(
+        send_raw(&server, b"GET /takst HTTP/1.1\r\n\r\n").await,
+        eq("")
+    );
     server.answer(inbound, [head(Some(0)), AnswerPart::End]);
     expect_that!(
         caller.await.expect("the client ends").body,
@@ -268,7 +271,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_node_that_is_behind_refuses_at_once() {
+async fn a_request_is_refused_if_the_event_ring_is_full() {
     let server = start(limits()).await;
     let mut callers = Vec::new();
     for _ in 0..EVENT_SLOTS {
@@ -286,5 +289,5 @@
         .body(Full::default())
         .expect("valid");
     let answer = server.send(request).await;
-    expect_that!(answer.code(), eq(number(ResultCode::Overloaded)));
+    expect_that!(answer.code(), eq(code_number(ResultCode::Overloaded)));
 }
