--- a/crates/rillgap-backend/src/announcement.rs
+++ b/crates/rillgap-backend/src/announcement.rs
@@ -1,4 +1,4 @@
-//! What the back end says of itself: serving or leaving.
+//! Tracks the state that the back end announces: serving or leaving.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -7,12 +7,12 @@
 use rillgap_ring::RingSender;
 use tokio::time::Instant;
 
-/// Time for which an answer that says "leaving" outweighs a health endpoint that says "serving".
+/// Time for which "leaving" in an answer overrides "serving" from the health endpoint.
 ///
 /// The health endpoint lags behind; answers do not.
 const ANSWER_PRECEDENCE: Duration = Duration::from_secs(10);
 
-/// Passes on to the node when the back end begins or ceases to leave.
+/// Announced state of the back end; sends an event to the node when it changes.
 #[derive(Clone, Debug)]
 pub struct Announcement {
     events: RingSender<Event>,
@@ -26,7 +26,7 @@
 }
 
 impl Announcement {
-    /// Creates the announcement of a back end that is taken to be serving.
+    /// Creates the announcement of a back end that is assumed to be serving.
     pub fn new(events: RingSender<Event>) -> Self {
         Self {
             events,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Takes in that an answer said "leaving".
+    /// Records that an answer announced "leaving".
     pub async fn on_answer_leaving(&self) {
         let has_changed = {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes in what the health endpoint says.
+    /// Records the state reported by the health endpoint, unless a recent answer overrides it.
     pub async fn on_health(&self, leaving: bool) {
         let has_changed = {
             let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -63,7 +63,7 @@
 
     async fn announce(&self, leaving: bool) {
         log::info!(leaving = leaving; "back end: state announced");
-        // A closed ring means that the process ends.
+        // The ring is closed only when the process exits.
         let _ = self.events.send(Event::BackEndAnnounced { leaving }).await;
     }
 }
--- a/crates/rillgap-backend/src/attempt.rs
+++ b/crates/rillgap-backend/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at the back end, from the request to the end of its answer.
+//! Runs one attempt of a request at the back end, until the end of its answer.
 
 use std::sync::Arc;
 
@@ -16,23 +16,24 @@
 use crate::pool::{ConnectionPool, Lease, SendError};
 use crate::request;
 
-/// Longest body of a shed answer that is read so that its connection can be reused, in bytes.
+/// Maximum body of a shed answer that is read so that its connection can be reused; a longer body
+/// closes the connection.
 const MAX_SHED_BODY_BYTES: usize = 16 * 1024;
 
-/// What an attempt needs besides its request.
+/// Resources of an attempt that are shared by all attempts of a client.
 #[derive(Clone, Debug)]
 pub struct AttemptContext {
     /// Connections to the back end.
     pub pool: ConnectionPool,
     /// Events for the node.
     pub events: RingSender<Event>,
-    /// Takes in that the back end is leaving.
+    /// Records that the back end is leaving.
     pub announcement: Announcement,
     /// Value of the `Host` header.
     pub host: HeaderValue,
 }
 
-/// One attempt at the back end.
+/// One attempt of a request at the back end.
 #[derive(Debug)]
 pub struct Attempt {
     id: AttemptId,
@@ -41,7 +42,7 @@
 }
 
 impl Attempt {
-    /// Creates an attempt that reads as much as `credit` allows.
+    /// Creates an attempt whose answer is read only as far as `credit` permits.
     pub fn new(id: AttemptId, credit: Arc<Credit>, context: AttemptContext) -> Self {
         Self {
             id,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Sends the request and passes its answer on to the node.
+    /// Sends the request and forwards its answer or its failure to the node.
     pub async fn run(self, request: BackEndRequest) {
         if let Err(failure) = self.try_run(request).await {
             self.send_event(Event::BackEndFailed {
@@ -122,7 +123,7 @@
     }
 
     async fn send_event(&self, event: Event) {
-        // A full ring holds back this attempt only; a closed one means that the process ends.
+        // A full ring blocks this attempt only; the ring is closed only when the process exits.
         let _ = self.context.events.send(event).await;
     }
 }
@@ -135,7 +136,7 @@
     }
 }
 
-/// Reads a short body to its end, so that the connection can be reused.
+/// Reads a short body to its end, so that the connection can be reused; otherwise closes it.
 async fn discard(response: Response<Incoming>, lease: Lease) {
     let body = Limited::new(response.into_body(), MAX_SHED_BODY_BYTES);
     if body.collect().await.is_ok() {
--- a/crates/rillgap-backend/src/client.rs
+++ b/crates/rillgap-backend/src/client.rs
@@ -1,4 +1,4 @@
-//! Carries out the node's commands for the local back end.
+//! Executes the node's commands for the local back end.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,7 +17,7 @@
 use crate::pool::ConnectionPool;
 use crate::settings::BackEndSettings;
 
-/// A command of the node.
+/// A command from the node to its local back end's client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackEndCommand {
     /// Sends a request.
@@ -27,16 +27,16 @@
         /// Attempt to cancel.
         attempt: AttemptId,
     },
-    /// Allows more of an answer to be read.
+    /// Grants credit to read more of an answer.
     Read {
-        /// Attempt whose answer is meant.
+        /// Attempt whose answer may be read.
         attempt: AttemptId,
-        /// Bytes in addition.
+        /// Number of bytes added to the credit.
         bytes: u32,
     },
 }
 
-/// Client of the local back end.
+/// HTTP client of the local back end.
 #[derive(Debug)]
 pub struct BackEndClient {
     settings: BackEndSettings,
@@ -50,14 +50,14 @@
     task: Option<AbortHandle>,
 }
 
-/// Attempts that run, shared with their tasks, which leave when they end.
+/// Running attempts, shared with their tasks; each task removes its entry when it ends.
 #[derive(Clone, Debug, Default)]
 struct RunningAttempts {
     attempts: Arc<Mutex<BTreeMap<AttemptId, RunningAttempt>>>,
 }
 
 impl BackEndClient {
-    /// Creates a client that reports to the node through `events`.
+    /// Creates a client that sends answers and failures to the node through `events`.
     pub fn new(settings: BackEndSettings, events: RingSender<Event>) -> Self {
         let pool = ConnectionPool::new(
             settings.address,
@@ -79,8 +79,9 @@
         }
     }
 
-    /// Carries out every command of a ring until all its senders are gone; never waits for the
-    /// back end.
+    /// Executes the commands received from a ring until all its senders are dropped.
+    ///
+    /// Never waits for the back end: each request runs in its own task.
     pub async fn run(self, commands: RingReceiver<BackEndCommand>) {
         let health = tokio::spawn(health::watch(
             self.settings.clone(),
--- a/crates/rillgap-backend/src/credit.rs
+++ b/crates/rillgap-backend/src/credit.rs
@@ -1,8 +1,8 @@
-//! Flow control of one answer: bytes that may be read from the back end.
+//! Flow control of one answer: limits the bytes that are read from the back end.
 
 use tokio::sync::Semaphore;
 
-/// Bytes that may still be read. One task takes, others add.
+/// Number of bytes that may still be forwarded. One task takes credit, others add it.
 #[derive(Debug)]
 pub struct Credit {
     bytes: Semaphore,
@@ -17,13 +17,13 @@
 }
 
 impl Credit {
-    /// Adds bytes.
+    /// Adds bytes to the credit, up to the maximum of the semaphore.
     pub fn add(&self, bytes: u32) {
         let room = Semaphore::MAX_PERMITS - self.bytes.available_permits();
         self.bytes.add_permits(room.min(bytes as usize));
     }
 
-    /// Waits until there is credit and takes up to `wanted` bytes of it; at least one.
+    /// Waits for credit, takes between 1 and `wanted` bytes of it and returns their number.
     pub async fn take(&self, wanted: usize) -> usize {
         match self.bytes.acquire().await {
             Ok(permit) => permit.forget(),
--- a/crates/rillgap-backend/src/health.rs
+++ b/crates/rillgap-backend/src/health.rs
@@ -1,7 +1,7 @@
-//! Watches the health endpoint of the back end.
+//! Polls the health endpoint of the back end.
 //!
-//! Only one thing is read from it: whether the back end says that it is leaving. Load figures
-//! lag and mislead, so none are used; an endpoint that does not answer changes nothing.
+//! Only the announced state, serving or leaving, is read. Load figures are ignored, because they
+//! lag and mislead. If the endpoint does not answer, the last state is kept.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 use crate::request;
 use crate::settings::BackEndSettings;
 
-/// Longest time in which the endpoint must answer.
+/// Timeout of one health request.
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest answer that is read, in bytes.
+/// Maximum size of a health report; longer ones are ignored.
 const MAX_REPORT_BYTES: usize = 4 * 1024;
 
 /// State that the endpoint reports.
@@ -34,12 +34,12 @@
     state: HealthState,
 }
 
-/// Looks at the health endpoint at regular times until the task is dropped.
+/// Polls the health endpoint periodically; returns only if none is configured.
 pub async fn watch(settings: BackEndSettings, host: HeaderValue, announcement: Announcement) {
     let Some(path) = settings.health_path else {
         return;
     };
-    // A connection of its own, so that requests cannot keep it waiting.
+    // A separate connection, so that requests do not delay health checks.
     let pool = ConnectionPool::new(settings.address, 1, settings.connect_timeout);
     let mut ticks = interval(settings.health_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/rillgap-backend/src/lib.rs
+++ b/crates/rillgap-backend/src/lib.rs
@@ -1,8 +1,7 @@
-//! Peer: back ends. HTTP client side, connection pools and cancellation.
+//! HTTP client for the local back end, with a connection pool and cancellation.
 //!
-//! [`client`] carries out the node's commands. Each attempt runs as a task of its own
-//! ([`attempt`]) on a connection of the [`pool`]; [`health`] watches whether the back end says
-//! that it is leaving.
+//! [`client`] executes the node's commands. Each attempt runs in its own task ([`attempt`]) on a
+//! connection of the [`pool`]; [`health`] polls whether the back end announces that it is leaving.
 
 pub mod announcement;
 pub mod attempt;
--- a/crates/rillgap-backend/src/pool.rs
+++ b/crates/rillgap-backend/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to the local back end, reused and bounded in number.
+//! Pool of connections to the local back end, limited in number.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,13 +14,13 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, timeout};
 
-/// Read buffer of a connection in bytes, which bounds the parts in which a body is read.
+/// Read buffer of a connection; also the maximum size of a body chunk.
 const CONNECTION_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Longest time for which a connection stays idle.
+/// Maximum time for which a connection stays idle.
 ///
-/// Shorter than the idle timeout of common servers (5 s and more): a request that meets the
-/// server's close on its way has an unknown outcome.
+/// Shorter than the idle timeout of common servers (5 s and more): if the server closes the
+/// connection while a request is being sent, the outcome of the request is unknown.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A request as it is sent to the back end.
@@ -28,18 +28,18 @@
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// Why a request got no response.
+/// Reason for which a request received no response.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// No connection took the request: nothing of it was sent.
+    /// No connection accepted the request, and nothing of it was sent.
     #[error("not connected: {0}")]
     NotSent(String),
-    /// The connection was lost after the request, or a part of it, may have been sent.
+    /// The connection was lost after all or part of the request may have been sent.
     #[error("connection lost: {0}")]
     Lost(hyper::Error),
 }
 
-/// Connections to one back end.
+/// Pool of connections to one back end.
 #[derive(Clone, Debug)]
 pub struct ConnectionPool {
     address: SocketAddr,
@@ -48,14 +48,16 @@
     permits: Arc<Semaphore>,
 }
 
-/// A connection that waits for reuse; the one used last is reused first.
+/// A connection available for reuse; the most recently used one is reused first.
 #[derive(Debug)]
 struct IdleConnection {
     sender: Sender,
     idle_since: Instant,
 }
 
-/// A connection in use; dropping it closes it, [`Lease::return_to_pool`] keeps it for reuse.
+/// A connection in use.
+///
+/// Dropping the lease closes the connection; [`Lease::return_to_pool`] keeps it for reuse.
 ///
 /// A new connection is opened only if none is idle, so the number of connections never exceeds
 /// the number of leases that were held at one time.
@@ -79,12 +81,12 @@
 
     /// Sends a request on an idle connection, or on a new one if there is none.
     ///
-    /// An idle connection that turns out to be closed before the request was written is
-    /// replaced by the next one.
+    /// If an idle connection is found closed before the request has been written, the next one is
+    /// used.
     ///
     /// # Errors
     ///
-    /// Tells whether anything may have been sent.
+    /// Returns an error that tells whether any of the request may have been sent.
     pub async fn send(
         &self,
         mut request: OutgoingRequest,
--- a/crates/rillgap-backend/src/request.rs
+++ b/crates/rillgap-backend/src/request.rs
@@ -1,4 +1,4 @@
-//! Puts a request of the node into the form in which the back end gets it.
+//! Builds HTTP requests to the back end and interprets its response headers.
 
 use bytes::Bytes;
 use http::header::HOST;
@@ -46,7 +46,7 @@
         .body(Full::new(Bytes::new()))
 }
 
-/// Returns the head of an answer as it is passed on.
+/// Returns the head of an answer, without reserved and connection-specific headers.
 pub fn answer_head(response: &Response<Incoming>) -> AnswerHead {
     AnswerHead {
         status: response.status().as_u16(),
@@ -56,18 +56,18 @@
     }
 }
 
-/// Returns whether an answer says that its request was refused before it ran.
+/// Returns whether an answer states that its request was refused without being executed.
 pub fn is_shed(response: &Response<Incoming>) -> bool {
     response.status() == http::StatusCode::SERVICE_UNAVAILABLE
         && has_value(response.headers(), names::NOT_RUN, "true")
 }
 
-/// Returns whether an answer says that the back end is leaving.
+/// Returns whether an answer announces that the back end is leaving.
 pub fn is_leaving(response: &Response<Incoming>) -> bool {
     has_value(response.headers(), names::LEAVING, "1")
 }
 
-/// Returns whether the end of an answer's body can be told from a lost connection.
+/// Returns whether the end of an answer's body can be distinguished from a lost connection.
 pub fn is_delimited(response: &Response<Incoming>, is_head_request: bool) -> bool {
     let has_no_body = is_head_request
         || response.status() == http::StatusCode::NO_CONTENT
--- a/crates/rillgap-backend/src/settings.rs
+++ b/crates/rillgap-backend/src/settings.rs
@@ -6,14 +6,14 @@
 /// Settings of the client of the local back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackEndSettings {
-    /// Address of the back end.
+    /// Address to which connections are opened.
     pub address: SocketAddr,
-    /// Most connections to the back end at a time.
+    /// Maximum number of connections used for requests; the health endpoint has one more.
     pub connections: usize,
-    /// Longest time to open a connection.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Path of the health endpoint; `None` if there is none.
+    /// Path of the health endpoint; `None` disables health checks.
     pub health_path: Option<String>,
-    /// Time between two looks at the health endpoint.
+    /// Interval between requests to the health endpoint.
     pub health_interval: Duration,
 }
--- a/crates/rillgap-backend/tests/client.rs
+++ b/crates/rillgap-backend/tests/client.rs
@@ -1,4 +1,4 @@
-//! What the node learns of its back end's answers, and what the back end sees of the node.
+//! Tests the events that the node receives for its back end, and the requests sent to the back end.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,10 +18,10 @@
 const LARGE_CREDIT: u32 = 64 * 1024;
 const COMPLETE_ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello";
 
-/// Whole body of an answer, or why there is none.
+/// Complete body of an answer, or the failure of the attempt.
 type Outcome = std::result::Result<Vec<u8>, BackEndFailure>;
 
-/// A back end played by the test, and the client under test.
+/// A back end scripted by the test, and the client under test.
 struct Fixture {
     listener: Option<TcpListener>,
     commands: RingSender<BackEndCommand>,
@@ -66,7 +66,7 @@
         self.commands.send(command).await.expect("the client runs");
     }
 
-    /// Sends a request that may be answered by `credit` bytes.
+    /// Sends a request and grants `credit` bytes for its answer.
     async fn call(&self, sequence: u64, credit: u32) {
         let attempt = attempt(sequence);
         let request = BackEndRequest {
@@ -94,7 +94,7 @@
         listener.accept().await.expect("a connection").0
     }
 
-    /// Waits for the end of an attempt and returns the failure, or the whole body.
+    /// Waits for the end of an attempt and returns its failure or the complete body.
     async fn outcome(&self) -> Outcome {
         let mut body = Vec::new();
         loop {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Calls, answers by raw bytes, closes the connection and returns the outcome.
+    /// Sends a request, answers it with raw bytes, closes the connection and returns the outcome.
     async fn outcome_of_answer(answer: &[u8]) -> Outcome {
         let fixture = Self::start(|_| {}).await;
         fixture.call(1, LARGE_CREDIT).await;
@@ -123,7 +123,7 @@
     Ok(body.as_bytes().to_vec())
 }
 
-/// Reads one request, whose body is known to end with "body".
+/// Reads one request, whose body must end with "body".
 async fn read_request(connection: &mut TcpStream) -> String {
     let mut request = Vec::new();
     while !request.ends_with(b"body") {
@@ -181,7 +181,7 @@
         b"HTTP/1.1 200",
         b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhel",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n",
-        // Neither length nor chunks: its end looks like a lost connection.
+        // Neither length nor chunks: the end cannot be distinguished from a lost connection.
         b"HTTP/1.1 200 OK\r\n\r\nhello",
     ];
     for answer in answers {
@@ -220,7 +220,7 @@
     first.write_all(COMPLETE_ANSWER).await.expect("write");
     expect_that!(fixture.outcome().await, eq(&complete("hello")));
     drop(first);
-    // Lets the client notice the close before it sends again.
+    // Lets the client detect the close before the next request.
     tokio::time::sleep(Duration::from_millis(20)).await;
     fixture.call(4, LARGE_CREDIT).await;
     let mut second = fixture.accept().await;
--- a/crates/rillgap-caller/src/body.rs
+++ b/crates/rillgap-caller/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of responses: whole problem details, or the node's answer as a stream.
+//! Response bodies: a complete problem details object, or the node's answer as a stream.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,7 +9,8 @@
 use crate::exchange::AnswerPart;
 use crate::inbound::Inbound;
 
-/// The answer was broken off; the connection must not end it as if it were whole.
+/// The answer is incomplete: the connection must end with an error, so that the caller does not
+/// take the truncated body for a complete one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("answer broken off")]
 pub struct AnswerBroken;
@@ -17,22 +18,22 @@
 /// Body of a response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// A body that is known as a whole.
+    /// A complete body; `None` once it has been sent.
     Whole(Option<Bytes>),
-    /// The node's answer as it comes.
+    /// The node's answer, sent on while it is received.
     Streamed(AnswerStream),
 }
 
-/// The node's answer as it comes.
+/// Streams the body of the node's answer and checks it against the announced length.
 #[derive(Debug)]
 pub struct AnswerStream {
     inbound: Inbound,
-    /// Bytes that are still to come according to the answer's `Content-Length`.
+    /// Bytes still expected according to the answer's `Content-Length`; `None` without that header.
     remaining: Option<u64>,
 }
 
 impl AnswerStream {
-    /// Streams the rest of an answer whose head has come.
+    /// Creates the stream of an answer whose head has been received.
     pub fn new(inbound: Inbound, content_length: Option<u64>) -> Self {
         Self {
             inbound,
@@ -63,7 +64,7 @@
         if let Some(remaining) = &mut self.remaining {
             *remaining = remaining.checked_sub(length).ok_or(AnswerBroken)?;
             if *remaining == 0 {
-                // The connection may stop asking now, since it has the announced length.
+                // The connection may stop polling once it has received the announced length.
                 self.inbound.set_ended();
             }
         }
@@ -71,7 +72,7 @@
         Ok(chunk)
     }
 
-    /// An answer that ends before its announced length is broken, whoever says that it is whole.
+    /// Fails if the answer ends before its announced length, even if the node reports it complete.
     fn check_end(&self) -> Option<Result<Bytes, AnswerBroken>> {
         match self.remaining {
             None | Some(0) => None,
--- a/crates/rillgap-caller/src/exchange.rs
+++ b/crates/rillgap-caller/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Matches the node's answers with the requests that wait for them.
+//! Routes the node's answers to the pending requests.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,9 +10,9 @@
 use rillgap_ring::RingReceiver;
 use tokio::sync::mpsc;
 
-/// Parts of one answer that may wait for the caller's connection.
+/// Maximum number of parts of one answer that are queued for the caller's connection.
 ///
-/// The node bounds the bytes by its credits; this bounds the parts, however small.
+/// The node's credits limit the bytes; this limits the number of parts, which may be small.
 const MAX_QUEUED_PARTS: usize = 1_024;
 
 /// A part of an answer.
@@ -24,9 +24,9 @@
     Head(AnswerHead),
     /// A part of the body.
     Body(Bytes),
-    /// The answer is whole; nothing follows.
+    /// The answer is complete; nothing follows.
     End,
-    /// The answer is broken off; nothing follows.
+    /// The answer is aborted; nothing follows.
     Abort,
 }
 
@@ -36,16 +36,16 @@
     }
 }
 
-/// A part of an answer with the request that it answers.
+/// A part of an answer, addressed to its request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The request.
+    /// Request that the part belongs to.
     pub inbound: InboundId,
-    /// The part.
+    /// Part to deliver.
     pub part: AnswerPart,
 }
 
-/// The requests that wait for an answer, shared by all listeners of a node.
+/// Pending requests by identifier, shared by all listeners of a node.
 #[derive(Clone, Debug, Default)]
 pub struct Exchange {
     pending: Arc<Mutex<BTreeMap<InboundId, mpsc::Sender<AnswerPart>>>>,
@@ -53,7 +53,7 @@
 }
 
 impl Exchange {
-    /// Registers a new request.
+    /// Registers a new request and returns its identifier and the receiver of its answer.
     pub fn register(&self) -> (InboundId, mpsc::Receiver<AnswerPart>) {
         let inbound = InboundId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_PARTS);
@@ -61,19 +61,19 @@
         (inbound, receiver)
     }
 
-    /// Forgets a request, whose answer is no longer wanted.
+    /// Removes a request; later parts of its answer are dropped.
     pub fn forget(&self, inbound: InboundId) {
         self.lock().remove(&inbound);
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of pending requests.
     pub fn waiting(&self) -> usize {
         self.lock().len()
     }
 
-    /// Hands on one part of an answer; never waits.
+    /// Delivers one part of an answer without blocking.
     ///
-    /// If too many parts wait already, the request is forgotten, which breaks its answer off.
+    /// If the queue of the request is full, the request is removed, which aborts its answer.
     pub fn deliver(&self, answer: Answer) {
         let mut pending = self.lock();
         let Some(sender) = pending.get(&answer.inbound) else {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Hands on every answer of a ring until all its senders are gone.
+    /// Delivers the answers received from a ring until all its senders are dropped.
     pub async fn run(self, answers: RingReceiver<Answer>) {
         while let Some(answer) = answers.recv().await {
             self.deliver(answer);
--- a/crates/rillgap-caller/src/handler.rs
+++ b/crates/rillgap-caller/src/handler.rs
@@ -1,4 +1,4 @@
-//! Handles one HTTP request from its first byte to the head of its answer.
+//! Handles an HTTP request until the head of its answer is known.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use crate::request;
 use crate::settings::{Audience, HttpLimits};
 
-/// What every connection of a listener shares.
+/// Request handler of a listener, shared by all its connections.
 #[derive(Clone, Debug)]
 pub struct Handler {
     shared: Arc<Shared>,
@@ -31,7 +31,7 @@
     limits: HttpLimits,
     exchange: Exchange,
     events: RingSender<Event>,
-    /// Bytes of bodies that may be received in addition.
+    /// Bytes of request bodies that may still be reserved, over all connections.
     receive_budget: Semaphore,
 }
 
@@ -59,7 +59,7 @@
         &self.shared.limits
     }
 
-    /// Answers one request.
+    /// Forwards one request to the node and returns its answer, or a problem response if refused.
     pub async fn handle(
         &self,
         peer: SocketAddr,
@@ -94,8 +94,7 @@
             inbound: inbound.id(),
             request,
         };
-        // A full ring means that the node is behind: refusing at once keeps it from falling
-        // further behind.
+        // A full ring means that the node is overloaded: refusing immediately adds no load to it.
         if let Err(error) = shared.events.try_send(event) {
             inbound.set_ended();
             return Err(problem::refusal(ring_error_code(&error)));
@@ -139,7 +138,8 @@
         .and_then(|value| value.parse().ok());
     let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     if is_head_request || has_no_body(status, content_length) {
-        // The connection never asks for the body, so the answer is whole as far as it goes.
+        // The connection never polls a body that is empty or not sent, so the end of the answer
+        // is recorded here.
         inbound.set_ended();
     }
     let body = ResponseBody::Streamed(AnswerStream::new(inbound, content_length));
--- a/crates/rillgap-caller/src/inbound.rs
+++ b/crates/rillgap-caller/src/inbound.rs
@@ -1,4 +1,4 @@
-//! One request that has been handed to the node.
+//! Tracks one request from its registration to the end of its answer.
 
 use rillgap_core::event::{Event, InboundId};
 use rillgap_ring::{RingError, RingSender};
@@ -6,14 +6,14 @@
 
 use crate::exchange::{AnswerPart, Exchange};
 
-/// Bytes after which the node is told that the caller took in a part of the answer.
+/// Number of consumed answer bytes after which an event is sent to the node.
 ///
-/// A fraction of the node's window, so that short answers cause no event at all.
+/// A fraction of the node's flow control window, so that short answers cause no event.
 const CONSUMED_EVENT_BYTES: u32 = 16 * 1024;
 
-/// A request that has been handed to the node.
+/// A request that is forwarded to the node.
 ///
-/// If it is dropped before its answer has ended, the node is told that the caller is gone.
+/// If it is dropped before its answer has ended, [`Event::InboundGone`] is sent to the node.
 #[derive(Debug)]
 pub struct Inbound {
     id: InboundId,
@@ -25,7 +25,7 @@
 }
 
 impl Inbound {
-    /// Registers a request that is not yet handed to the node.
+    /// Registers a request before it is sent to the node.
     pub fn register(exchange: &Exchange, events: &RingSender<Event>) -> Self {
         let (id, answers) = exchange.register();
         Self {
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Identifies the request.
+    /// Returns the identifier under which the node answers the request.
     pub const fn id(&self) -> InboundId {
         self.id
     }
 
-    /// Waits for the next part of the answer; `None` if it was broken off.
+    /// Waits for the next part of the answer; `None` if the exchange has removed the request.
     pub async fn next_part(&mut self) -> Option<AnswerPart> {
         self.answers.recv().await
     }
 
-    /// Polls for the next part of the answer.
+    /// Polls for the next part of the answer; `None` as in [`Self::next_part`].
     pub fn poll_part(
         &mut self,
         context: &mut std::task::Context<'_>,
@@ -56,12 +56,14 @@
         self.answers.poll_recv(context)
     }
 
-    /// Notes that the answer has ended, so that the node need not be told of its caller.
+    /// Records that the answer has ended, so that dropping the request sends no event.
     pub fn set_ended(&mut self) {
         self.is_ended = true;
     }
 
-    /// Notes that the connection took in a part of the answer.
+    /// Records answer bytes that the connection has consumed.
+    ///
+    /// Reports them to the node in steps, not for each part of the answer.
     pub fn consume(&mut self, bytes: usize) {
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
         self.consumed = self.consumed.saturating_add(bytes);
@@ -74,14 +76,14 @@
         }
     }
 
-    /// Tells the node something that must not get lost, without waiting here.
+    /// Sends an event that must not be lost; if the ring is full, a spawned task waits for space.
     fn send_event(&self, event: Event) {
         let Err(RingError::Full(event)) = self.events.try_send(event) else {
             return;
         };
         let events = self.events.clone();
         tokio::spawn(async move {
-            // A closed ring means that the process ends.
+            // The ring is closed only when the process exits.
             let _ = events.send(event).await;
         });
     }
--- a/crates/rillgap-caller/src/key.rs
+++ b/crates/rillgap-caller/src/key.rs
@@ -1,17 +1,17 @@
-//! The `Idempotency-Key` header.
+//! Parses the `Idempotency-Key` header.
 
 use rillgap_core::code::ResultCode;
 use rillgap_core::id::IdempotencyKey;
 use uuid::Uuid;
 
-/// Version of UUID that carries its time.
+/// Required UUID version: version 7 contains its creation time.
 const KEY_UUID_VERSION: usize = 7;
 
-/// Parses a key: a UUID of version 7, bare or as the quoted string of the header's draft.
+/// Parses a key: a UUID of version 7, bare or quoted as in the IETF draft of the header.
 ///
 /// # Errors
 ///
-/// Returns [`ResultCode::KeyMalformed`] for anything else.
+/// Returns [`ResultCode::KeyMalformed`] for any other value.
 pub fn parse(value: &str) -> Result<IdempotencyKey, ResultCode> {
     let trimmed = value.trim();
     let bare = trimmed
--- a/crates/rillgap-caller/src/lib.rs
+++ b/crates/rillgap-caller/src/lib.rs
@@ -1,8 +1,8 @@
-//! Peer: callers. HTTP server side and the mapping of result codes to responses.
+//! HTTP server for callers, and the mapping of result codes to responses.
 //!
-//! A request goes from [`listener`] through [`handler`] into the node as an event; the node's
-//! answer comes back through the [`exchange`] and is streamed to the caller by [`body`].
-//! The same code serves the node's own back end on a listener of its own.
+//! A request passes from [`listener`] through [`handler`] to the node as an event; the node's
+//! answer returns through the [`exchange`] and is streamed to the caller by [`body`].
+//! The calls of the node's local back end are served by the same code on a separate listener.
 
 pub mod body;
 pub mod exchange;
--- a/crates/rillgap-caller/src/listener.rs
+++ b/crates/rillgap-caller/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, bounds their number and serves HTTP/1.1 and HTTP/2 on them.
+//! Accepts connections, limits their number and serves HTTP/1.1 and HTTP/2 on them.
 
 use std::convert::Infallible;
 use std::io;
@@ -22,29 +22,32 @@
 use crate::handler::Handler;
 use crate::settings::HttpLimits;
 
-/// Pause after a failed accept, which means that descriptors or memory ran out.
+/// Pause after a failed accept, which usually means that file descriptors or memory are exhausted.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(100);
 
-/// Time for which resting connections are kept open on a stop. Callers that use them often are told to go over to another
-/// connection with an answer; closed at once, a request that crosses the close would be cut.
+/// Time for which idle connections stay open after a stop.
+///
+/// A request that is sent while its connection is being closed would be cut off. A
+/// caller that sends one within this time is answered, on HTTP/1.1 with `Connection: close`, so
+/// that it moves to another connection.
 const SHUTDOWN_GRACE_PERIOD: Duration = Duration::from_millis(500);
 
-/// Read and write buffer of an HTTP/1.1 connection in bytes; longer heads end the connection.
+/// Read and write buffer of an HTTP/1.1 connection; a longer request head ends the connection.
 const CONNECTION_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Most header fields of a request.
+/// Maximum number of header fields of an HTTP/1.1 request.
 const MAX_HEADER_FIELDS: usize = 128;
 
-/// Most requests at a time on one HTTP/2 connection.
+/// Maximum number of concurrent requests on one HTTP/2 connection.
 const MAX_STREAMS: u32 = 128;
 
-/// Longest header list of an HTTP/2 request in bytes; longer ones are refused by the library.
+/// Maximum size of the header list of an HTTP/2 request; hyper refuses larger ones.
 const MAX_HEADER_LIST_BYTES: u32 = 64 * 1024;
 
-/// Why a connection ended other than by its caller's wish.
+/// Reason for which a connection ended abnormally.
 #[derive(Debug, thiserror::Error)]
 enum ConnectionError {
-    #[error("no request in time")]
+    #[error("no request received in time")]
     NoRequest,
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -61,7 +64,7 @@
     }
 }
 
-/// One HTTP listener.
+/// An HTTP listener with a limit on its connections.
 #[derive(Clone, Debug)]
 pub struct Listener {
     handler: Handler,
@@ -71,7 +74,7 @@
 }
 
 impl Listener {
-    /// Creates a listener; `stop` ends it gracefully.
+    /// Creates a listener; cancelling `stop` shuts it down gracefully.
     pub fn new(handler: Handler, stop: CancellationToken) -> Self {
         let limits = *handler.limits();
         Self {
@@ -126,7 +129,7 @@
         drop(permit);
     }
 
-    /// Serves a connection until it ends; on a stop, until the requests it has are answered.
+    /// Serves a connection until it ends; after a stop, until its requests in flight are answered.
     async fn serve_requests(
         &self,
         stream: TcpStream,
@@ -155,7 +158,7 @@
             () = self.stop.cancelled() => {}
             error = first_request_timeout(&has_request, self.handler.limits()) => return Err(error),
         }
-        // A request that the caller is just sending on a resting connection still gets its answer.
+        // A request that the caller is sending on an idle connection is still answered.
         let drained = tokio::time::timeout(SHUTDOWN_GRACE_PERIOD, connection.as_mut());
         if let Ok(result) = drained.await {
             return result.map_err(ConnectionError::Http);
@@ -165,8 +168,9 @@
     }
 }
 
-/// Completes if no request has come in time; the library's own timeout begins only once it
-/// knows the version of HTTP.
+/// Completes if no request is received in time.
+///
+/// Hyper's own timeout starts only after it has detected the HTTP version.
 async fn first_request_timeout(has_request: &AtomicBool, limits: &HttpLimits) -> ConnectionError {
     tokio::time::sleep(limits.request_timeout).await;
     if has_request.load(Ordering::Relaxed) {
--- a/crates/rillgap-caller/src/problem.rs
+++ b/crates/rillgap-caller/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as problem details (RFC 9457).
+//! Encodes refusals as problem details (RFC 9457).
 
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, HeaderValue};
@@ -17,23 +17,23 @@
 /// Members of a problem details object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ProblemDetails {
-    /// Identifies the kind of problem.
+    /// URI of the problem type, which ends in the number of the result code.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Short title for people.
+    /// Human-readable title of the result code.
     pub title: &'static str,
-    /// HTTP status.
+    /// HTTP status of the response.
     pub status: u16,
     /// Number of the result code.
     pub code: u8,
-    /// What became of the request: `completed`, `not-run` or `unknown`.
+    /// Outcome of the request: `completed`, `not-run` or `unknown`.
     pub outcome: &'static str,
-    /// Milliseconds after which the caller may come back.
+    /// Milliseconds after which the caller may retry.
     pub retry_after_ms: u32,
 }
 
 impl ProblemDetails {
-    /// Describes a refusal.
+    /// Creates the problem details of a refusal.
     pub fn new(refusal: Refusal) -> Self {
         let code = refusal.code;
         Self {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Creates the refusal for a code that says nothing about load.
+/// Creates a refusal with the default retry time, for codes that are unrelated to load.
 pub const fn refusal(code: ResultCode) -> Refusal {
     Refusal {
         code,
--- a/crates/rillgap-caller/src/request.rs
+++ b/crates/rillgap-caller/src/request.rs
@@ -1,4 +1,4 @@
-//! Reads an HTTP request into the core's form and checks its bounds.
+//! Converts an HTTP request to an [`InboundRequest`] and enforces its limits.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 use crate::settings::{Audience, HttpLimits};
 use crate::{key, trace};
 
-/// Request headers that the node replaces by its own.
+/// Request headers that are not forwarded, because the node sets or handles them itself.
 const REPLACED_HEADERS: [&str; 4] = ["host", "content-length", "expect", names::TIMEOUT];
 
-/// Digits of a call token.
+/// Number of hexadecimal digits of a call token (128 bits).
 const CALL_TOKEN_HEX_DIGITS: usize = 32;
 
-/// Reads a whole request, if there is room for its body.
+/// Reads a request with its body, if `receive_budget` has room for the body.
 ///
 /// # Errors
 ///
@@ -42,7 +42,7 @@
     Ok(inbound)
 }
 
-/// Reads the head of a request; the body is left empty.
+/// Reads the head of a request and leaves the body empty.
 ///
 /// # Errors
 ///
@@ -156,7 +156,9 @@
         .map_or_else(trace::create, str::to_owned)
 }
 
-/// Takes room for a body before any of it is received; `receiving` counts bytes.
+/// Reserves the bytes of a body in `receive_budget` before any of it is received.
+///
+/// Reserves the maximum length if the body's length is not announced.
 fn reserve_body<'a>(
     body: &Incoming,
     limits: &HttpLimits,
--- a/crates/rillgap-caller/src/settings.rs
+++ b/crates/rillgap-caller/src/settings.rs
@@ -6,15 +6,16 @@
 /// Limits of one HTTP listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpLimits {
-    /// Most connections at a time; further ones are closed at once.
+    /// Maximum number of open connections; further ones are closed immediately.
     pub connections: usize,
-    /// Longest request line and headers together, in bytes.
+    /// Maximum size of request target and headers together, in bytes.
     pub header_bytes: usize,
-    /// Longest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Most bytes of bodies that are being received at a time, over all connections.
+    /// Maximum size of all request bodies being received, over all connections, in bytes.
     pub receiving_bytes: usize,
-    /// Longest time in which a request must arrive whole.
+    /// Timeout for the first request of a connection, and for receiving a request's headers and
+    /// its body.
     pub request_timeout: Duration,
 }
 
@@ -30,17 +31,17 @@
     }
 }
 
-/// Who is served by a listener.
+/// Clients that a listener serves, by their address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// Callers from any address but these, which belong to back ends.
+    /// Callers from any address except those of back ends.
     Callers {
         /// Addresses whose requests are refused.
         except: Vec<IpAddr>,
     },
-    /// The node's own back end, from one of these addresses only.
+    /// The node's local back end, only from its own addresses.
     LocalBackEnd {
-        /// Addresses from which the back end calls.
+        /// Source addresses of the back end.
         from: Vec<IpAddr>,
     },
 }
--- a/crates/rillgap-caller/src/trace.rs
+++ b/crates/rillgap-caller/src/trace.rs
@@ -1,8 +1,10 @@
-//! Trace context (W3C recommendation, version 00): forwarded if valid, else created.
+//! Validates and creates trace contexts (W3C Trace Context, version 00).
+//!
+//! A valid `traceparent` is forwarded; otherwise a new one is created.
 
 use uuid::Uuid;
 
-/// Bits by which the identifier of the parent is turned against that of the trace.
+/// Rotation applied to the trace identifier to derive the parent identifier.
 const PARENT_ROTATION_BITS: u32 = 29;
 
 /// Returns whether a `traceparent` value is well formed.
@@ -20,7 +22,7 @@
 /// Creates the `traceparent` of a new trace.
 pub fn create() -> String {
     let trace = Uuid::new_v4();
-    // Random bits are drawn once a request; the parent's differ from the trace's by a rotation.
+    // Random bits are drawn only once per request; the parent identifier is derived from them.
     let (high, low) = trace.as_u64_pair();
     let parent = (high.rotate_left(PARENT_ROTATION_BITS) ^ low) | 1;
     format!("00-{}-{parent:016x}-01", trace.simple())
--- a/crates/rillgap-caller/tests/http/answers.rs
+++ b/crates/rillgap-caller/tests/http/answers.rs
@@ -1,4 +1,4 @@
-//! What a caller sees of the node's answers, whole and broken.
+//! Tests how complete and aborted answers of the node reach the caller.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Sends a request and answers it by the given parts.
+/// Sends a request, answers it with the given parts, and returns what the client receives.
 async fn answer_request(http2: bool, parts: impl IntoIterator<Item = AnswerPart>) -> ClientAnswer {
     let server = start(limits()).await;
     let request = server
@@ -47,9 +47,9 @@
     }
 }
 
-/// Sends a request, answers it by the given parts, and returns whether the transfer broke.
+/// Sends a request, answers it with the given parts, and returns whether the transfer failed.
 ///
-/// If the answer breaks off before its head is on the wire, the client sees no answer at all.
+/// If the answer is aborted before its head has been written, the client receives no answer.
 async fn is_transfer_broken(http2: bool, parts: impl IntoIterator<Item = AnswerPart>) -> bool {
     let server = start(limits()).await;
     let request = server
@@ -199,7 +199,7 @@
     }
 }
 
-/// Reads one response of a few hundred bytes, as far as it comes within a second.
+/// Reads one response up to its body `hello`, or what is received of it within a second.
 async fn read_response(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let read = async {
@@ -215,8 +215,8 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// A caller may send a request on a kept connection while the listener stops. Closed at that moment, the request
-/// would be cut, and a caller cannot know whether it ran.
+/// Guards against cutting off a request that a caller sends on a kept connection while the listener
+/// stops: the caller could not know whether the request was executed.
 #[gtest]
 #[tokio::test]
 async fn request_sent_during_shutdown_is_answered_before_the_connection_closes() {
--- a/crates/rillgap-caller/tests/http/main.rs
+++ b/crates/rillgap-caller/tests/http/main.rs
@@ -1,4 +1,4 @@
-//! The HTTP side towards callers, over loopback connections.
+//! Tests the HTTP server for callers over loopback connections.
 
 mod answers;
 mod requests;
--- a/crates/rillgap-caller/tests/http/requests.rs
+++ b/crates/rillgap-caller/tests/http/requests.rs
@@ -1,4 +1,4 @@
-//! What the node gets of a request, and which requests are refused before it.
+//! Tests what the node receives of a request, and which requests are refused before.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 const KEY: &str = "0193a3b0-0000-7000-8000-000000000001";
 const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-/// Sends a request, answers it by an empty answer, and returns what the node got.
+/// Sends a request, answers it with an empty body, and returns the request that the node received.
 async fn request_at_node(server: &Server, request: http::Request<Full<Bytes>>) -> InboundRequest {
     let caller = tokio::spawn(exchange_with(client(false), request));
     let (inbound, request) = server.next_request().await;
@@ -27,19 +27,19 @@
     request
 }
 
-/// Sends a request that must be refused before it reaches the node; returns the code.
+/// Sends a request, asserts that it does not reach the node, and returns the result code.
 async fn refusal_code(server: &Server, request: http::Request<Full<Bytes>>) -> u64 {
     let code = server.send(request).await.code();
     assert!(server.events.try_recv().is_none());
     code
 }
 
-/// Writes raw bytes and returns everything that comes back before the connection closes.
+/// Writes raw bytes and returns everything received until the connection closes.
 async fn send_raw(server: &Server, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(server.address).await.expect("connect");
     stream.write_all(bytes).await.expect("write");
     let mut answer = Vec::new();
-    // A reset in place of a clean close is as good.
+    // The connection may be reset instead of closed cleanly.
     let _ = stream.read_to_end(&mut answer).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
@@ -147,7 +147,7 @@
     let server = start(limits()).await;
     let cases = [
         ("idempotency-key", "not-a-uuid", ResultCode::KeyMalformed),
-        // Version 4 carries no time.
+        // A UUID of version 4 contains no time.
         (
             "idempotency-key",
             "0193a3b0-0000-4000-8000-000000000001",
--- a/crates/rillgap-caller/tests/http/support.rs
+++ b/crates/rillgap-caller/tests/http/support.rs
@@ -1,4 +1,4 @@
-//! A listener in front of a scripted node, and a client of it.
+//! A listener with a scripted node behind it, and an HTTP client.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,31 +19,31 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Slots of the ring of events.
+/// Capacity of the event ring.
 pub const EVENT_SLOTS: usize = 16;
 
-/// A listener, with the node's side of it.
+/// A running listener with the node's ends of its channels.
 pub struct Server {
     /// Address of the listener.
     pub address: SocketAddr,
-    /// Events for the node.
+    /// Events that the listener sends to the node.
     pub events: RingReceiver<Event>,
-    /// Where the node delivers answers.
+    /// Exchange to which the node delivers answers.
     pub exchange: Exchange,
-    /// Closes the listener.
+    /// Shuts the listener down when cancelled.
     pub stop: CancellationToken,
 }
 
-/// Answer as a client sees it.
+/// Answer as received by the client.
 pub struct ClientAnswer {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// The body, or `None` if its transfer broke.
+    /// The body, or `None` if the transfer failed.
     pub body: Option<Bytes>,
 }
 
 impl ClientAnswer {
-    /// Returns the numbered code of a problem details body.
+    /// Returns the result code number of a problem details body.
     pub fn code(&self) -> u64 {
         let body = self.body.as_ref().expect("a whole body");
         let problem: serde_json::Value = serde_json::from_slice(body).expect("JSON");
@@ -51,7 +51,7 @@
     }
 }
 
-/// Limits short enough for tests.
+/// Returns limits with a request timeout short enough for tests.
 pub fn limits() -> HttpLimits {
     HttpLimits {
         request_timeout: Duration::from_millis(200),
@@ -107,20 +107,20 @@
         format!("http://{}{path}", self.address)
     }
 
-    /// Returns a request without body.
+    /// Returns the builder of a GET request for a path.
     pub fn get(&self, path: &str) -> http::request::Builder {
         Request::builder().uri(self.url(path))
     }
 }
 
-/// Returns a client of HTTP/1.1, or of HTTP/2 with prior knowledge.
+/// Returns an HTTP/1.1 client, or an HTTP/2 client with prior knowledge.
 pub fn client(http2: bool) -> Client<HttpConnector, Full<Bytes>> {
     Client::builder(TokioExecutor::new())
         .http2_only(http2)
         .build_http()
 }
 
-/// Sends a request and reads its answer as far as it comes.
+/// Sends a request and reads its answer; panics if no head is received.
 pub async fn exchange_with(
     client: Client<HttpConnector, Full<Bytes>>,
     request: Request<Full<Bytes>>,
@@ -130,7 +130,7 @@
         .expect("a response")
 }
 
-/// Sends a request and reads its answer as far as it comes; `None` if not even a head comes.
+/// Sends a request and reads its answer; returns `None` if no head is received.
 pub async fn try_exchange_with(
     client: Client<HttpConnector, Full<Bytes>>,
     request: Request<Full<Bytes>>,
@@ -145,7 +145,7 @@
     })
 }
 
-/// Returns the head of an answer 200.
+/// Returns the head of an answer with status 200.
 pub fn head(content_length: Option<usize>) -> AnswerPart {
     let headers = content_length
         .map(|length| Header {
