--- a/crates/rillgap-backend/src/client.rs
+++ b/crates/rillgap-backend/src/client.rs
@@ -1,4 +1,4 @@
-//! Carries out the node's commands for the local back end.
+//! Executes the node's commands for the local back end.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,13 +11,13 @@
 use tokio::task::AbortHandle;
 
 use crate::announcement::Announcement;
-use crate::attempt::{Attempt, AttemptPorts};
+use crate::attempt::{Attempt, AttemptContext};
 use crate::credit::Credit;
 use crate::health;
 use crate::pool::ConnectionPool;
 use crate::settings::BackEndSettings;
 
-/// A command of the node.
+/// A command from the node to its local back end's client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BackEndCommand {
     /// Sends a request.
@@ -27,20 +27,20 @@
         /// Attempt to cancel.
         attempt: AttemptId,
     },
-    /// Allows more of an answer to be read.
+    /// Grants credit to read more of an answer.
     Read {
-        /// Attempt whose answer is meant.
+        /// Attempt whose answer may be read.
         attempt: AttemptId,
-        /// Bytes in addition.
+        /// Number of bytes added to the credit.
         bytes: u32,
     },
 }
 
-/// Client of the local back end.
+/// HTTP client of the local back end.
 #[derive(Debug)]
 pub struct BackEndClient {
     settings: BackEndSettings,
-    ports: AttemptPorts,
+    context: AttemptContext,
     running: RunningAttempts,
 }
 
@@ -50,14 +50,14 @@
     task: Option<AbortHandle>,
 }
 
-/// Attempts that run, shared with their tasks, which leave when they end.
+/// Running attempts, shared with their tasks; each task removes its entry when it ends.
 #[derive(Clone, Debug, Default)]
 struct RunningAttempts {
     attempts: Arc<Mutex<BTreeMap<AttemptId, RunningAttempt>>>,
 }
 
 impl BackEndClient {
-    /// Creates a client that reports to the node through `events`.
+    /// Creates a client that sends answers and failures to the node through `events`.
     pub fn new(settings: BackEndSettings, events: RingSender<Event>) -> Self {
         let pool = ConnectionPool::new(
             settings.address,
@@ -66,7 +66,7 @@
         );
         let host = HeaderValue::from_str(&settings.address.to_string())
             .unwrap_or(HeaderValue::from_static("back-end"));
-        let ports = AttemptPorts {
+        let context = AttemptContext {
             pool,
             announcement: Announcement::new(events.clone()),
             events,
@@ -74,18 +74,19 @@
         };
         Self {
             settings,
-            ports,
+            context,
             running: RunningAttempts::default(),
         }
     }
 
-    /// Carries out every command of a ring until all its senders are gone; never waits for the
-    /// back end.
+    /// Executes the commands received from a ring until all its senders are dropped.
+    ///
+    /// Never waits for the back end: each request runs in its own task.
     pub async fn run(self, commands: RingReceiver<BackEndCommand>) {
         let health = tokio::spawn(health::watch(
             self.settings.clone(),
-            self.ports.host.clone(),
-            self.ports.announcement.clone(),
+            self.context.host.clone(),
+            self.context.announcement.clone(),
         ));
         while let Some(command) = commands.recv().await {
             self.execute(command);
@@ -105,7 +106,7 @@
         let id = request.attempt;
         let credit = Arc::new(Credit::default());
         self.running.begin(id, Arc::clone(&credit));
-        let attempt = Attempt::new(id, credit, self.ports.clone());
+        let attempt = Attempt::new(id, credit, self.context.clone());
         let running = self.running.clone();
         let task = tokio::spawn(async move {
             attempt.run(request).await;
