--- a/crates/rillgap-node/src/daemon.rs
+++ b/crates/rillgap-node/src/daemon.rs
@@ -62,7 +62,7 @@
     log::info!(node = name.as_str(); "node: started");
     tokio::select! {
         biased;
-        () = running.stop_asked.cancelled() => {}
+        () = running.stop_requested.cancelled() => {}
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
--- a/crates/rillgap-node/src/duty/caller.rs
+++ b/crates/rillgap-node/src/duty/caller.rs
@@ -46,14 +46,14 @@
 pub async fn run(duty: CallerDuty) -> io::Result<()> {
     let exchange = Exchange::default();
     let answers = tokio::spawn(exchange.clone().run(duty.answers));
-    let mut open = Vec::new();
+    let mut listener_tasks = Vec::new();
     for CallerListener { listener, audience } in duty.listeners {
         let listener = tokio::net::TcpListener::from_std(listener)?;
         let handler = Handler::new(audience, duty.limits, exchange.clone(), duty.events.clone());
         let server = Listener::new(handler, duty.stop.clone());
-        open.push(tokio::spawn(server.run(listener)));
+        listener_tasks.push(tokio::spawn(server.run(listener)));
     }
-    for listener in open {
+    for listener in listener_tasks {
         // A listener that panicked has ended the process.
         let _ = listener.await;
     }
--- a/crates/rillgap-node/src/duty/mesh.rs
+++ b/crates/rillgap-node/src/duty/mesh.rs
@@ -32,11 +32,11 @@
 pub async fn run(duty: MeshDuty) -> io::Result<()> {
     let listener = tokio::net::TcpListener::from_std(duty.listener)?;
     let receiver = MeshReceiver::new(duty.hello, duty.events.clone(), duty.connections);
-    let accepting = tokio::spawn(receiver.run(listener));
+    let accept_task = tokio::spawn(receiver.run(listener));
     let sender = MeshSender::start(duty.hello, duty.events)
         .await
         .map_err(io::Error::other)?;
     sender.run(duty.outgoing).await;
-    accepting.abort();
+    accept_task.abort();
     Ok(())
 }
--- a/crates/rillgap-node/src/duty/metrics.rs
+++ b/crates/rillgap-node/src/duty/metrics.rs
@@ -20,7 +20,7 @@
 use crate::metrics::Metrics;
 
 /// Path of the metrics.
-const PATH: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 
 /// Media type of the text format.
 const MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -76,7 +76,7 @@
 }
 
 fn respond(request: &Request<Incoming>, metrics: &Metrics) -> Response<Full<Bytes>> {
-    if request.uri().path() != PATH {
+    if request.uri().path() != METRICS_PATH {
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
--- a/crates/rillgap-node/src/duty/operator.rs
+++ b/crates/rillgap-node/src/duty/operator.rs
@@ -16,9 +16,9 @@
 use crate::rings::OperatorAnswer;
 
 /// Requests of operators that may wait for the node.
-const WAITING_CALLS: usize = 16;
+const CALL_QUEUE_CAPACITY: usize = 16;
 
-type WaitingCalls = Arc<Mutex<BTreeMap<OperatorRequestId, oneshot::Sender<OperatorReply>>>>;
+type PendingCalls = Arc<Mutex<BTreeMap<OperatorRequestId, oneshot::Sender<OperatorReply>>>>;
 
 /// What the duty needs.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     /// Replies of the node.
     pub replies: RingReceiver<OperatorAnswer>,
     /// To be cancelled when an operator asks the node to stop.
-    pub stop_asked: CancellationToken,
+    pub stop_requested: CancellationToken,
     /// Cancelled when the listener shall close.
     pub stop: CancellationToken,
 }
@@ -41,18 +41,23 @@
 ///
 /// Fails if the listener cannot be handed to the runtime or the server fails.
 pub async fn run(duty: OperatorDuty) -> io::Result<()> {
-    let waiting = WaitingCalls::default();
-    let replying = tokio::spawn(reply(duty.replies, Arc::clone(&waiting)));
+    let pending_calls = PendingCalls::default();
+    let reply_task = tokio::spawn(reply(duty.replies, Arc::clone(&pending_calls)));
     if let Some(listener) = duty.listener {
         let listener = tokio::net::TcpListener::from_std(listener)?;
-        let (handle, calls) = OperatorHandle::channel(WAITING_CALLS);
-        let forwarding = tokio::spawn(forward(calls, duty.events, waiting, duty.stop_asked));
+        let (handle, calls) = OperatorHandle::channel(CALL_QUEUE_CAPACITY);
+        let forward_task = tokio::spawn(forward(
+            calls,
+            duty.events,
+            pending_calls,
+            duty.stop_requested,
+        ));
         service::serve(listener, handle, duty.stop.cancelled_owned())
             .await
             .map_err(io::Error::other)?;
-        forwarding.abort();
+        forward_task.abort();
     }
-    let _ = replying.await;
+    let _ = reply_task.await;
     Ok(())
 }
 
@@ -60,17 +65,17 @@
 async fn forward(
     mut calls: OperatorCalls,
     events: RingSender<Event>,
-    waiting: WaitingCalls,
-    stop_asked: CancellationToken,
+    pending_calls: PendingCalls,
+    stop_requested: CancellationToken,
 ) {
     let mut next = 0;
     while let Some(call) = calls.recv().await {
         let request = OperatorRequestId(next);
         next += 1;
         {
-            let mut waiting = waiting.lock().unwrap_or_else(PoisonError::into_inner);
-            waiting.retain(|_, reply| !reply.is_closed());
-            waiting.insert(request, call.reply);
+            let mut pending_calls = pending_calls.lock().unwrap_or_else(PoisonError::into_inner);
+            pending_calls.retain(|_, reply| !reply.is_closed());
+            pending_calls.insert(request, call.reply);
         }
         let is_stop = call.request == OperatorRequest::StopNode;
         let event = Event::Operator {
@@ -81,15 +86,15 @@
             return;
         }
         if is_stop {
-            stop_asked.cancel();
+            stop_requested.cancel();
         }
     }
 }
 
 /// Passes replies of the node on to the operators that still wait.
-async fn reply(replies: RingReceiver<OperatorAnswer>, waiting: WaitingCalls) {
+async fn reply(replies: RingReceiver<OperatorAnswer>, pending_calls: PendingCalls) {
     while let Some(answer) = replies.recv().await {
-        let call = waiting
+        let call = pending_calls
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(&answer.request);
--- a/crates/rillgap-node/src/duty/platform.rs
+++ b/crates/rillgap-node/src/duty/platform.rs
@@ -28,7 +28,7 @@
         client: (!endpoints.is_empty()).then(|| PlatformClient::new(endpoints)),
         permits: Arc::new(Semaphore::new(MAX_REQUESTS)),
         events,
-        under_way: BTreeMap::new(),
+        in_flight: BTreeMap::new(),
     };
     while let Some(command) = commands.recv().await {
         match command {
@@ -43,12 +43,12 @@
     client: Option<PlatformClient>,
     permits: Arc<Semaphore>,
     events: RingSender<Event>,
-    under_way: BTreeMap<StoreRequestId, AbortHandle>,
+    in_flight: BTreeMap<StoreRequestId, AbortHandle>,
 }
 
 impl Requests {
     fn start(&mut self, request: StoreRequestId, body: StoreRequest) {
-        self.under_way.retain(|_, task| !task.is_finished());
+        self.in_flight.retain(|_, task| !task.is_finished());
         let permit = Arc::clone(&self.permits).try_acquire_owned().ok();
         let client = self.client.clone().filter(|_| permit.is_some());
         let events = self.events.clone();
@@ -61,12 +61,12 @@
             // A closed ring means that the process ends.
             let _ = events.send(Event::Store { request, reply }).await;
         });
-        self.under_way.insert(request, task.abort_handle());
+        self.in_flight.insert(request, task.abort_handle());
     }
 
     /// Ends a request; its connection closes with it.
     fn cancel(&mut self, request: StoreRequestId) {
-        if let Some(task) = self.under_way.remove(&request) {
+        if let Some(task) = self.in_flight.remove(&request) {
             task.abort();
         }
     }
--- a/crates/rillgap-node/src/identity.rs
+++ b/crates/rillgap-node/src/identity.rs
@@ -9,13 +9,13 @@
 
 /// Draws the incarnation of a run: later runs get larger ones, and two runs that started in the
 /// same millisecond still differ.
-pub fn draw_incarnation(now: WallTime) -> Incarnation {
-    let random = draw_seed() & ((1 << RANDOM_BITS) - 1);
+pub fn generate_incarnation(now: WallTime) -> Incarnation {
+    let random = generate_seed() & ((1 << RANDOM_BITS) - 1);
     Incarnation((now.as_millis() << RANDOM_BITS) | random)
 }
 
 /// Draws a seed from the operating system's random numbers.
-pub fn draw_seed() -> u64 {
+pub fn generate_seed() -> u64 {
     let (high, low) = Uuid::new_v4().as_u64_pair();
     // Both halves have bits that are fixed in every UUID, in different places.
     high.rotate_left(32) ^ low
--- a/crates/rillgap-node/src/metrics.rs
+++ b/crates/rillgap-node/src/metrics.rs
@@ -15,7 +15,7 @@
 const FIRST_LATENCY_BUCKET: f64 = 0.000_25;
 
 /// Number of latency buckets, each twice as wide as the one before: up to 65 seconds.
-const LATENCY_BUCKETS: u16 = 19;
+const LATENCY_BUCKET_COUNT: u16 = 19;
 
 /// A ring that leads away from the node duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
@@ -72,7 +72,7 @@
         let latency = Histogram::new(exponential_buckets(
             FIRST_LATENCY_BUCKET,
             2.0,
-            LATENCY_BUCKETS,
+            LATENCY_BUCKET_COUNT,
         ));
         registry.register_with_unit(
             "answer_latency",
--- a/crates/rillgap-node/src/rings.rs
+++ b/crates/rillgap-node/src/rings.rs
@@ -13,13 +13,13 @@
 use rillgap_ring::{RingReceiver, RingSender, ring};
 
 /// Slots for events on their way to the node.
-const EVENT_SLOTS: usize = 1_024;
+const EVENT_RING_CAPACITY: usize = 1_024;
 
 /// Slots of each ring of the data path.
-const DATA_SLOTS: usize = 1_024;
+const DATA_RING_CAPACITY: usize = 1_024;
 
 /// Slots of each ring off the data path.
-const CONTROL_SLOTS: usize = 64;
+const CONTROL_RING_CAPACITY: usize = 64;
 
 /// An order on its way to the platform duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -76,16 +76,16 @@
 
 /// Creates the ring of events.
 pub fn event_ring() -> (RingSender<Event>, RingReceiver<Event>) {
-    ring(EVENT_SLOTS)
+    ring(EVENT_RING_CAPACITY)
 }
 
 /// Creates the rings that lead away from the node duty.
 pub fn output_rings() -> (NodeOutputs, NodeInputs) {
-    let (answers, answers_receiver) = ring(DATA_SLOTS);
-    let (back_end, back_end_receiver) = ring(DATA_SLOTS);
-    let (mesh, mesh_receiver) = ring(DATA_SLOTS);
-    let (store, store_receiver) = ring(CONTROL_SLOTS);
-    let (operator, operator_receiver) = ring(CONTROL_SLOTS);
+    let (answers, answers_receiver) = ring(DATA_RING_CAPACITY);
+    let (back_end, back_end_receiver) = ring(DATA_RING_CAPACITY);
+    let (mesh, mesh_receiver) = ring(DATA_RING_CAPACITY);
+    let (store, store_receiver) = ring(CONTROL_RING_CAPACITY);
+    let (operator, operator_receiver) = ring(CONTROL_RING_CAPACITY);
     let outputs = NodeOutputs {
         answers,
         back_end,
--- a/crates/rillgap-node/src/settings/toml.rs
+++ b/crates/rillgap-node/src/settings/toml.rs
@@ -24,7 +24,7 @@
 /// Turns the first error of the reading library into one that names file, key and value.
 fn describe(path: &Path, error: figment::Error) -> SettingsError {
     let section = error.path.join(".");
-    let key_of = |field: &str| match section.as_str() {
+    let qualified_key = |field: &str| match section.as_str() {
         "" => field.to_owned(),
         section => format!("{section}.{field}"),
     };
@@ -36,7 +36,7 @@
             key: section,
             allowed: allowed.join(", "),
         },
-        Kind::MissingField(field) => checker.missing(&key_of(&field)),
+        Kind::MissingField(field) => checker.missing(&qualified_key(&field)),
         Kind::InvalidType(actual, allowed) | Kind::InvalidValue(actual, allowed) => {
             checker.not_allowed(&section, actual, allowed)
         }
--- a/crates/rillgap-node/src/wiring.rs
+++ b/crates/rillgap-node/src/wiring.rs
@@ -35,7 +35,7 @@
     /// Events for the node.
     pub events: RingSender<Event>,
     /// Cancelled when an operator has asked the node to stop.
-    pub stop_asked: CancellationToken,
+    pub stop_requested: CancellationToken,
     /// Cancelled by the node when nothing is in flight after a stop.
     pub idle: CancellationToken,
     /// To be cancelled to close the listeners.
@@ -57,7 +57,7 @@
     let (stopped, connections_ended) = oneshot::channel();
     let running = RunningNode {
         events: events.clone(),
-        stop_asked: CancellationToken::new(),
+        stop_requested: CancellationToken::new(),
         idle: CancellationToken::new(),
         close: CancellationToken::new(),
         connections_ended,
@@ -84,7 +84,7 @@
         listener: listeners.operator,
         events: events.clone(),
         replies: inputs.operator,
-        stop_asked: running.stop_asked.clone(),
+        stop_requested: running.stop_requested.clone(),
         stop: running.close.clone(),
     };
     let back_end = settings.back_end.map(|back_end| back_end.client);
@@ -117,10 +117,10 @@
         zone: settings.zone.clone(),
         region: settings.region.clone(),
         incarnation: fixed.map_or_else(
-            || identity::draw_incarnation(clock.now().wall),
+            || identity::generate_incarnation(clock.now().wall),
             |fixed| fixed.incarnation,
         ),
-        random_seed: identity::draw_seed(),
+        random_seed: identity::generate_seed(),
         mesh_address: settings.listen.mesh,
         back_end: settings
             .back_end
