--- a/crates/rillgap-node/src/actions.rs
+++ b/crates/rillgap-node/src/actions.rs
@@ -1,4 +1,4 @@
-//! Carries the node's actions to the duties that execute them.
+//! Dispatches the node's actions to the duties that execute them.
 
 use rillgap_backend::client::BackEndCommand;
 use rillgap_caller::exchange::{Answer, AnswerPart};
@@ -11,7 +11,7 @@
 use crate::metrics::{Metrics, RingName};
 use crate::rings::{NodeOutputs, OperatorAnswer, StoreCommand};
 
-/// Carries the node's actions to the duties that execute them.
+/// Dispatches the node's actions to the rings of the duties, to logs and to metrics.
 #[derive(Clone, Debug)]
 pub struct ActionPorts {
     outputs: NodeOutputs,
@@ -20,7 +20,7 @@
 }
 
 impl ActionPorts {
-    /// Creates the ports; `exit` is cancelled when the node has nothing in flight after a stop.
+    /// Creates the ports; `exit` is cancelled when nothing is in flight after a requested stop.
     pub fn new(outputs: NodeOutputs, metrics: Metrics, exit: CancellationToken) -> Self {
         Self {
             outputs,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Carries one action to its duty.
+    /// Executes one action or sends it to its duty.
     pub async fn execute(&self, action: Action) {
         match action {
             Action::Refuse { inbound, refusal } => {
@@ -93,11 +93,13 @@
             .await;
     }
 
-    /// Sends a message, waiting if the ring is full: its receiver never waits for the node.
+    /// Sends a message; counts a full ring and then waits for a free slot.
+    ///
+    /// The wait cannot deadlock, because the receiver never waits for the node.
     async fn send<T>(&self, ring: &RingSender<T>, name: RingName, message: T) {
         if let Err(RingError::Full(message)) = ring.try_send(message) {
             self.metrics.count_full_ring(name);
-            // A closed ring means that the process ends.
+            // The ring is closed only while the process ends; the message can be dropped.
             let _ = ring.send(message).await;
         }
     }
--- a/crates/rillgap-node/src/arguments.rs
+++ b/crates/rillgap-node/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Command line of `rillgapd`.
+//! Parses the command line of `rillgapd`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,11 +8,12 @@
 
 use crate::settings::Overrides;
 
-/// Name under which the help shows the daemon.
+/// Command name shown in the help text.
 const COMMAND: &str = "rillgapd";
 
-/// One node of rillgap: it takes calls from callers, runs them at its back end or passes them on
-/// to other nodes. Exits with the number of a result code (docs/ERRORS.md); 0 after a planned stop.
+/// One node of rillgap: it accepts requests from callers, sends them to its local back end or
+/// forwards them to other nodes. Exits with the number of a result code (docs/ERRORS.md); 0 after a
+/// planned stop.
 #[derive(Clone, Debug, PartialEq, Eq, FromArgs)]
 pub struct Arguments {
     /// settings file (TOML); docs/operators/settings.md describes every key
@@ -36,7 +37,7 @@
 }
 
 impl Arguments {
-    /// Returns the settings that the command line overrides.
+    /// Returns the values that override settings of the file.
     pub fn overrides(&self) -> Overrides {
         Overrides {
             name: self.name.clone(),
@@ -47,11 +48,11 @@
     }
 }
 
-/// Parses the process's arguments.
+/// Parses the arguments of the process.
 ///
 /// # Errors
 ///
-/// Returns the exit code if help was asked for or the command line is malformed.
+/// Returns the exit code if help was requested or the command line is malformed.
 pub fn from_environment() -> Result<Arguments, ExitCode> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
@@ -66,11 +67,11 @@
     })
 }
 
-/// Parses arguments without the name of the command.
+/// Parses arguments; `arguments` does not include the command name.
 ///
 /// # Errors
 ///
-/// Returns the text to show and whether that is a failure.
+/// Returns the text to print and whether it reports a failure.
 pub fn parse(arguments: &[&str]) -> Result<Arguments, EarlyExit> {
     Arguments::from_args(&[COMMAND], arguments)
 }
--- a/crates/rillgap-node/src/clock.rs
+++ b/crates/rillgap-node/src/clock.rs
@@ -1,18 +1,18 @@
-//! The clocks of the host, as the node's state machine takes them.
+//! Reads the clocks of the host for the node's state machine.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use rillgap_clock::SteadyClock;
 use rillgap_core::time::{Instant, Now, WallTime};
 
-/// Reads the host's clocks.
+/// Reads the monotonic clock and the wall clock of the host.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     steady: SteadyClock,
 }
 
 impl Clock {
-    /// Creates a clock whose monotonic readings count from now.
+    /// Creates a clock whose monotonic readings start at zero.
     pub fn start() -> Self {
         Self {
             steady: SteadyClock::start(),
@@ -27,16 +27,16 @@
         }
     }
 
-    /// Returns the runtime's time for a reading of the monotonic clock.
+    /// Converts a reading of the monotonic clock to the runtime's time, for timers.
     pub fn deadline(&self, instant: Instant) -> tokio::time::Instant {
         self.steady.deadline(instant)
     }
 }
 
-/// Reads the wall clock; a clock before the epoch reads as the epoch.
+/// Reads the wall clock; a time before the Unix epoch is reported as the epoch.
 #[expect(
     clippy::disallowed_methods,
-    reason = "the daemon is the one place where clocks are read"
+    reason = "only the daemon reads the host's clocks"
 )]
 fn wall_time() -> WallTime {
     let since_epoch = SystemTime::now()
--- a/crates/rillgap-node/src/daemon.rs
+++ b/crates/rillgap-node/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Runs a node from its start to the orderly end of the process.
+//! Runs a node from its start to its graceful shutdown.
 
 use std::io;
 use std::time::Duration;
@@ -12,25 +12,25 @@
 use crate::settings::Settings;
 use crate::wiring::{self, RunningNode};
 
-/// Longest time that connections may take to end once nothing is in flight.
+/// Time limit for callers' connections to close once no request is in flight.
 const CONNECTION_END_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why the daemon ended other than by a planned stop.
+/// Reason why the daemon ended without completing a graceful shutdown.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// An address cannot be bound.
+    /// A listen address could not be bound.
     #[error(transparent)]
     Bind(#[from] BindError),
-    /// The operating system refused a thread, a runtime or a signal handler.
+    /// The operating system failed to provide a thread, a runtime or a signal handler.
     #[error("cannot start: {0}")]
     Start(#[from] io::Error),
-    /// The planned stop took too long, and what was still in flight was cut.
-    #[error("stop took longer than {} s, requests in flight were cut", .0.as_secs())]
+    /// The shutdown exceeded its timeout; requests still in flight were aborted.
+    #[error("stop took longer than {} s, requests in flight were aborted", .0.as_secs())]
     StopTimeout(Duration),
 }
 
 impl DaemonError {
-    /// Returns the numbered result code, with which the process exits.
+    /// Returns the result code that the process exits with.
     pub const fn code(&self) -> ResultCode {
         match self {
             Self::Bind(_) => ResultCode::AddressInUse,
@@ -40,11 +40,11 @@
     }
 }
 
-/// Runs a node until it is asked to stop and nothing is in flight any more.
+/// Runs a node until a stop is requested and no request is in flight.
 ///
 /// # Errors
 ///
-/// Fails if the node cannot start, or if its stop takes longer than the settings allow.
+/// Fails if the node cannot start, or if the shutdown exceeds the configured stop timeout.
 pub fn run(settings: Settings) -> Result<(), DaemonError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -73,17 +73,19 @@
 }
 
 impl RunningNode {
-    /// Lets the node finish what is in flight; asking it once more does no harm.
+    /// Requests a stop and waits until no request is in flight.
+    ///
+    /// Requesting a stop again, after an operator has requested one, has no effect.
     async fn stop(&self, stop_timeout: Duration) -> Result<(), DaemonError> {
         log::info!("node: stopping, finishing requests in flight");
-        // The node duty receives until the process ends.
+        // Sending cannot fail: the node duty receives events until the process ends.
         let _ = self.events.send(Event::Stop).await;
         timeout(stop_timeout, self.idle.cancelled())
             .await
             .map_err(|_| DaemonError::StopTimeout(stop_timeout))
     }
 
-    /// Closes the listeners and lets connections send what they still hold.
+    /// Closes the listeners and waits for open connections to send their remaining data.
     async fn end_connections(self) {
         self.close.cancel();
         if timeout(CONNECTION_END_TIMEOUT, self.connections_ended)
--- a/crates/rillgap-node/src/duty/back_end.rs
+++ b/crates/rillgap-node/src/duty/back_end.rs
@@ -1,4 +1,4 @@
-//! Back-end duty: sends requests to the local back end.
+//! Implements the back-end duty, which sends requests to the local back end.
 
 use rillgap_backend::client::{BackEndClient, BackEndCommand};
 use rillgap_backend::settings::BackEndSettings;
@@ -17,7 +17,7 @@
     }
 }
 
-/// Fails every request of a node that has no back end; the node should never send one.
+/// Fails every request on a node without a back end; the node is expected to send none.
 async fn refuse_all(events: RingSender<Event>, commands: RingReceiver<BackEndCommand>) {
     while let Some(command) = commands.recv().await {
         let BackEndCommand::Call(request) = command else {
@@ -25,7 +25,7 @@
         };
         log::error!("back end: this node has no back end");
         let events = events.clone();
-        // The duty's loop must not wait for the node.
+        // Sending in the loop itself could deadlock: the node may be waiting for this loop.
         tokio::spawn(async move {
             let event = Event::BackEndFailed {
                 attempt: request.attempt,
--- a/crates/rillgap-node/src/duty/caller.rs
+++ b/crates/rillgap-node/src/duty/caller.rs
@@ -1,4 +1,4 @@
-//! Caller duty: serves callers and the local back end's own calls.
+//! Implements the caller duty, which serves callers and calls made by the local back end.
 
 use std::io;
 use std::net::TcpListener;
@@ -12,29 +12,29 @@
 use tokio::sync::oneshot;
 use tokio_util::sync::CancellationToken;
 
-/// A listener with those whom it serves.
+/// A listener and the clients that it serves.
 #[derive(Debug)]
 pub struct CallerListener {
-    /// Bound listener.
+    /// Bound socket on which connections are accepted.
     pub listener: TcpListener,
-    /// Who is served.
+    /// Clients that are served, by source address.
     pub audience: Audience,
 }
 
-/// What the duty needs.
+/// Resources of the caller duty.
 #[derive(Debug)]
 pub struct CallerDuty {
     /// Listeners for callers and for the local back end.
     pub listeners: Vec<CallerListener>,
-    /// Limits of each listener.
+    /// HTTP limits, applied to each listener separately.
     pub limits: HttpLimits,
-    /// Events for the node.
+    /// Sends events to the node.
     pub events: RingSender<Event>,
-    /// Answers of the node.
+    /// Receives answers from the node.
     pub answers: RingReceiver<Answer>,
-    /// Cancelled when the listeners shall close.
+    /// Cancelled to close the listeners.
     pub stop: CancellationToken,
-    /// Told when every connection has ended after that.
+    /// Receives a value when every connection has ended after `stop` was cancelled.
     pub stopped: oneshot::Sender<()>,
 }
 
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// Fails if a listener cannot be handed to the runtime.
+/// Fails if a listener cannot be registered with the runtime.
 pub async fn run(duty: CallerDuty) -> io::Result<()> {
     let exchange = Exchange::default();
     let answers = tokio::spawn(exchange.clone().run(duty.answers));
@@ -54,10 +54,10 @@
         listener_tasks.push(tokio::spawn(server.run(listener)));
     }
     for listener in listener_tasks {
-        // A listener that panicked has ended the process.
+        // The task cannot return an error: a panic in it ends the process.
         let _ = listener.await;
     }
-    // Nobody listens if the process is already ending.
+    // The receiver is gone if the process is already ending.
     let _ = duty.stopped.send(());
     let _ = answers.await;
     Ok(())
--- a/crates/rillgap-node/src/duty/mesh.rs
+++ b/crates/rillgap-node/src/duty/mesh.rs
@@ -1,4 +1,4 @@
-//! Mesh duty: links to and from other nodes.
+//! Implements the mesh duty, which opens links to other nodes and accepts links from them.
 
 use std::io;
 use std::net::TcpListener;
@@ -9,18 +9,18 @@
 use rillgap_mesh::mesh::{MeshSender, OutgoingMessage};
 use rillgap_ring::{RingReceiver, RingSender};
 
-/// What the duty needs.
+/// Resources of the mesh duty.
 #[derive(Debug)]
 pub struct MeshDuty {
     /// Bound listener for other nodes.
     pub listener: TcpListener,
-    /// How this node introduces itself.
+    /// Hello by which this node identifies itself on a link.
     pub hello: Hello,
-    /// Most links that peers may have open to this node.
+    /// Maximum number of open links from peers to this node.
     pub connections: usize,
-    /// Events for the node.
+    /// Sends events to the node.
     pub events: RingSender<Event>,
-    /// Messages of the node.
+    /// Receives the messages that the node sends to peers.
     pub outgoing: RingReceiver<OutgoingMessage>,
 }
 
@@ -28,7 +28,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the listener cannot be handed to the runtime or the supervisor cannot start.
+/// Fails if the listener cannot be registered with the runtime or the supervisor of the links
+/// cannot start.
 pub async fn run(duty: MeshDuty) -> io::Result<()> {
     let listener = tokio::net::TcpListener::from_std(duty.listener)?;
     let receiver = MeshReceiver::new(duty.hello, duty.events.clone(), duty.connections);
--- a/crates/rillgap-node/src/duty/metrics.rs
+++ b/crates/rillgap-node/src/duty/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics duty: serves the metrics over HTTP.
+//! Implements the metrics duty, which serves the metrics over HTTP.
 
 use std::convert::Infallible;
 use std::io;
@@ -19,26 +19,26 @@
 
 use crate::metrics::Metrics;
 
-/// Path of the metrics.
+/// URL path under which the metrics are served.
 const METRICS_PATH: &str = "/metrics";
 
-/// Media type of the text format.
+/// Media type of the OpenMetrics text format.
 const MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Most connections at a time.
+/// Maximum number of concurrent connections; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 16;
 
-/// Longest time in which a request must arrive.
+/// Timeout for receiving the headers of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause after a failed accept.
+/// Pause after a failed accept, so that the loop does not spin while the error lasts.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Runs the duty until the process ends.
+/// Runs the duty until the process ends; returns at once if no metrics address is configured.
 ///
 /// # Errors
 ///
-/// Fails if the listener cannot be handed to the runtime.
+/// Fails if the listener cannot be registered with the runtime.
 pub async fn run(listener: Option<TcpListener>, metrics: Metrics) -> io::Result<()> {
     let Some(listener) = listener else {
         return Ok(());
--- a/crates/rillgap-node/src/duty/mod.rs
+++ b/crates/rillgap-node/src/duty/mod.rs
@@ -1,5 +1,7 @@
-//! The duties of a node. Each is an endless task with its own rings; none shares state with
-//! another except through rings, counters and the process's end.
+//! Implements the duties of a node.
+//!
+//! Each duty is a task with its own rings that runs until the process ends. Duties share no state
+//! except rings, metrics and the tokens that signal a shutdown.
 
 pub mod back_end;
 pub mod caller;
--- a/crates/rillgap-node/src/duty/node.rs
+++ b/crates/rillgap-node/src/duty/node.rs
@@ -1,4 +1,5 @@
-//! Node duty: owns the state machine, feeds it events and hands on its actions.
+//! Implements the node duty, which drives the state machine: it passes events to it and executes
+//! the resulting actions.
 
 use std::future::poll_fn;
 use std::pin::{Pin, pin};
@@ -14,7 +15,7 @@
 use crate::actions::ActionPorts;
 use crate::clock::Clock;
 
-/// Runs the node until all senders of events are gone.
+/// Runs the node until all senders of events are dropped.
 pub async fn run(
     settings: NodeSettings,
     clock: Clock,
@@ -25,7 +26,7 @@
     let mut out = Outbox::new();
     let mut timer = WakeTimer::new(clock);
     let mut timer_sleep = pin!(sleep_until(clock.deadline(Instant::default())));
-    // The first wake-up lets the node begin what it must do without being asked.
+    // The first wake-up starts the node's periodic work, which no other event triggers.
     let mut event = Some(Event::Wake);
     while let Some(next) = event {
         node.handle(clock.now(), next, &mut out);
@@ -40,8 +41,10 @@
     }
 }
 
-/// Waits for an event of a duty, or for the timer. Events go first; a burst of them cannot
-/// starve the timer, since handling any event does what is due as well.
+/// Waits for the next event from a duty or for the timer; returns `None` if all senders are gone.
+///
+/// Events take precedence over the timer. A burst of events cannot starve timed work, because the
+/// node performs all work that is due whenever it handles an event.
 async fn next_event(
     events: &RingReceiver<Event>,
     mut sleep: Pin<&mut Sleep>,
@@ -63,7 +66,7 @@
     .await
 }
 
-/// Remembers for when the sleep is set, so that it is moved only if the time has changed.
+/// Stores the time that the sleep is set to, so that the sleep is reset only if the time changes.
 #[derive(Debug)]
 struct WakeTimer {
     clock: Clock,
--- a/crates/rillgap-node/src/duty/operator.rs
+++ b/crates/rillgap-node/src/duty/operator.rs
@@ -1,4 +1,4 @@
-//! Operator duty: serves operators' remote procedure calls.
+//! Implements the operator duty, which serves the remote procedure calls of operators.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,23 +15,23 @@
 
 use crate::rings::OperatorAnswer;
 
-/// Requests of operators that may wait for the node.
+/// Maximum number of operator calls queued between the server and the node.
 const CALL_QUEUE_CAPACITY: usize = 16;
 
 type PendingCalls = Arc<Mutex<BTreeMap<OperatorRequestId, oneshot::Sender<OperatorReply>>>>;
 
-/// What the duty needs.
+/// Resources of the operator duty.
 #[derive(Debug)]
 pub struct OperatorDuty {
-    /// Bound listener for operators, if there is one.
+    /// Bound listener for operators; `None` if not configured.
     pub listener: Option<TcpListener>,
-    /// Events for the node.
+    /// Sends events to the node.
     pub events: RingSender<Event>,
-    /// Replies of the node.
+    /// Receives replies from the node.
     pub replies: RingReceiver<OperatorAnswer>,
-    /// To be cancelled when an operator asks the node to stop.
+    /// Cancelled by the duty when an operator requests a stop of the node.
     pub stop_requested: CancellationToken,
-    /// Cancelled when the listener shall close.
+    /// Cancelled to close the listener.
     pub stop: CancellationToken,
 }
 
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the listener cannot be handed to the runtime or the server fails.
+/// Fails if the listener cannot be registered with the runtime or the server fails.
 pub async fn run(duty: OperatorDuty) -> io::Result<()> {
     let pending_calls = PendingCalls::default();
     let reply_task = tokio::spawn(reply(duty.replies, Arc::clone(&pending_calls)));
@@ -61,7 +61,7 @@
     Ok(())
 }
 
-/// Passes requests on to the node; a full ring holds back the operators.
+/// Forwards calls to the node; a full ring applies backpressure to the operators.
 async fn forward(
     mut calls: OperatorCalls,
     events: RingSender<Event>,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Passes replies of the node on to the operators that still wait.
+/// Forwards replies of the node to the calls that are still pending.
 async fn reply(replies: RingReceiver<OperatorAnswer>, pending_calls: PendingCalls) {
     while let Some(answer) = replies.recv().await {
         let call = pending_calls
@@ -99,7 +99,7 @@
             .unwrap_or_else(PoisonError::into_inner)
             .remove(&answer.request);
         if let Some(call) = call {
-            // The operator may have gone away.
+            // Sending fails if the operator has cancelled the call or disconnected.
             let _ = call.send(answer.reply);
         }
     }
--- a/crates/rillgap-node/src/duty/platform.rs
+++ b/crates/rillgap-node/src/duty/platform.rs
@@ -1,4 +1,5 @@
-//! Platform duty: sends the node's requests to the store and to the machine list.
+//! Implements the platform duty, which sends the node's requests to the store and to the machine
+//! list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,12 +14,12 @@
 
 use crate::rings::StoreCommand;
 
-/// Most requests to the platform at a time; further ones fail at once.
+/// Maximum number of requests to the platform in flight; further ones fail at once.
 const MAX_REQUESTS: usize = 64;
 
 /// Runs the duty until the process ends.
 ///
-/// Every request runs as a task of its own, since a blocking query takes half a minute.
+/// Each request runs in its own task, because a blocking query takes half a minute.
 pub async fn run(
     endpoints: Vec<SocketAddr>,
     events: RingSender<Event>,
@@ -38,7 +39,7 @@
     }
 }
 
-/// Requests under way.
+/// Requests to the platform that are in flight, with the client that sends them.
 struct Requests {
     client: Option<PlatformClient>,
     permits: Arc<Semaphore>,
@@ -58,13 +59,13 @@
                 None => StoreReply::Failed,
             };
             drop(permit);
-            // A closed ring means that the process ends.
+            // The ring is closed only while the process ends; the reply can be dropped.
             let _ = events.send(Event::Store { request, reply }).await;
         });
         self.in_flight.insert(request, task.abort_handle());
     }
 
-    /// Ends a request; its connection closes with it.
+    /// Aborts a request, which also closes its connection.
     fn cancel(&mut self, request: StoreRequestId) {
         if let Some(task) = self.in_flight.remove(&request) {
             task.abort();
--- a/crates/rillgap-node/src/lib.rs
+++ b/crates/rillgap-node/src/lib.rs
@@ -1,8 +1,9 @@
-//! The rillgapd daemon: settings, logs, duty threads and rings.
+//! Implements the `rillgapd` daemon: settings, logs, duty threads and rings.
 //!
-//! Everything a node decides is decided by [`rillgap_core::node::Node`]; this package only
-//! wires it to sockets and clocks. The work is split into duties ([`duty`]), joined by bounded
-//! rings ([`rings`]); `docs/design/duties.md` tells how duties are placed on threads and why.
+//! All decisions of a node are made by the state machine [`rillgap_core::node::Node`]; this
+//! package connects it to sockets and clocks. The work is split into duties ([`duty`]), which are
+//! long-running tasks connected by bounded rings ([`rings`]). `docs/design/duties.md` describes
+//! how duties are assigned to threads and why.
 
 pub mod actions;
 pub mod arguments;
--- a/crates/rillgap-node/src/listeners.rs
+++ b/crates/rillgap-node/src/listeners.rs
@@ -7,25 +7,25 @@
 
 use crate::settings::ListenSettings;
 
-/// Connections that may wait to be accepted on one listener.
+/// Maximum number of connections that wait to be accepted on one listener.
 const BACKLOG: u32 = 1_024;
 
 /// Bound listeners of a node.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For callers.
+    /// Listener for callers.
     pub callers: TcpListener,
-    /// For the local back end's own calls.
+    /// Listener for calls made by the local back end; `None` if not configured.
     pub outbound: Option<TcpListener>,
-    /// For other nodes.
+    /// Listener for links from other nodes.
     pub mesh: TcpListener,
-    /// For operators.
+    /// Listener for operators; `None` if not configured.
     pub operator: Option<TcpListener>,
-    /// For metrics.
+    /// Listener for the metrics endpoint; `None` if not configured.
     pub metrics: Option<TcpListener>,
 }
 
-/// An address that cannot be bound.
+/// Error for a listen address that cannot be bound.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot listen on {address} ({key}): {source}")]
 pub struct BindError {
@@ -35,11 +35,11 @@
 }
 
 impl Listeners {
-    /// Binds all addresses; must be called within a runtime.
+    /// Binds all addresses; must be called within a Tokio runtime.
     ///
     /// # Errors
     ///
-    /// Names the first address that cannot be bound.
+    /// Returns the first address that cannot be bound, with its settings key.
     pub fn bind(settings: &ListenSettings) -> Result<Self, BindError> {
         let optional = |key, address: Option<SocketAddr>| {
             address.map(|address| bind(key, address)).transpose()
--- a/crates/rillgap-node/src/logging.rs
+++ b/crates/rillgap-node/src/logging.rs
@@ -1,7 +1,7 @@
-//! Logs: one line a record, with time, level, message and key-value fields.
+//! Writes log records, one per line, with time, level, message and key-value fields.
 //!
-//! The message begins with the prefix of its part, such as `caller: ` or `mesh: `.
-//! `RUST_LOG` chooses the level; the default is `info`.
+//! Each message begins with the name of its component, such as `caller: ` or `mesh: `.
+//! `RUST_LOG` sets the level; the default is `info`.
 
 use std::io::{self, Write};
 
@@ -10,10 +10,10 @@
 use log::Record;
 use log::kv::{Error, Key, Value, VisitSource};
 
-/// Level of records that are written unless `RUST_LOG` says otherwise.
+/// Log level if `RUST_LOG` is not set.
 const DEFAULT_LEVEL: &str = "info";
 
-/// Starts logging to standard error.
+/// Installs the logger, which writes to standard error.
 pub fn start() {
     env_logger::Builder::from_env(Env::default().default_filter_or(DEFAULT_LEVEL))
         .format(write_record)
--- a/crates/rillgap-node/src/metrics.rs
+++ b/crates/rillgap-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a node in the OpenMetrics text format.
+//! Collects the metrics of a node and encodes them in the OpenMetrics text format.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -11,24 +11,24 @@
 use prometheus_client::registry::{Registry, Unit};
 use rillgap_core::action::Observation;
 
-/// Lower end of the latency buckets in seconds.
+/// Upper bound of the first latency bucket, in seconds.
 const FIRST_LATENCY_BUCKET: f64 = 0.000_25;
 
-/// Number of latency buckets, each twice as wide as the one before: up to 65 seconds.
+/// Number of latency buckets; each bound is twice the previous one, up to 65 seconds.
 const LATENCY_BUCKET_COUNT: u16 = 19;
 
-/// A ring that leads away from the node duty.
+/// Label value for a ring from the node duty to another duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum RingName {
-    /// To the caller duty.
+    /// Ring of answers, to the caller duty.
     Answers,
-    /// To the back-end duty.
+    /// Ring of commands to the back-end duty.
     BackEnd,
-    /// To the mesh duty.
+    /// Ring of messages, to the mesh duty.
     Mesh,
-    /// To the platform duty.
+    /// Ring of store commands, to the platform duty.
     Store,
-    /// To the operator duty.
+    /// Ring of replies, to the operator duty.
     Operator,
 }
 
@@ -43,7 +43,7 @@
     outcome: &'static str,
 }
 
-/// Metrics of a node; clones share them.
+/// Metrics of a node; clones share the same counters.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Arc<Registry>,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Takes in an observation of the node.
+    /// Records an observation of the node.
     pub fn observe(&self, observation: &Observation) {
         match observation {
             Observation::Answered { latency } => {
@@ -154,15 +154,15 @@
         }
     }
 
-    /// Counts that the node duty found a ring full.
+    /// Increments the counter of full rings for `ring`.
     pub fn count_full_ring(&self, ring: RingName) {
         self.full_rings.get_or_create(&RingLabels { ring }).inc();
     }
 
-    /// Returns all metrics as text.
+    /// Encodes all metrics in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
-        // Writing into a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = prometheus_client::encoding::text::encode(&mut text, &self.registry);
         text
     }
--- a/crates/rillgap-node/src/rings.rs
+++ b/crates/rillgap-node/src/rings.rs
@@ -1,8 +1,11 @@
-//! The rings between duties, with their sizes.
+//! Defines the rings between duties and their capacities.
 //!
-//! What happens when a ring is full: a request of a caller is refused at once; tasks of a
-//! connection, link or attempt wait, which holds back that one peer; the node duty waits, and
-//! that is safe because the receiving duty's loop never waits for anything but its ring.
+//! If a ring is full, the sender decides what happens:
+//!
+//! - A new request of a caller is refused at once.
+//! - The task of a connection, link or attempt waits, which applies backpressure to that peer only.
+//! - The node duty waits. This cannot deadlock, because the loop of the receiving duty waits for
+//!   nothing but its ring.
 
 use rillgap_backend::client::BackEndCommand;
 use rillgap_caller::exchange::Answer;
@@ -12,74 +15,74 @@
 use rillgap_mesh::mesh::OutgoingMessage;
 use rillgap_ring::{RingReceiver, RingSender, ring};
 
-/// Slots for events on their way to the node.
+/// Capacity of the ring of events for the node.
 const EVENT_RING_CAPACITY: usize = 1_024;
 
-/// Slots of each ring of the data path.
+/// Capacity of each ring on the data path.
 const DATA_RING_CAPACITY: usize = 1_024;
 
-/// Slots of each ring off the data path.
+/// Capacity of each ring that carries no requests of callers.
 const CONTROL_RING_CAPACITY: usize = 64;
 
-/// An order on its way to the platform duty.
+/// A command for the platform duty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreCommand {
-    /// Send a request to the platform.
+    /// Sends a request to the platform.
     Request {
-        /// Identifies the reply.
+        /// Identifier of the request, repeated in its reply.
         request: StoreRequestId,
-        /// What is asked.
+        /// The request itself.
         body: StoreRequest,
     },
-    /// Give up a request.
+    /// Cancels a request whose reply is no longer needed.
     Cancel(StoreRequestId),
 }
 
-/// A reply on its way to the operator duty.
+/// The node's reply to an operator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorAnswer {
-    /// Request that is answered.
+    /// Request that the reply belongs to.
     pub request: OperatorRequestId,
-    /// The reply.
+    /// Result of the request.
     pub reply: OperatorReply,
 }
 
-/// Sending ends of the rings that lead away from the node duty.
+/// Sending ends of the rings from the node duty to other duties.
 #[derive(Clone, Debug)]
 pub struct NodeOutputs {
-    /// To the caller duty.
+    /// Answers to callers, for the caller duty.
     pub answers: RingSender<Answer>,
-    /// To the back-end duty.
+    /// Commands for the back-end duty.
     pub back_end: RingSender<BackEndCommand>,
-    /// To the mesh duty.
+    /// Messages to other nodes, for the mesh duty.
     pub mesh: RingSender<OutgoingMessage>,
-    /// To the platform duty.
+    /// Commands for the platform duty.
     pub store: RingSender<StoreCommand>,
-    /// To the operator duty.
+    /// Replies to operators, for the operator duty.
     pub operator: RingSender<OperatorAnswer>,
 }
 
-/// Receiving ends of the rings that lead away from the node duty.
+/// Receiving ends of the rings from the node duty to other duties.
 #[derive(Debug)]
 pub struct NodeInputs {
-    /// Of the caller duty.
+    /// Answers to callers, received by the caller duty.
     pub answers: RingReceiver<Answer>,
-    /// Of the back-end duty.
+    /// Commands received by the back-end duty.
     pub back_end: RingReceiver<BackEndCommand>,
-    /// Of the mesh duty.
+    /// Messages to other nodes, received by the mesh duty.
     pub mesh: RingReceiver<OutgoingMessage>,
-    /// Of the platform duty.
+    /// Commands received by the platform duty.
     pub store: RingReceiver<StoreCommand>,
-    /// Of the operator duty.
+    /// Replies to operators, received by the operator duty.
     pub operator: RingReceiver<OperatorAnswer>,
 }
 
-/// Creates the ring of events.
+/// Creates the ring of events for the node.
 pub fn event_ring() -> (RingSender<Event>, RingReceiver<Event>) {
     ring(EVENT_RING_CAPACITY)
 }
 
-/// Creates the rings that lead away from the node duty.
+/// Creates the rings from the node duty to other duties.
 pub fn output_rings() -> (NodeOutputs, NodeInputs) {
     let (answers, answers_receiver) = ring(DATA_RING_CAPACITY);
     let (back_end, back_end_receiver) = ring(DATA_RING_CAPACITY);
--- a/crates/rillgap-node/src/settings/check.rs
+++ b/crates/rillgap-node/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks of single values; each error names file, key, value and what is allowed.
+//! Validates single values; each error names the file, key, value and allowed values.
 
 use std::fmt::Display;
 use std::net::{IpAddr, SocketAddr};
@@ -7,10 +7,10 @@
 
 use super::SettingsError;
 
-/// Longest name of a node, zone, region, service or back end.
+/// Maximum length of the name of a node, zone, region, service or back end, in bytes.
 const MAX_NAME_LENGTH: usize = 63;
 
-/// Checks the values of one file.
+/// Validates the values of one settings file.
 #[derive(Clone, Copy, Debug)]
 pub struct Checker<'a> {
     file: &'a Path,
@@ -22,7 +22,7 @@
         Self { file }
     }
 
-    /// Checks the range of a number.
+    /// Returns the number if it is within `allowed`.
     pub fn number(
         &self,
         key: &str,
@@ -36,7 +36,7 @@
         Err(self.not_allowed(key, value, range))
     }
 
-    /// Checks the range of a count.
+    /// Returns the number as a `usize` if it is within `allowed`.
     pub fn count(
         &self,
         key: &str,
@@ -47,7 +47,7 @@
         Ok(usize::try_from(number).unwrap_or(usize::MAX))
     }
 
-    /// Checks a name: letters, digits and `-`, `_`, `.`.
+    /// Returns the name if it has 1 to 63 ASCII letters, digits, `-`, `_` and `.`.
     pub fn name(&self, key: &str, value: &str) -> Result<String, SettingsError> {
         let is_allowed = (1..=MAX_NAME_LENGTH).contains(&value.len())
             && value
@@ -60,7 +60,7 @@
         Err(self.not_allowed(key, quoted(value), allowed))
     }
 
-    /// Checks an address with port.
+    /// Parses an IP address with a port other than 0.
     pub fn address(&self, key: &str, value: &str) -> Result<SocketAddr, SettingsError> {
         match value.parse::<SocketAddr>() {
             Ok(address) if address.port() != 0 => Ok(address),
@@ -68,14 +68,14 @@
         }
     }
 
-    /// Checks an address without port.
+    /// Parses an IP address without a port.
     pub fn ip(&self, key: &str, value: &str) -> Result<IpAddr, SettingsError> {
         value
             .parse()
             .map_err(|_| self.not_allowed(key, quoted(value), "an IP address"))
     }
 
-    /// Checks a path of a URL.
+    /// Returns the URL path if it begins with `/` and consists of visible ASCII characters.
     pub fn url_path(&self, key: &str, value: &str) -> Result<String, SettingsError> {
         let is_allowed =
             value.starts_with('/') && value.bytes().all(|byte| byte.is_ascii_graphic());
@@ -85,7 +85,7 @@
         Err(self.not_allowed(key, quoted(value), "a path that begins with '/'"))
     }
 
-    /// Returns the error for a value that is not allowed.
+    /// Creates the error for a value that is not allowed.
     pub fn not_allowed(
         &self,
         key: &str,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Returns the error for a key that is missing.
+    /// Creates the error for a missing key.
     pub fn missing(&self, key: &str) -> SettingsError {
         SettingsError::MissingKey {
             file: self.file.to_owned(),
--- a/crates/rillgap-node/src/settings/error.rs
+++ b/crates/rillgap-node/src/settings/error.rs
@@ -1,63 +1,63 @@
-//! Errors of settings, which name file, key, value and what is allowed.
+//! Defines the errors of settings, which name the file, key, value and allowed values.
 
 use std::io;
 use std::path::PathBuf;
 
 use rillgap_core::code::ResultCode;
 
-/// Why settings were refused.
+/// Reason why settings were rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// A file cannot be read.
+    /// The settings file or the policy file cannot be read.
     #[error("cannot read {}: {source}", file.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file is not TOML.
+    /// A file is not valid TOML, or does not match the expected structure.
     #[error("{} is malformed: {detail}", file.display())]
     Malformed {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// Where and why.
+        /// Description of the error, with the section if it is known.
         detail: String,
     },
-    /// A key is unknown.
+    /// A file contains an unknown key.
     #[error("unknown key {key} in {}, allowed: {allowed}", file.display())]
     UnknownKey {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The key with its section.
+        /// Key with its section, such as `limits.body-bytes`.
         key: String,
-        /// Keys of that section.
+        /// Allowed keys of that section, separated by commas.
         allowed: String,
     },
-    /// A key is missing.
+    /// A required key is missing.
     #[error("missing key {key} in {}", file.display())]
     MissingKey {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The key with its section.
+        /// Key with its section, such as `limits.body-bytes`.
         key: String,
     },
     /// A value is of the wrong type or out of range.
     #[error("{key} = {value} in {} is not allowed, allowed: {allowed}", file.display())]
     NotAllowed {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The key with its section.
+        /// Key with its section, such as `limits.body-bytes`.
         key: String,
-        /// The value as read.
+        /// Rejected value, as read from the file.
         value: String,
-        /// Allowed values.
+        /// Description of the allowed values.
         allowed: String,
     },
 }
 
 impl SettingsError {
-    /// Returns the numbered result code, with which the process exits.
+    /// Returns the result code that the process exits with.
     pub const fn code(&self) -> ResultCode {
         match self {
             Self::Unreadable { .. } => ResultCode::SettingsUnreadable,
--- a/crates/rillgap-node/src/settings/file.rs
+++ b/crates/rillgap-node/src/settings/file.rs
@@ -1,10 +1,12 @@
-//! The settings file as it is written, before its values are checked.
+//! Defines the structure of the settings file, before its values are validated.
+//!
+//! Field names are the keys of the file, in kebab case; unknown keys are rejected.
 
 use serde::Deserialize;
 
 use super::ThreadLayout;
 
-/// The whole file.
+/// Contents of a settings file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct SettingsFile {
--- a/crates/rillgap-node/src/settings/load.rs
+++ b/crates/rillgap-node/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Checks a settings file key by key.
+//! Loads a settings file and validates it key by key.
 
 use std::path::Path;
 use std::time::Duration;
@@ -20,14 +20,14 @@
     FixedDeployment, ListenSettings, LocalBackEndSettings, Overrides, Settings, SettingsError,
 };
 
-/// Largest limit of a request body: it must fit into one mesh frame together with its headers.
+/// Maximum of `limits.body-bytes`: a request body and its headers must fit into one mesh frame.
 const MAX_BODY_BYTES: u64 = 786_432;
 
-/// Reads and checks a settings file; `overrides` take the place of what the file says.
+/// Reads and validates a settings file; `overrides` replace values of the file.
 ///
 /// # Errors
 ///
-/// Names the file, the key, its value and what is allowed.
+/// Returns an error that names the file, the key, its value and the allowed values.
 pub fn load(path: &Path, overrides: &Overrides) -> Result<Settings, SettingsError> {
     let mut file: SettingsFile = read(path)?;
     override_values(&mut file, overrides);
--- a/crates/rillgap-node/src/settings/mod.rs
+++ b/crates/rillgap-node/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of a node, read from a TOML file and checked.
+//! Loads and validates the settings of a node, which are read from a TOML file.
 
 mod check;
 mod error;
@@ -20,77 +20,77 @@
 pub use error::SettingsError;
 pub use load::load;
 
-/// Settings of a node.
+/// Validated settings of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Configured name.
+    /// Name of the node.
     pub name: NodeName,
-    /// Failure zone.
+    /// Failure zone in which the node runs.
     pub zone: ZoneName,
-    /// Region of the zone.
+    /// Region that contains the zone.
     pub region: RegionName,
-    /// Addresses to listen on.
+    /// Addresses of the listeners.
     pub listen: ListenSettings,
-    /// Back end beside the node.
+    /// Local back end; `None` for a node that only receives and forwards requests.
     pub back_end: Option<LocalBackEndSettings>,
-    /// Peers to ask first.
+    /// Peers to contact at the start.
     pub seeds: Vec<SeedPeer>,
-    /// Endpoints of the platform's store; empty only in a fixed deployment.
+    /// Endpoints of the platform's store; empty only if `fixed` is set.
     pub store_endpoints: Vec<SocketAddr>,
-    /// Members and policy that never change, in place of the store.
+    /// Static members and policy; `None` if they are read from the store.
     pub fixed: Option<FixedDeployment>,
-    /// Limits of the HTTP listeners.
+    /// Limits of each HTTP listener.
     pub http: HttpLimits,
-    /// Most links that peers may have open to this node.
+    /// Maximum number of open links from peers to this node.
     pub mesh_connections: usize,
-    /// Longest duration of a planned stop.
+    /// Time limit for requests in flight to complete after a stop was requested.
     pub stop_timeout: Duration,
-    /// How duties are placed on threads.
+    /// Assignment of duties to threads.
     pub threads: ThreadLayout,
 }
 
-/// Addresses to listen on.
+/// Addresses of the listeners of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenSettings {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For the local back end's own calls.
+    /// Address for calls made by the local back end; required if there is a back end.
     pub outbound: Option<SocketAddr>,
-    /// For other nodes.
+    /// Address for links from other nodes.
     pub mesh: SocketAddr,
-    /// For operators.
+    /// Address for operators; `None` disables the operator service.
     pub operator: Option<SocketAddr>,
-    /// For metrics.
+    /// Address of the metrics endpoint; `None` disables it.
     pub metrics: Option<SocketAddr>,
 }
 
-/// The back end beside the node.
+/// Settings of the local back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalBackEndSettings {
-    /// Its name and service.
+    /// Name of the back end and the service that it runs.
     pub identity: LocalBackEnd,
-    /// How to reach it.
+    /// Address, connections and health checks.
     pub client: BackEndSettings,
-    /// Addresses from which it makes its own calls.
+    /// Source addresses of calls made by the back end; the address of the back end by default.
     pub source_addresses: Vec<IpAddr>,
 }
 
-/// Members and policy that never change, for benchmarks and tests without a store.
+/// Static members and policy, for benchmarks and tests without a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FixedDeployment {
-    /// Run of every member.
+    /// Incarnation of every member.
     pub incarnation: Incarnation,
-    /// Members in any order.
+    /// Members, in any order.
     pub members: Vec<Member>,
-    /// Policy in force.
+    /// Policy that is in force from the start.
     pub policy: Policy,
 }
 
-/// How duties are placed on threads.
+/// Assignment of duties to threads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ThreadLayout {
-    /// A thread for each duty.
+    /// One thread for each duty.
     Each,
     /// One thread for the duties of the data path, one for all others.
     #[default]
@@ -99,15 +99,15 @@
     Single,
 }
 
-/// Settings that the command line overrides.
+/// Values from the command line that override settings of the file; `None` keeps the file's value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overrides {
-    /// In place of `node.name`.
+    /// Overrides `node.name`.
     pub name: Option<String>,
-    /// In place of `node.zone`.
+    /// Overrides `node.zone`.
     pub zone: Option<String>,
-    /// In place of `listen.callers`.
+    /// Overrides `listen.callers`.
     pub callers: Option<String>,
-    /// In place of `listen.mesh`.
+    /// Overrides `listen.mesh`.
     pub mesh: Option<String>,
 }
--- a/crates/rillgap-node/src/settings/toml.rs
+++ b/crates/rillgap-node/src/settings/toml.rs
@@ -1,4 +1,4 @@
-//! Reads TOML files; errors name file, key and value.
+//! Reads TOML files; errors name the file, key and value.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 use super::SettingsError;
 use super::check::Checker;
 
-/// Reads a TOML file into its typed form.
+/// Reads a TOML file and deserializes it.
 pub fn read<T: DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
         file: path.to_owned(),
@@ -21,7 +21,7 @@
         .map_err(|error| describe(path, error))
 }
 
-/// Turns the first error of the reading library into one that names file, key and value.
+/// Converts a deserialization error to one that names the file, key and value.
 fn describe(path: &Path, error: figment::Error) -> SettingsError {
     let section = error.path.join(".");
     let qualified_key = |field: &str| match section.as_str() {
@@ -30,7 +30,7 @@
     };
     let checker = Checker::new(path);
     match error.kind {
-        // The path of an unknown field ends with the field itself.
+        // For an unknown field, the path of the error already includes the field.
         Kind::UnknownField(_, allowed) => SettingsError::UnknownKey {
             file: path.to_owned(),
             key: section,
--- a/crates/rillgap-node/src/threads.rs
+++ b/crates/rillgap-node/src/threads.rs
@@ -1,4 +1,4 @@
-//! Threads of the daemon: each runs one or more duties on a runtime of its own.
+//! Starts the threads of the daemon; each runs one or more duties on its own runtime.
 
 use std::io;
 use std::pin::Pin;
@@ -11,22 +11,23 @@
 
 use crate::settings::ThreadLayout;
 
-/// Future of a duty.
+/// Future that runs a duty.
 pub type DutyFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// A duty, ready to be placed on a thread.
+/// A duty with the data needed to assign it to a thread.
 pub struct Duty {
-    /// Name of the duty, and of its thread if it has one to itself.
+    /// Name of the duty, and of its thread if it runs alone there.
     pub name: &'static str,
-    /// Whether calls pass through the duty.
+    /// Whether requests of callers pass through the duty.
     pub is_on_data_path: bool,
-    /// What it does; it ends only when the process does.
+    /// Runs the duty; completes only when the process ends or the duty has nothing to do.
     pub future: DutyFuture,
 }
 
 /// Ends the process with [`ResultCode::Internal`] when any thread panics.
 ///
-/// A node that has lost a duty must not go on half alive; its peers notice the end at once.
+/// A node must not continue without one of its duties. When the process ends, its connections
+/// close, so its peers detect the failure at once.
 pub fn exit_on_panic() {
     let default = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
@@ -48,7 +49,7 @@
     Ok(())
 }
 
-/// Groups duties by the thread that shall run them.
+/// Groups duties by the thread that runs them.
 fn group(duties: Vec<Duty>, layout: ThreadLayout) -> Vec<(&'static str, Vec<Duty>)> {
     match layout {
         ThreadLayout::Each => duties
--- a/crates/rillgap-node/src/wiring.rs
+++ b/crates/rillgap-node/src/wiring.rs
@@ -1,4 +1,4 @@
-//! Creates the duties of a node with their rings and starts them.
+//! Creates the duties of a node and their rings, and starts them.
 
 use std::io;
 use std::net::TcpListener;
@@ -29,18 +29,18 @@
 use crate::settings::{FixedDeployment, Settings};
 use crate::threads::{self, Duty, DutyFuture};
 
-/// A node whose duties run.
+/// Handle to a running node.
 #[derive(Debug)]
 pub struct RunningNode {
-    /// Events for the node.
+    /// Sends events to the node.
     pub events: RingSender<Event>,
-    /// Cancelled when an operator has asked the node to stop.
+    /// Cancelled by the operator duty when an operator requests a stop.
     pub stop_requested: CancellationToken,
-    /// Cancelled by the node when nothing is in flight after a stop.
+    /// Cancelled by the node when a stop was requested and no request is in flight.
     pub idle: CancellationToken,
-    /// To be cancelled to close the listeners.
+    /// Cancelled by the holder of this handle to close the listeners.
     pub close: CancellationToken,
-    /// Told when all connections of callers have ended after that.
+    /// Completes when all connections of callers have ended after `close` was cancelled.
     pub connections_ended: oneshot::Receiver<()>,
 }
 
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the operating system refuses a thread.
+/// Fails if a runtime or a thread cannot be created.
 pub fn start(settings: Settings, listeners: Listeners) -> io::Result<RunningNode> {
     let clock = Clock::start();
     let metrics = Metrics::new();
@@ -182,7 +182,7 @@
     }
 }
 
-/// Ends the process if a duty cannot run: a node must not go on without it.
+/// Ends the process if a duty fails, because a node must not continue without one of its duties.
 async fn exit_on_error(name: &'static str, duty: impl Future<Output = io::Result<()>>) {
     if let Err(error) = duty.await {
         let code = ResultCode::Internal.number();
--- a/crates/rillgap-node/tests/arguments.rs
+++ b/crates/rillgap-node/tests/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line of the daemon.
+//! Tests of the command line of the daemon.
 
 use std::path::Path;
 
@@ -22,8 +22,8 @@
 }
 
 #[gtest]
-fn help_is_no_failure_and_names_the_settings_page() {
-    let exit = arguments::parse(&["--help"]).expect_err("ends early");
+fn help_exits_with_success_and_names_the_settings_page() {
+    let exit = arguments::parse(&["--help"]).expect_err("early exit");
     expect_that!(exit.status, ok(eq(())));
     expect_that!(
         exit.output,
@@ -34,7 +34,7 @@
 #[gtest]
 fn unknown_flags_and_missing_settings_are_failures() {
     for malformed in [&["--settings", "a.toml", "--fast"][..], &[][..]] {
-        let exit = arguments::parse(malformed).expect_err("ends early");
+        let exit = arguments::parse(malformed).expect_err("early exit");
         expect_that!(exit.status, err(eq(())));
     }
 }
--- a/crates/rillgap-node/tests/settings.rs
+++ b/crates/rillgap-node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files that are accepted, and how the others are refused.
+//! Tests of loading settings files: accepted files, and the errors for rejected ones.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -36,7 +36,7 @@
 stop-timeout-seconds = 30
 "#;
 
-/// Writes a settings file of its own for each test.
+/// Writes a settings file named after the test, so that tests can run in parallel.
 fn write(test: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}.toml"));
     std::fs::write(&path, text).expect("the file can be written");
@@ -53,7 +53,10 @@
     let error = load_text(test, &VALID.replace(line, replacement)).expect_err("refused");
     assert_eq!(error.code(), ResultCode::SettingsInvalid);
     let text = error.to_string();
-    assert!(text.contains(&format!("{test}.toml")), "no file in: {text}");
+    assert!(
+        text.contains(&format!("{test}.toml")),
+        "error does not name the file: {text}"
+    );
     text
 }
 
@@ -72,7 +75,7 @@
 }
 
 #[gtest]
-fn the_command_line_goes_before_the_file() {
+fn command_line_overrides_the_file() {
     let overrides = Overrides {
         name: Some("node-z".to_owned()),
         mesh: Some("127.0.1.9:7000".to_owned()),
@@ -150,7 +153,7 @@
 }
 
 #[gtest]
-fn a_file_that_cannot_be_read_has_its_own_code() {
+fn an_unreadable_file_has_its_own_result_code() {
     let error = load(
         Path::new("/nonexistent/settings.toml"),
         &Overrides::default(),
