--- a/crates/rillgap-node/src/duty/operator.rs
+++ b/crates/rillgap-node/src/duty/operator.rs
@@ -1,4 +1,4 @@
-//! Operator duty: serves operators' remote procedure calls.
+//! Implements the operator duty, which serves the remote procedure calls of operators.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,23 +15,23 @@
 
 use crate::rings::OperatorAnswer;
 
-/// Requests of operators that may wait for the node.
-const WAITING_CALLS: usize = 16;
+/// Maximum number of operator calls queued between the server and the node.
+const CALL_QUEUE_CAPACITY: usize = 16;
 
-type WaitingCalls = Arc<Mutex<BTreeMap<OperatorRequestId, oneshot::Sender<OperatorReply>>>>;
+type PendingCalls = Arc<Mutex<BTreeMap<OperatorRequestId, oneshot::Sender<OperatorReply>>>>;
 
-/// What the duty needs.
+/// Resources of the operator duty.
 #[derive(Debug)]
 pub struct OperatorDuty {
-    /// Bound listener for operators, if there is one.
+    /// Bound listener for operators; `None` if not configured.
     pub listener: Option<TcpListener>,
-    /// Events for the node.
+    /// Sends events to the node.
     pub events: RingSender<Event>,
-    /// Replies of the node.
+    /// Receives replies from the node.
     pub replies: RingReceiver<OperatorAnswer>,
-    /// To be cancelled when an operator asks the node to stop.
-    pub stop_asked: CancellationToken,
-    /// Cancelled when the listener shall close.
+    /// Cancelled by the duty when an operator requests a stop of the node.
+    pub stop_requested: CancellationToken,
+    /// Cancelled to close the listener.
     pub stop: CancellationToken,
 }
 
@@ -39,38 +39,43 @@
 ///
 /// # Errors
 ///
-/// Fails if the listener cannot be handed to the runtime or the server fails.
+/// Fails if the listener cannot be registered with the runtime or the server fails.
 pub async fn run(duty: OperatorDuty) -> io::Result<()> {
-    let waiting = WaitingCalls::default();
-    let replying = tokio::spawn(reply(duty.replies, Arc::clone(&waiting)));
+    let pending_calls = PendingCalls::default();
+    let reply_task = tokio::spawn(reply(duty.replies, Arc::clone(&pending_calls)));
     if let Some(listener) = duty.listener {
         let listener = tokio::net::TcpListener::from_std(listener)?;
-        let (handle, calls) = OperatorHandle::channel(WAITING_CALLS);
-        let forwarding = tokio::spawn(forward(calls, duty.events, waiting, duty.stop_asked));
+        let (handle, calls) = OperatorHandle::channel(CALL_QUEUE_CAPACITY);
+        let forward_task = tokio::spawn(forward(
+            calls,
+            duty.events,
+            pending_calls,
+            duty.stop_requested,
+        ));
         service::serve(listener, handle, duty.stop.cancelled_owned())
             .await
             .map_err(io::Error::other)?;
-        forwarding.abort();
+        forward_task.abort();
     }
-    let _ = replying.await;
+    let _ = reply_task.await;
     Ok(())
 }
 
-/// Passes requests on to the node; a full ring holds back the operators.
+/// Forwards calls to the node; a full ring applies backpressure to the operators.
 async fn forward(
     mut calls: OperatorCalls,
     events: RingSender<Event>,
-    waiting: WaitingCalls,
-    stop_asked: CancellationToken,
+    pending_calls: PendingCalls,
+    stop_requested: CancellationToken,
 ) {
     let mut next = 0;
     while let Some(call) = calls.recv().await {
         let request = OperatorRequestId(next);
         next += 1;
         {
-            let mut waiting = waiting.lock().unwrap_or_else(PoisonError::into_inner);
-            waiting.retain(|_, reply| !reply.is_closed());
-            waiting.insert(request, call.reply);
+            let mut pending_calls = pending_calls.lock().unwrap_or_else(PoisonError::into_inner);
+            pending_calls.retain(|_, reply| !reply.is_closed());
+            pending_calls.insert(request, call.reply);
         }
         let is_stop = call.request == OperatorRequest::StopNode;
         let event = Event::Operator {
@@ -81,20 +86,20 @@
             return;
         }
         if is_stop {
-            stop_asked.cancel();
+            stop_requested.cancel();
         }
     }
 }
 
-/// Passes replies of the node on to the operators that still wait.
-async fn reply(replies: RingReceiver<OperatorAnswer>, waiting: WaitingCalls) {
+/// Forwards replies of the node to the calls that are still pending.
+async fn reply(replies: RingReceiver<OperatorAnswer>, pending_calls: PendingCalls) {
     while let Some(answer) = replies.recv().await {
-        let call = waiting
+        let call = pending_calls
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(&answer.request);
         if let Some(call) = call {
-            // The operator may have gone away.
+            // Sending fails if the operator has cancelled the call or disconnected.
             let _ = call.send(answer.reply);
         }
     }
--- a/crates/rillgap-node/src/wiring.rs
+++ b/crates/rillgap-node/src/wiring.rs
@@ -1,4 +1,4 @@
-//! Creates the duties of a node with their rings and starts them.
+//! Creates the duties of a node and their rings, and starts them.
 
 use std::io;
 use std::net::TcpListener;
@@ -29,18 +29,18 @@
 use crate::settings::{FixedDeployment, Settings};
 use crate::threads::{self, Duty, DutyFuture};
 
-/// A node whose duties run.
+/// Handle to a running node.
 #[derive(Debug)]
 pub struct RunningNode {
-    /// Events for the node.
+    /// Sends events to the node.
     pub events: RingSender<Event>,
-    /// Cancelled when an operator has asked the node to stop.
-    pub stop_asked: CancellationToken,
-    /// Cancelled by the node when nothing is in flight after a stop.
+    /// Cancelled by the operator duty when an operator requests a stop.
+    pub stop_requested: CancellationToken,
+    /// Cancelled by the node when a stop was requested and no request is in flight.
     pub idle: CancellationToken,
-    /// To be cancelled to close the listeners.
+    /// Cancelled by the holder of this handle to close the listeners.
     pub close: CancellationToken,
-    /// Told when all connections of callers have ended after that.
+    /// Completes when all connections of callers have ended after `close` was cancelled.
     pub connections_ended: oneshot::Receiver<()>,
 }
 
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the operating system refuses a thread.
+/// Fails if a runtime or a thread cannot be created.
 pub fn start(settings: Settings, listeners: Listeners) -> io::Result<RunningNode> {
     let clock = Clock::start();
     let metrics = Metrics::new();
@@ -57,7 +57,7 @@
     let (stopped, connections_ended) = oneshot::channel();
     let running = RunningNode {
         events: events.clone(),
-        stop_asked: CancellationToken::new(),
+        stop_requested: CancellationToken::new(),
         idle: CancellationToken::new(),
         close: CancellationToken::new(),
         connections_ended,
@@ -84,7 +84,7 @@
         listener: listeners.operator,
         events: events.clone(),
         replies: inputs.operator,
-        stop_asked: running.stop_asked.clone(),
+        stop_requested: running.stop_requested.clone(),
         stop: running.close.clone(),
     };
     let back_end = settings.back_end.map(|back_end| back_end.client);
@@ -117,10 +117,10 @@
         zone: settings.zone.clone(),
         region: settings.region.clone(),
         incarnation: fixed.map_or_else(
-            || identity::draw_incarnation(clock.now().wall),
+            || identity::generate_incarnation(clock.now().wall),
             |fixed| fixed.incarnation,
         ),
-        random_seed: identity::draw_seed(),
+        random_seed: identity::generate_seed(),
         mesh_address: settings.listen.mesh,
         back_end: settings
             .back_end
@@ -182,7 +182,7 @@
     }
 }
 
-/// Ends the process if a duty cannot run: a node must not go on without it.
+/// Ends the process if a duty fails, because a node must not continue without one of its duties.
 async fn exit_on_error(name: &'static str, duty: impl Future<Output = io::Result<()>>) {
     if let Err(error) = duty.await {
         let code = ResultCode::Internal.number();
