--- a/crates/rillgap-cli/src/explain/verdict.rs
+++ b/crates/rillgap-cli/src/explain/verdict.rs
@@ -127,8 +127,8 @@
     let reason = title(code);
     let count = |name| unanswered.number(name).unwrap_or(0);
     format!(
-        "{request}: {node} got no answer from its back end (code {code}, {reason}) with {} running, \
-         {} queued, limit {}",
+        "{request}: {node} did not serve it (code {code}, {reason}) with {} running, {} queued, \
+         limit {}",
         count("running"),
         count("queued"),
         count("limit")
--- a/crates/rillgap-cli/tests/explain.rs
+++ b/crates/rillgap-cli/tests/explain.rs
@@ -79,7 +79,7 @@
     expect_that!(because[0], contains_substring("entry-1 answered 500"));
     expect_that!(
         because[2],
-        contains_substring("a1.b2: fares-1 got no answer from its back end (code 41")
+        contains_substring("a1.b2: fares-1 did not serve it (code 41")
     );
 }
 
@@ -126,7 +126,7 @@
     );
     expect_that!(
         unfinished[1],
-        contains_substring("fares-1 got no answer from its back end (code 71")
+        contains_substring("fares-1 did not serve it (code 71")
     );
     expect_that!(
         sentences("none"),
