--- a/crates/rillgap-core/src/call/mod.rs
+++ b/crates/rillgap-core/src/call/mod.rs
@@ -59,7 +59,7 @@
             Event::Inbound { inbound, request } => {
                 entry::accept(now, inbound, request, sender, runner, ports);
             }
-            Event::InboundGone { inbound } => sender.on_caller_gone(now, inbound, ports),
+            Event::InboundGone { inbound } => sender.on_caller_disconnected(now, inbound, ports),
             Event::InboundConsumed { inbound, bytes } => sender.on_consumed(inbound, bytes, ports),
             Event::BackEndHead { attempt, head } => runner.on_head(attempt, head, ports),
             Event::BackEndBody { attempt, chunk } => runner.on_body(attempt, chunk, ports),
--- a/crates/rillgap-core/src/call/sender/completion.rs
+++ b/crates/rillgap-core/src/call/sender/completion.rs
@@ -21,7 +21,12 @@
 
 impl Sender {
     /// Cancels a call whose caller has disconnected.
-    pub fn on_caller_gone(&mut self, now: Now, inbound: InboundId, ports: &mut Ports<'_, '_>) {
+    pub fn on_caller_disconnected(
+        &mut self,
+        now: Now,
+        inbound: InboundId,
+        ports: &mut Ports<'_, '_>,
+    ) {
         if let Some(id) = self.by_inbound.get(&inbound).copied() {
             self.cancel(now, id, ports);
         }
--- a/crates/rillgap-core/src/claim/guard.rs
+++ b/crates/rillgap-core/src/claim/guard.rs
@@ -36,7 +36,7 @@
     keys: BTreeMap<IdempotencyKey, GuardedKey>,
     answers: AnswerStore,
     /// Keys created at this time or earlier may have been dropped; `None` if none was dropped.
-    forgotten_until: Option<WallTime>,
+    dropped_until: Option<WallTime>,
 }
 
 /// State of one key at the guard.
@@ -208,12 +208,12 @@
     }
 
     fn is_forgotten(&self, key: IdempotencyKey) -> bool {
-        self.forgotten_until >= Some(key.created_at())
+        self.dropped_until >= Some(key.created_at())
     }
 
     /// Drops keys that can no longer be used at any node.
     fn expire(&mut self, now: Now) {
-        let cutoff = self.settings.forget_before(now);
+        let cutoff = self.settings.oldest_usable_creation(now);
         while let Some(oldest) = self.keys.first_entry() {
             let key = *oldest.key();
             if key.created_at() >= cutoff {
@@ -221,7 +221,7 @@
             }
             oldest.remove();
             self.answers.remove(key);
-            self.forgotten_until = self.forgotten_until.max(Some(key.created_at()));
+            self.dropped_until = self.dropped_until.max(Some(key.created_at()));
         }
     }
 }
--- a/crates/rillgap-core/src/claim/replica.rs
+++ b/crates/rillgap-core/src/claim/replica.rs
@@ -18,7 +18,7 @@
     voter: Voter,
     records: BTreeMap<IdempotencyKey, KeyRecord>,
     /// Keys created at this time or earlier may have been dropped; `None` if none was dropped.
-    forgotten_until: Option<WallTime>,
+    dropped_until: Option<WallTime>,
 }
 
 /// State of one key at this replica.
@@ -52,7 +52,7 @@
         Self {
             voter,
             records: BTreeMap::new(),
-            forgotten_until: None,
+            dropped_until: None,
         }
     }
 
@@ -102,14 +102,14 @@
 
     /// Drops keys that can no longer be used at any node.
     pub fn expire(&mut self, now: Now, settings: &ClaimSettings) {
-        let cutoff = settings.forget_before(now);
+        let cutoff = settings.oldest_usable_creation(now);
         while let Some(oldest) = self.records.first_entry() {
             let created_at = oldest.key().created_at();
             if created_at >= cutoff {
                 return;
             }
             oldest.remove();
-            self.forgotten_until = self.forgotten_until.max(Some(created_at));
+            self.dropped_until = self.dropped_until.max(Some(created_at));
         }
     }
 
@@ -146,7 +146,7 @@
         settings: &ClaimSettings,
         electorate: &dyn Electorate,
     ) -> Result<(), AbstainReason> {
-        if self.forgotten_until >= Some(claim.key.created_at()) {
+        if self.dropped_until >= Some(claim.key.created_at()) {
             return Err(AbstainReason::KeyTooOld);
         }
         let full = match self.records.get(&claim.key) {
--- a/crates/rillgap-core/src/claim/settings.rs
+++ b/crates/rillgap-core/src/claim/settings.rs
@@ -103,7 +103,7 @@
     }
 
     /// Returns the creation time before which keys can no longer be used at any node.
-    pub fn forget_before(&self, now: Now) -> WallTime {
+    pub fn oldest_usable_creation(&self, now: Now) -> WallTime {
         now.wall.minus(self.key_life + 2 * MAX_CLOCK_SKEW)
     }
 }
--- a/crates/rillgap-core/src/configuration/confirmation.rs
+++ b/crates/rillgap-core/src/configuration/confirmation.rs
@@ -110,7 +110,7 @@
 
     /// Records the time of a step; if the gap since the last one exceeds
     /// [`PROCESS_PAUSE_THRESHOLD`], the confirmation becomes invalid.
-    pub fn note_time(&mut self, now: Instant) {
+    pub fn record_step_time(&mut self, now: Instant) {
         if now.saturating_since(self.last_step) > PROCESS_PAUSE_THRESHOLD {
             self.invalidate(now);
         }
--- a/crates/rillgap-core/src/configuration/engine.rs
+++ b/crates/rillgap-core/src/configuration/engine.rs
@@ -58,8 +58,8 @@
     }
 
     /// Records the time of a step, so that a pause of the process is detected.
-    pub fn note_time(&mut self, now: Instant) {
-        self.confirmation.note_time(now);
+    pub fn record_step_time(&mut self, now: Instant) {
+        self.confirmation.record_step_time(now);
     }
 
     /// Returns the policy in force, or `None` if there is none or it is not confirmed.
--- a/crates/rillgap-core/src/configuration/mod.rs
+++ b/crates/rillgap-core/src/configuration/mod.rs
@@ -64,8 +64,8 @@
     ///
     /// After a gap of more than [`confirmation::PROCESS_PAUSE_THRESHOLD`] the policy is not in
     /// force until it is confirmed again.
-    pub fn note_time(&mut self, now: Now) {
-        self.engine.note_time(now.instant);
+    pub fn record_step_time(&mut self, now: Now) {
+        self.engine.record_step_time(now.instant);
     }
 
     /// Returns the policy in force, or `None` if there is none or it is not confirmed.
--- a/crates/rillgap-core/src/node.rs
+++ b/crates/rillgap-core/src/node.rs
@@ -144,7 +144,7 @@
         // A node whose process was paused must detect this before it handles events that were
         // queued in the meantime.
         self.poll_control_plane(now, out);
-        self.configuration.note_time(now);
+        self.configuration.record_step_time(now);
         match event {
             Event::Peer {
                 from,
@@ -198,7 +198,7 @@
     }
 
     /// Injects faults into the claim protocol, to test that an observer detects their effects.
-    pub fn plant_claim_faults(&mut self, faults: ClaimFaults) {
+    pub fn inject_claim_faults(&mut self, faults: ClaimFaults) {
         self.claims.inject_faults(faults);
         self.call_path.guard_mut().inject_faults(faults);
     }
--- a/crates/rillgap-core/tests/claim_rules.rs
+++ b/crates/rillgap-core/tests/claim_rules.rs
@@ -231,10 +231,10 @@
     let life = Bounds::default().key_life() + 2 * MAX_CLOCK_SKEW;
     let mut guard = DispatchGuard::default();
     guard.start(start(), attempt(1), keyed(0));
-    let remembered = guard.start(at(life), attempt(2), keyed(0));
-    let forgotten = guard.start(at(life + MAX_CLOCK_SKEW), attempt(3), keyed(0));
-    expect_that!(remembered, eq(&GuardVerdict::AlreadyStarted));
-    expect_that!(forgotten, eq(&GuardVerdict::Barred));
+    let known = guard.start(at(life), attempt(2), keyed(0));
+    let dropped = guard.start(at(life + MAX_CLOCK_SKEW), attempt(3), keyed(0));
+    expect_that!(known, eq(&GuardVerdict::AlreadyStarted));
+    expect_that!(dropped, eq(&GuardVerdict::Barred));
     expect_true!(guard.is_empty());
 }
 
--- a/crates/rillgap-forward/src/directory/followed.rs
+++ b/crates/rillgap-forward/src/directory/followed.rs
@@ -78,7 +78,7 @@
         self.estimated_nodes > self.peers.len() + 1
     }
 
-    /// Selects the peers that are followed, and marks them as selected for a link. `has_news`
+    /// Selects the peers that are followed, and marks them as selected for a link. `has_store_contact`
     /// returns whether the peer on a link has a recent contact with the store.
     pub(super) fn select_followed(
         &mut self,
--- a/crates/rillgap-forward/src/directory/owners.rs
+++ b/crates/rillgap-forward/src/directory/owners.rs
@@ -74,7 +74,7 @@
 
     /// Returns whether the node hears from at least half of the selected peers. A node that is cut
     /// off from the others does not.
-    pub fn hears_from_majority(&self, now: Instant) -> bool {
+    pub fn is_in_contact_with_majority(&self, now: Instant) -> bool {
         let mut selected = 0;
         let mut reachable = 0;
         for peer in self.peers.iter().filter(|peer| peer.is_selected) {
--- a/crates/rillgap-forward/src/node/follow.rs
+++ b/crates/rillgap-forward/src/node/follow.rs
@@ -71,7 +71,7 @@
         let may_decide = self.store.has_listed() || now >= self.started_at + LIST_TIMEOUT;
         let may_watch = may_decide && self.stopping_since.is_none();
         let preceding = PrecedingNodes {
-            fresh_count: self.watch_relay.fresh_count(now),
+            recent_count: self.watch_relay.recent_count(now),
             has_recent_report: self.watch_relay.has_recent_report(now),
             known_count: self.directory.count_preceding(),
         };
@@ -86,7 +86,7 @@
         if self.store.set_watch(now, wait) {
             out.push(Action::Log(LogRecord::Watch {
                 is_watching: wait.is_some(),
-                fresh: preceding.fresh_count,
+                fresh: preceding.recent_count,
                 preceding: preceding.known_count,
             }));
         }
--- a/crates/rillgap-forward/src/node/freshness.rs
+++ b/crates/rillgap-forward/src/node/freshness.rs
@@ -76,8 +76,8 @@
     /// Logs when the node begins or ceases to serve requests with keys.
     fn log_freshness(&mut self, now: Instant, out: &mut Actions) {
         let is_proven = self.freshness.is_proven(now);
-        if is_proven != self.logged_fresh {
-            self.logged_fresh = is_proven;
+        if is_proven != self.logged_as_fresh {
+            self.logged_as_fresh = is_proven;
             out.push(Action::Log(LogRecord::Freshness {
                 is_proven,
                 proof_age_millis: age_millis(&self.freshness, now),
--- a/crates/rillgap-forward/src/node/links.rs
+++ b/crates/rillgap-forward/src/node/links.rs
@@ -181,7 +181,7 @@
     pub(super) fn open_links(&mut self, now: Instant, out: &mut Actions) {
         let relay = &self.watch_relay;
         self.directory
-            .update_subset(now, |link| relay.is_fresh(now, link));
+            .update_subset(now, |link| relay.has_recent_contact(now, link));
         for index in self.directory.peers_to_connect(now) {
             let address = self.directory.peer(index).record.address;
             let link = self.new_link();
--- a/crates/rillgap-forward/src/node/mod.rs
+++ b/crates/rillgap-forward/src/node/mod.rs
@@ -60,7 +60,7 @@
     watch_relay: WatchRelay,
     freshness: Freshness,
     /// Whether the last log record on freshness said that requests with keys are served.
-    logged_fresh: bool,
+    logged_as_fresh: bool,
     buckets: Buckets,
     /// Whether the records of all nodes have been read.
     has_full_membership: bool,
@@ -102,7 +102,7 @@
             watcher_election: WatcherElection::new(&settings.record.name),
             watch_relay: WatchRelay::default(),
             freshness: Freshness::new(settings.revocation),
-            logged_fresh: true,
+            logged_as_fresh: true,
             buckets: Buckets::default(),
             has_full_membership: false,
             can_own_buckets_since: None,
@@ -213,7 +213,7 @@
             } => self.on_request(now, connection, pipeline_index, request, out),
             Event::CallerDisconnected(connection) => {
                 let (outbound, mut context) = self.split_outbound(out);
-                outbound.on_caller_gone(connection, &mut context);
+                outbound.on_caller_disconnected(connection, &mut context);
             }
             Event::LinkOpened { link, hello } => self.on_link_opened(now, link, &hello, out),
             Event::LinkAccepted { link, hello } => self.on_link_accepted(now, link, &hello, out),
--- a/crates/rillgap-forward/src/node/tokens.rs
+++ b/crates/rillgap-forward/src/node/tokens.rs
@@ -33,7 +33,7 @@
         let offers = self.table.is_some()
             && self.has_full_membership
             && self.stopping_since.is_none()
-            && self.directory.hears_from_majority(now);
+            && self.directory.is_in_contact_with_majority(now);
         if offers == self.can_own_buckets_since.is_some() {
             return;
         }
--- a/crates/rillgap-forward/src/outbound/mod.rs
+++ b/crates/rillgap-forward/src/outbound/mod.rs
@@ -195,7 +195,11 @@
     }
 
     /// Cancels all requests of a caller's connection that was closed.
-    pub fn on_caller_gone(&mut self, connection: ConnectionId, context: &mut OutboundContext<'_>) {
+    pub fn on_caller_disconnected(
+        &mut self,
+        connection: ConnectionId,
+        context: &mut OutboundContext<'_>,
+    ) {
         let first = RequestKey::first(connection);
         let last = RequestKey::last(connection);
         let keys: Vec<RequestKey> = self
--- a/crates/rillgap-forward/src/peer.rs
+++ b/crates/rillgap-forward/src/peer.rs
@@ -158,8 +158,8 @@
 
     /// Returns whether the peer watches the store, according to a recent report.
     pub(crate) fn is_watching_store(&self, now: Instant) -> bool {
-        let is_fresh = now.saturating_since(self.last_received_at) < WATCHER_TIMEOUT;
-        self.status.is_watching && self.open_link().is_some() && is_fresh
+        let is_recent = now.saturating_since(self.last_received_at) < WATCHER_TIMEOUT;
+        self.status.is_watching && self.open_link().is_some() && is_recent
     }
 
     /// Returns whether the last link to the peer was lost, or could not be opened.
--- a/crates/rillgap-forward/src/rate_limit/entry.rs
+++ b/crates/rillgap-forward/src/rate_limit/entry.rs
@@ -328,7 +328,7 @@
             }
             !account.waiting.is_empty()
         });
-        self.forget_idle(now);
+        self.drop_idle_accounts(now);
         overdue
     }
 
@@ -344,7 +344,7 @@
         wakes.min()
     }
 
-    fn forget_idle(&mut self, now: Instant) {
+    fn drop_idle_accounts(&mut self, now: Instant) {
         if now < self.next_sweep {
             return;
         }
--- a/crates/rillgap-forward/src/watch_relay.rs
+++ b/crates/rillgap-forward/src/watch_relay.rs
@@ -77,13 +77,13 @@
     }
 
     /// Returns whether the peer on a link has reported a recent contact.
-    pub fn is_fresh(&self, now: Instant, link: LinkId) -> bool {
+    pub fn has_recent_contact(&self, now: Instant, link: LinkId) -> bool {
         let report = self.reports.get(&link);
         report.is_some_and(|report| is_recent(now, report.contact_at))
     }
 
     /// Returns the number of followed nodes with a recent contact.
-    pub fn fresh_count(&self, now: Instant) -> usize {
+    pub fn recent_count(&self, now: Instant) -> usize {
         let reports = self.reports.values();
         reports
             .filter(|report| is_recent(now, report.contact_at))
--- a/crates/rillgap-forward/src/watcher_election.rs
+++ b/crates/rillgap-forward/src/watcher_election.rs
@@ -18,7 +18,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Number of followed nodes with a recent contact at which a node need not watch.
-const REQUIRED_FRESH_NODES: usize = 2;
+const REQUIRED_RECENT_NODES: usize = 2;
 /// Number of nodes that take over first when recent contacts cease: so many that the store is
 /// unlikely to reject all of them, and no more in a larger deployment.
 const INITIAL_TAKEOVER_NODES: u64 = 16;
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrecedingNodes {
     /// Number of followed nodes that have a recent contact with the store.
-    pub fresh_count: usize,
+    pub recent_count: usize,
     /// Whether a report of any followed node arrived recently.
     pub has_recent_report: bool,
     /// Number of all known preceding nodes.
@@ -80,7 +80,7 @@
     /// Returns the time for which each watch request of the node waits; `None` if it need not
     /// watch.
     pub fn update(&mut self, now: Instant, preceding: PrecedingNodes) -> Option<Duration> {
-        if preceding.fresh_count >= REQUIRED_FRESH_NODES {
+        if preceding.recent_count >= REQUIRED_RECENT_NODES {
             self.needed_since = None;
             self.startup_delay = Duration::ZERO;
             return None;
--- a/crates/rillgap-forward/tests/crash.rs
+++ b/crates/rillgap-forward/tests/crash.rs
@@ -158,11 +158,11 @@
     receive_evidence(&mut test, peer, vec![evidence("/a", &[("i-7", false)])]);
     expect_that!(suspicion(&test, "/a"), eq(Suspicion::Clear));
     let exonerations = sent_evidence(&test);
-    let is_told = exonerations
+    let is_exoneration_sent = exonerations
         .iter()
         .flat_map(|(_, evidence)| evidence)
         .any(|evidence| evidence.is_exonerated);
-    expect_that!(is_told, eq(true));
+    expect_that!(is_exoneration_sent, eq(true));
 }
 
 /// A back end that fails some of its requests, or runs out of time, may answer before it reaches
--- a/crates/rillgap-forward/tests/simulation/world/faults.rs
+++ b/crates/rillgap-forward/tests/simulation/world/faults.rs
@@ -46,8 +46,8 @@
             Fault::StoreLosesAnswers(loses_answers) => self.store_loses_answers = loses_answers,
             Fault::StoreCompacts => {
                 for (_, (host, incarnation, id, _)) in std::mem::take(&mut self.watches) {
-                    let gone = StoreReply::PositionExpired(self.object_store.epoch());
-                    self.reply(host, incarnation, id, gone, 4);
+                    let expired = StoreReply::PositionExpired(self.object_store.epoch());
+                    self.reply(host, incarnation, id, expired, 4);
                 }
             }
             Fault::StoreRestored(backup_age) => self.restore_from_backup(backup_age),
--- a/crates/rillgap-forward/tests/watch.rs
+++ b/crates/rillgap-forward/tests/watch.rs
@@ -24,9 +24,9 @@
 /// Maximum time after its start at which a node that receives no reports watches, in milliseconds.
 const MAX_START_MILLIS: u64 = 3_000;
 
-fn preceding(fresh_count: usize, known_count: u64) -> PrecedingNodes {
+fn preceding(recent_count: usize, known_count: u64) -> PrecedingNodes {
     PrecedingNodes {
-        fresh_count,
+        recent_count,
         has_recent_report: known_count > 0,
         known_count,
     }
--- a/crates/rillgap-lab/src/sim/setup.rs
+++ b/crates/rillgap-lab/src/sim/setup.rs
@@ -126,7 +126,7 @@
         let time = self.time;
         let state = &mut self.hosts[host];
         let mut node = Node::new(state.now(time), settings);
-        node.plant_claim_faults(self.options.claim_faults);
+        node.inject_claim_faults(self.options.claim_faults);
         state.node = Some(node);
         state.frozen = false;
         state.stopping = false;
