--- a/crates/rillgap-core/src/action.rs
+++ b/crates/rillgap-core/src/action.rs
@@ -61,7 +61,7 @@
         /// The request.
         inbound: InboundId,
     },
-    /// Abort the answer to an inbound request, so that its caller sees a broken transfer.
+    /// Abort the answer to an inbound request, so that its caller detects a broken transfer.
     AnswerAbort {
         /// The request.
         inbound: InboundId,
--- a/crates/rillgap-core/src/admission/threshold.rs
+++ b/crates/rillgap-core/src/admission/threshold.rs
@@ -5,8 +5,8 @@
 //! ([`super::demand`]) the level at which the remaining demand fits the capacity of the concurrency
 //! limit. The demand per level does not depend on the level, so the loop does not oscillate when a
 //! new level takes effect late. The queue corrects errors of the estimate: its distance from a
-//! short target changes the assumed capacity, immediately by a proportional term and lastingly by a
-//! slow trim.
+//! short target changes the assumed capacity, at once by a proportional term and over time by a
+//! slow integral term (trim).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/rillgap-core/src/code.rs
+++ b/crates/rillgap-core/src/code.rs
@@ -72,7 +72,7 @@
     /// The idempotency key is not a UUID of version 7.
     KeyMalformed = 12, 400, NotRun, "idempotency key malformed";
     /// The idempotency key is older than the maximum key lifetime, so the record of its execution
-    /// is gone.
+    /// may have been dropped.
     KeyTooOld = 13, 400, Unknown, "idempotency key too old";
     /// The timestamp of the idempotency key is in the future.
     KeyFromFuture = 14, 400, NotRun, "idempotency key from the future";
@@ -135,7 +135,7 @@
     AnswerLost = 71, 502, Unknown, "answer lost";
     /// Another attempt with the same key is running.
     InProgress = 72, 409, Unknown, "an attempt with this key is running";
-    /// The node that executed the request with this key is gone, and its result with it.
+    /// The node that executed the request with this key has ended, and its result is lost.
     ResultLost = 73, 502, Unknown, "result of this key lost";
     /// No majority of the replicas of the key's claim answered.
     NoQuorum = 74, 503, Unknown, "no majority of claim replicas";
--- a/crates/rillgap-core/src/configuration/changes.rs
+++ b/crates/rillgap-core/src/configuration/changes.rs
@@ -104,7 +104,7 @@
             .is_some()
     }
 
-    /// Returns whether this node sent a write of the change and does not know whether it took
+    /// Returns whether this node sent a write of the change and has no proof of whether it took
     /// effect.
     pub fn is_unsettled(&self, change: ChangeId) -> bool {
         self.unsettled.contains(&change)
--- a/crates/rillgap-core/src/configuration/lookup.rs
+++ b/crates/rillgap-core/src/configuration/lookup.rs
@@ -17,7 +17,7 @@
 /// Time after which a look-up without a reply of the store fails.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What an operator asks for.
+/// Request of an operator that needs a read of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LookupTarget {
     /// The latest policy.
@@ -26,7 +26,7 @@
     Change {
         /// Identifier of the change.
         change: ChangeId,
-        /// Whether this node sent a write of the change and does not know whether it took effect.
+        /// Whether this node sent a write of the change that may or may not have taken effect.
         unsettled: bool,
     },
 }
--- a/crates/rillgap-core/src/membership/timing.rs
+++ b/crates/rillgap-core/src/membership/timing.rs
@@ -42,7 +42,7 @@
 pub const VOTE_LEASE: Duration = Duration::from_secs(6);
 /// Allowance for the drift between the clocks of two hosts during a lease.
 pub const CLOCK_DRIFT_ALLOWANCE: Duration = Duration::from_millis(500);
-/// Time after which a node that knows of a newer policy but has not received it requests it.
+/// Time after which a node requests a newer policy that was announced but has not arrived.
 pub const POLICY_PROPAGATION_TIME: Duration = Duration::from_millis(300);
 /// Gap between two polls above which the process is taken to have been paused.
 pub const PROCESS_PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
--- a/crates/rillgap-forward/src/crash/evidence.rs
+++ b/crates/rillgap-forward/src/crash/evidence.rs
@@ -103,7 +103,8 @@
         true
     }
 
-    /// Records that such a request was answered. Returns whether the evidence has changed.
+    /// Records that a request with this content was answered. Returns whether the evidence has
+    /// changed.
     pub const fn exonerate(&mut self) -> bool {
         !std::mem::replace(&mut self.is_exonerated, true)
     }
@@ -176,8 +177,8 @@
         has_enough_crashes && self.crashes() >= MIN_QUARANTINE_CRASHES
     }
 
-    /// Returns the time that is left of a quarantine that began with the last crash. It does not
-    /// tell whether the content meets the quarantine threshold.
+    /// Returns the time that is left of a quarantine that began with the last crash. The result
+    /// does not show whether the content meets the quarantine threshold.
     pub fn quarantine_remaining(&self, now: Instant) -> Duration {
         QUARANTINE_DURATION.saturating_sub(self.age(now))
     }
--- a/crates/rillgap-forward/src/crash/mod.rs
+++ b/crates/rillgap-forward/src/crash/mod.rs
@@ -1,18 +1,18 @@
 //! Detects requests that crash back ends, and quarantines them.
 //!
-//! A request may crash the process that works on it. If it is retried like any request whose answer
-//! was lost, and sent again by its caller, it crashes one back end after the other, faster than
-//! they restart. The nodes therefore collect *evidence*: which requests were in flight when a back
-//! end crashed. Requests are identified by their *content*, the fingerprint of what they ask for
-//! (route, method, target, tenant and body).
+//! A request may crash the process that executes it. If nodes retry it like any request whose
+//! answer was lost, and its caller sends it again, it crashes one back end after the other, faster
+//! than they restart. The nodes therefore collect *evidence*: which requests were in flight when a
+//! back end crashed. Requests are identified by their *content*, the fingerprint of what they ask
+//! for (route, method, target, tenant and body).
 //!
-//! - The node beside the back end sees which requests are lost with it, and sends the evidence to
-//!   its peers ([`ContentEvidence`]).
+//! - The node beside the back end records which requests are lost with it, and sends the evidence
+//!   to its peers ([`ContentEvidence`]).
 //! - One crash makes *suspects* of all requests that were in flight. Only one suspect at a time
 //!   runs on a back end, so that the next crash shows which one caused it. Where a service has few
 //!   back ends, a suspect is not retried at once either.
-//! - After a second crash a request is *recurrent*: all nodes know about it, and none retries it at
-//!   once.
+//! - After a second crash a request is *recurrent*: all nodes have the evidence against it, and
+//!   none retries it at once.
 //! - After [`MIN_QUARANTINE_CRASHES`] crashes, [`MIN_QUARANTINE_STRONG_CRASHES`] of them as the
 //!   only suspect ([`MIN_QUARANTINE_SOLE_SUSPECT_CRASHES`] while back ends also crash without it),
 //!   it is *quarantined*: every node refuses it for a fixed time after the last crash. After that,
@@ -96,8 +96,8 @@
 pub struct ContentEvidence {
     /// Content of the requests.
     pub content: Fingerprint,
-    /// Crashes at which such a request was in flight.
+    /// Crashes at which a request with this content was in flight.
     pub crashes: Vec<CrashRecord>,
-    /// Whether a back end has answered such a request.
+    /// Whether a back end has answered a request with this content.
     pub is_exonerated: bool,
 }
--- a/crates/rillgap-forward/src/crash/recent_answers.rs
+++ b/crates/rillgap-forward/src/crash/recent_answers.rs
@@ -1,4 +1,4 @@
-//! Remembers the contents of recently answered requests.
+//! Records the contents of recently answered requests.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -31,7 +31,7 @@
         self.current.insert(content);
     }
 
-    /// Returns whether such a request was answered recently.
+    /// Returns whether a request with this content was answered recently.
     pub fn contains(&mut self, now: Instant, content: Fingerprint) -> bool {
         self.rotate_generations(now);
         self.current.contains(&content) || self.previous.contains(&content)
--- a/crates/rillgap-forward/src/crash/register.rs
+++ b/crates/rillgap-forward/src/crash/register.rs
@@ -33,7 +33,7 @@
     pub content: Fingerprint,
     /// The new suspicion.
     pub suspicion: Suspicion,
-    /// Number of crashes at which such a request was in flight.
+    /// Number of crashes at which a request with this content was in flight.
     pub crashes: usize,
     /// Number of these crashes at which it was the only suspect.
     pub crashes_as_only_suspect: usize,
--- a/crates/rillgap-forward/src/credential.rs
+++ b/crates/rillgap-forward/src/credential.rs
@@ -1,4 +1,4 @@
-//! Keys of callers: only their digests are kept, compared and forwarded.
+//! Keys of callers. Only their digests are stored, compared and forwarded.
 
 use std::fmt;
 
--- a/crates/rillgap-forward/src/directory/followed.rs
+++ b/crates/rillgap-forward/src/directory/followed.rs
@@ -73,13 +73,13 @@
         (known as u64).max(estimate as u64)
     }
 
-    /// Returns whether there are more nodes than the directory knows.
+    /// Returns whether there are nodes that are not in the directory.
     pub const fn is_partial(&self) -> bool {
         self.estimated_nodes > self.peers.len() + 1
     }
 
-    /// Selects the peers that are followed, and marks them as selected for a link. `has_store_contact`
-    /// returns whether the peer on a link has a recent contact with the store.
+    /// Selects the peers that are followed, and marks them as selected for a link.
+    /// `has_store_contact` returns whether the peer on a link has a recent contact with the store.
     pub(super) fn select_followed(
         &mut self,
         now: Instant,
--- a/crates/rillgap-forward/src/directory/mod.rs
+++ b/crates/rillgap-forward/src/directory/mod.rs
@@ -176,8 +176,8 @@
     }
 
     /// Selects the peers that links are kept to if a relevant change has occurred or the selection
-    /// interval has elapsed. `has_store_contact` returns whether the peer on a link has a recent contact
-    /// with the store.
+    /// interval has elapsed. `has_store_contact` returns whether the peer on a link has a recent
+    /// contact with the store.
     pub fn update_subset(&mut self, now: Instant, has_store_contact: impl Fn(LinkId) -> bool) {
         if std::mem::take(&mut self.is_subset_due) || now >= self.next_selection_at {
             self.next_selection_at = now + SELECTION_INTERVAL;
--- a/crates/rillgap-forward/src/directory/owners.rs
+++ b/crates/rillgap-forward/src/directory/owners.rs
@@ -1,4 +1,4 @@
-//! Owners of the buckets of tenants' tokens, as far as this node can tell from its peers.
+//! Owners of the tenants' token buckets, derived from the peers that this node knows.
 
 use std::time::Duration;
 
@@ -72,8 +72,8 @@
         self.peers[index.0].query_sent(now);
     }
 
-    /// Returns whether the node hears from at least half of the selected peers. A node that is cut
-    /// off from the others does not.
+    /// Returns whether the node is in contact with at least half of the selected peers. A
+    /// partitioned node is not.
     pub fn is_in_contact_with_majority(&self, now: Instant) -> bool {
         let mut selected = 0;
         let mut reachable = 0;
--- a/crates/rillgap-forward/src/freshness.rs
+++ b/crates/rillgap-forward/src/freshness.rs
@@ -2,11 +2,11 @@
 //!
 //! A key that an operator revokes must stop working everywhere within a bound, also at a node that
 //! is partitioned from all others. A node therefore serves requests with keys only while it can
-//! prove that its configuration was the newest one not long ago. Let `p` be the time of the proof:
-//! every configuration that was accepted before `p` is known to the node. A request that is handled
-//! at `t` was sent at `t` or earlier, so while `t - p` is below the bound, no key is accepted that
-//! was revoked longer than the bound before the request was sent. The key is not checked again
-//! after that, since the time at which the request was sent is what counts.
+//! prove that its configuration was recently the newest one. Let `p` be the time of the proof: the
+//! node has every configuration that was accepted before `p`. A request that is handled at `t` was
+//! sent at `t` or earlier, so while `t - p` is below the bound, no key is accepted that was revoked
+//! longer than the bound before the request was sent. The key is not checked again after that,
+//! since the time at which the request was sent is what counts.
 //!
 //! A proof is either a read of the store or the statement of a peer. Both count from the moment at
 //! which they were *requested*, since an answer may have waited in a socket for any time. The times
--- a/crates/rillgap-forward/src/inbound/lost_requests.rs
+++ b/crates/rillgap-forward/src/inbound/lost_requests.rs
@@ -2,7 +2,7 @@
 //!
 //! When a process ends, all its connections close within milliseconds and its address refuses new
 //! ones. When an answer is lost for another reason, other requests stay in flight. The health
-//! endpoint shows which case it is. The responses to lost requests are held until it has answered,
+//! endpoint distinguishes the two cases. Responses to lost requests are held until it has answered,
 //! for a short time at most, so that peers receive the crash evidence before they decide whether to
 //! retry the requests.
 
--- a/crates/rillgap-forward/src/inbound/mod.rs
+++ b/crates/rillgap-forward/src/inbound/mod.rs
@@ -248,7 +248,7 @@
         self.back_end.has_left()
     }
 
-    /// Begins a planned stop. The next status tells peers to send no more requests.
+    /// Begins a planned stop. After the next status report, peers send no more requests.
     pub fn stop(&mut self) {
         self.is_stopping = true;
         self.status_changed = true;
--- a/crates/rillgap-forward/src/log_record.rs
+++ b/crates/rillgap-forward/src/log_record.rs
@@ -80,7 +80,7 @@
         /// The caller's identifier of the request.
         request_id: String,
     },
-    /// The health of the back end, as the node sees it, has changed.
+    /// The health of the back end, as observed by its node, has changed.
     BackEnd {
         /// Identifier of the incarnation.
         instance: String,
--- a/crates/rillgap-forward/src/message.rs
+++ b/crates/rillgap-forward/src/message.rs
@@ -134,7 +134,7 @@
     pub status: Status,
     /// Version of the sender's configuration; 0 for none.
     pub configuration_version: u64,
-    /// Last epoch of the store that the sender knows; `None` if it knows none.
+    /// Last known epoch of the store at the sender; `None` if it has recorded none.
     pub store_epoch: Option<StoreEpoch>,
 }
 
@@ -205,7 +205,7 @@
 /// Returns the fingerprint of what a request asks for, called its content.
 ///
 /// The identifier and the deadline are left out because they differ between attempts, and the
-/// caller's service because a request may enter at any machine.
+/// caller's service because a request may enter at any node.
 pub fn content_fingerprint(
     route: &str,
     method: &str,
--- a/crates/rillgap-forward/src/node/mod.rs
+++ b/crates/rillgap-forward/src/node/mod.rs
@@ -281,7 +281,7 @@
     }
 
     /// Detects that the process was paused. Peers are then not timed out before the messages that
-    /// they sent meanwhile are read.
+    /// they sent during the pause are read.
     fn detect_process_pause(&mut self, now: Instant) {
         if now.saturating_since(self.last_event_at) >= PROCESS_PAUSE_THRESHOLD {
             self.peer_timeouts_after = now + PROCESS_PAUSE_GRACE;
--- a/crates/rillgap-forward/src/node/stop.rs
+++ b/crates/rillgap-forward/src/node/stop.rs
@@ -9,8 +9,9 @@
 use crate::log_record::LogRecord;
 
 /// Time after the start of a planned stop during which the node does not exit and still accepts
-/// callers' requests: callers see within it that the node is not ready. Requests that arrive later,
-/// because too few nodes are ready, are rejected: the end of the grace period could cut them off.
+/// callers' requests: callers detect within it that the node is not ready. Requests that arrive
+/// later, because too few nodes are ready, are rejected: the end of the grace period could cut them
+/// off.
 const STOP_NOTICE_PERIOD: Duration = Duration::from_millis(2_500);
 /// Fraction of the grace period for which the back end beside a stopping node still receives
 /// requests. No other node can reach it, so a shorter time would waste its capacity.
--- a/crates/rillgap-forward/src/node/tokens.rs
+++ b/crates/rillgap-forward/src/node/tokens.rs
@@ -19,7 +19,7 @@
         let tenants = &table.configuration().tenants;
         let limited = tenants.iter().filter(|tenant| tenant.limit.is_some());
         let hashes: Vec<TenantHash> = limited.map(|tenant| TenantHash::of(&tenant.name)).collect();
-        // Nodes agree on the owners of buckets only if all of them know the same nodes.
+        // Nodes agree on the owners of buckets only if all of them have the same list of nodes.
         if !hashes.is_empty() && (!self.store.has_listed() || self.directory.is_partial()) {
             self.has_full_membership = false;
             self.store.request_full_list(now);
@@ -28,7 +28,8 @@
         self.buckets.retain(|tenant| table.tenant(tenant).is_some());
     }
 
-    /// Offers to own buckets once all nodes are known, while the node hears from most of its peers.
+    /// Offers to own buckets once all nodes are known, while the node is in contact with most of
+    /// its peers.
     pub(super) fn offer_buckets(&mut self, now: Instant, out: &mut Actions) {
         let offers = self.table.is_some()
             && self.has_full_membership
@@ -189,8 +190,8 @@
     }
 
     /// Takes tokens out of a bucket that this node owns. Returns `None` if this node's
-    /// configuration does not contain the tenant yet; a tenant without a limit here gets all tokens
-    /// that it asks for.
+    /// configuration does not contain the tenant yet; a tenant without a limit here is granted all
+    /// requested tokens.
     fn grant(
         &mut self,
         now: Instant,
--- a/crates/rillgap-forward/src/outbound/request.rs
+++ b/crates/rillgap-forward/src/outbound/request.rs
@@ -137,7 +137,7 @@
         self.current = None;
     }
 
-    /// Records that the last attempt did not run; `arrived` tells whether it reached the back end.
+    /// Records that the last attempt did not run; `arrived` states whether it reached the back end.
     pub fn record_not_run(&mut self, arrived: bool, retry_after_millis: u32) {
         if arrived {
             self.refusals += 1;
--- a/crates/rillgap-forward/src/outbound/results.rs
+++ b/crates/rillgap-forward/src/outbound/results.rs
@@ -61,7 +61,7 @@
         let Some(request) = self.requests.get(&key) else {
             return;
         };
-        // These statuses tell the caller that the request did not run. Only a node can know this,
+        // These statuses state that the request did not run. Only a node can guarantee this,
         // so a back end's status is not passed on for a request that may run only once.
         let claims_not_run = matches!(forwarded.status, 408 | 421 | 429 | 503);
         if claims_not_run && !request.route.is_idempotent() {
--- a/crates/rillgap-forward/src/outbound/weights.rs
+++ b/crates/rillgap-forward/src/outbound/weights.rs
@@ -2,7 +2,8 @@
 //!
 //! Smooth weighted round robin: any sequence of consecutive requests is divided by the weights as
 //! closely as whole requests allow. Each node starts at a different, uniformly distributed offset
-//! in the round, so that the weights also hold in the sum over nodes that receive one request each.
+//! in the round, so that the weights also hold for the total over nodes that receive one request
+//! each.
 
 use std::collections::BTreeMap;
 
--- a/crates/rillgap-forward/src/peer.rs
+++ b/crates/rillgap-forward/src/peer.rs
@@ -260,8 +260,8 @@
         self.name_hash
     }
 
-    /// Returns whether the peer may own buckets, as far as this node can tell. A peer that no link
-    /// has been opened to yet counts.
+    /// Returns whether the peer may own buckets, in this node's view. This includes a peer to which
+    /// no link has been opened yet.
     pub(crate) const fn may_own_buckets(&self) -> bool {
         match self.link {
             LinkState::Open(_) => self.status.can_own_buckets,
--- a/crates/rillgap-forward/src/rate_limit/entry.rs
+++ b/crates/rillgap-forward/src/rate_limit/entry.rs
@@ -23,7 +23,7 @@
 const RATE_TIME_CONSTANT: Duration = Duration::from_secs(1);
 /// Time without requests after which the account of a tenant is dropped.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Minimum time after which a rejected caller is asked to retry, in milliseconds.
+/// Minimum retry delay that is returned to a rejected caller, in milliseconds.
 const MIN_RETRY_AFTER_MILLIS: u64 = 200;
 
 /// Unused tokens of one grant.
--- a/crates/rillgap-forward/src/retry_budget.rs
+++ b/crates/rillgap-forward/src/retry_budget.rs
@@ -1,16 +1,16 @@
 //! Retry budget of a node, per service over a sliding window.
 //!
-//! The bound of a deployment applies to the sum over all its nodes: within a window, the retries
-//! `R` of a service number at most `ratio * Q + slack`, where `Q` is the number of requests for it.
+//! The bound applies to the whole deployment: within a window, the nodes together send at most
+//! `R <= ratio * Q + slack` retries to a service, where `Q` is the number of requests for it.
 //! Nodes do not coordinate. The allowance of each node is a share `U` of `ratio` times the number
 //! of its *own* requests, plus its part of a share `F` of the slack, minus the retries that it has
 //! sent.
 //!
 //! At a node with few requests the allowance is less than one retry. It is therefore rounded at
 //! random: each node draws a number uniformly from 0 to 1, adds it to its allowance and may send as
-//! many retries as the sum has whole units. On average, the total over all nodes is the sum of the
-//! allowances; with `N` nodes, it differs from that sum by at most the square root of `N`, except
-//! in one of thousands of cases. So
+//! many retries as the integer part of the sum. On average, the total over all nodes is the sum of
+//! the allowances; with `N` nodes, it differs from that sum by at most the square root of `N`,
+//! except in one of thousands of cases. So
 //!
 //! ```text
 //! R <= U * ratio * Q + F * slack + sqrt(N) + restarted + inherited
@@ -18,11 +18,11 @@
 //!
 //! Nodes that restart lose their counts and may spend their part of the slack again (`restarted`).
 //! A retry makes its back end repeat the calls below it. The node that sends these calls counts
-//! them against its own allowance, so a service gets `U * ratio * Q` retries in total, whichever of
-//! the services above it was retried, and `inherited` is only what exceeds the allowance of single
-//! nodes. `U` is [`LEAF_RATIO_SHARE`] for a service whose answers so far have involved no calls,
-//! and [`RATIO_SHARE`] for others, where a retry also causes retries below it. `F` is
-//! [`FLOOR_SLACK_SHARE`].
+//! them against its own allowance, so a service gets `U * ratio * Q` retries in total, no matter
+//! which service above it was retried. `inherited` is only the excess over the allowances of single
+//! nodes. `U` is `LEAF_RATIO_SHARE` for a service whose answers so far have involved no calls, and
+//! `RATIO_SHARE` for others, where a retry also causes retries below it. `F` is
+//! `FLOOR_SLACK_SHARE`.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
--- a/crates/rillgap-forward/src/settings.rs
+++ b/crates/rillgap-forward/src/settings.rs
@@ -19,7 +19,7 @@
 /// Settings of a forwarding node.
 #[derive(Clone, Debug)]
 pub struct ForwardSettings {
-    /// Record of the node that its peers see.
+    /// Record of the node that is published to its peers.
     pub record: NodeRecord,
     /// Whether the whole deployment starts for the first time.
     pub is_first_start: bool,
--- a/crates/rillgap-forward/src/store_sync/mod.rs
+++ b/crates/rillgap-forward/src/store_sync/mod.rs
@@ -1,7 +1,7 @@
 //! Requests of a node to the store: for the configuration, its own record and its first peers.
 //!
-//! The address of the store is the only one that all nodes are configured with. A node registers
-//! its record and then lists other nodes: those with the lowest name hashes, which watch the store
+//! The address of the store is the only address in the settings of every node. A node registers its
+//! record and then lists other nodes: those with the lowest name hashes, which watch the store
 //! for all others, and the successors of its own name hash. The size of this list does not depend
 //! on the size of the deployment. The list may be some seconds old: if it contains the node's own
 //! record, it is recent enough.
--- a/crates/rillgap-forward/tests/freshness.rs
+++ b/crates/rillgap-forward/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! How long a node relies on its configuration without a new proof.
+//! Tests how long a node uses its configuration without a new proof.
 
 use std::time::Duration;
 
--- a/crates/rillgap-forward/tests/retry_bound.rs
+++ b/crates/rillgap-forward/tests/retry_bound.rs
@@ -1,4 +1,4 @@
-//! The deployment's bound on retries in the sum over its nodes, also during restarts and
+//! Tests the deployment's bound on the total retries of its nodes, also during restarts and
 //! partitions.
 
 mod support;
--- a/crates/rillgap-forward/tests/simulation/crashing_requests.rs
+++ b/crates/rillgap-forward/tests/simulation/crashing_requests.rs
@@ -1,12 +1,12 @@
 //! Requests that crash each back end that executes them.
 //!
-//! A request whose content crashes the process that executes it is sent again and again, with a new
-//! identifier and to any node. Nodes that retry it like any request whose answer was lost, and keep
-//! nothing about it beyond one attempt, spread the crashes: three back ends of a service crashed
-//! within 0.11 s, restarted 3.4 s later and crashed again for as long as the request was sent. In
-//! most of these seconds the service answered next to no request successfully. The losses at the
-//! nodes of the three back ends showed the cause: all requests in flight were lost within 2 ms,
-//! with 8 of 134 slots in use:
+//! A request whose content crashes the process that executes it is sent repeatedly, each time with
+//! a new identifier and to any node. Nodes that retry it like any request whose answer was lost,
+//! and keep no record of it after an attempt, spread the crashes: three back ends of a service
+//! crashed within 0.11 s, restarted 3.4 s later and crashed again for as long as the request was
+//! sent. In most of these seconds the service answered next to no request successfully. The losses
+//! at the nodes of the three back ends showed the cause: all requests in flight were lost within
+//! 2 ms, with 8 of 134 slots in use:
 //!
 //! ```text
 //!  9.8562 a-1 "inbound: no answer" code=71 running=7 queued=0 limit=134
@@ -267,8 +267,8 @@
     }
 }
 
-/// Guards against quarantining a request that was in flight at three crashes before enough other
-/// crashes were known to tell that it did not cause them. One request was refused this way.
+/// Guards against quarantining a request that was in flight at three crashes, when too few other
+/// crashes were known to show that it did not cause them. One request was refused this way.
 #[gtest]
 fn request_in_flight_at_the_first_crashes_of_a_wave_is_not_quarantined() {
     let world = run_with_unrelated_crashes(CrashPattern::Wave, 297);
--- a/crates/rillgap-forward/tests/simulation/suspension.rs
+++ b/crates/rillgap-forward/tests/simulation/suspension.rs
@@ -1,4 +1,4 @@
-//! Machines that are suspended for seconds while the rest of the deployment goes on.
+//! Suspends machines for seconds while the rest of the deployment continues to run.
 //!
 //! A clock that stops during the suspension makes every measured age too small. Nodes with this
 //! clock accept keys after a resume that were revoked longer ago than the revocation bound, because
--- a/crates/rillgap-forward/tests/weights.rs
+++ b/crates/rillgap-forward/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Weights of a route's services in the sum over nodes that receive few requests each.
+//! Tests that a route's weights hold for the total over nodes that receive few requests each.
 
 mod support;
 
