--- a/crates/rillgap-forward/src/rate_limit/entry.rs
+++ b/crates/rillgap-forward/src/rate_limit/entry.rs
@@ -23,7 +23,7 @@
 const RATE_TIME_CONSTANT: Duration = Duration::from_secs(1);
 /// Time without requests after which the account of a tenant is dropped.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Minimum time after which a rejected caller is asked to retry, in milliseconds.
+/// Minimum retry delay that is returned to a rejected caller, in milliseconds.
 const MIN_RETRY_AFTER_MILLIS: u64 = 200;
 
 /// Unused tokens of one grant.
@@ -328,7 +328,7 @@
             }
             !account.waiting.is_empty()
         });
-        self.forget_idle(now);
+        self.drop_idle_accounts(now);
         overdue
     }
 
@@ -344,7 +344,7 @@
         wakes.min()
     }
 
-    fn forget_idle(&mut self, now: Instant) {
+    fn drop_idle_accounts(&mut self, now: Instant) {
         if now < self.next_sweep {
             return;
         }
