--- a/crates/rillgap-caller/src/exchange.rs
+++ b/crates/rillgap-caller/src/exchange.rs
@@ -12,7 +12,8 @@
 
 /// Maximum number of parts of one answer that are queued for the caller's connection.
 ///
-/// The node's credits limit the bytes; this limits the number of parts, which may be small.
+/// The node's flow control limits the queued bytes. This limits the number of parts, since many
+/// small ones may make up those bytes.
 const MAX_QUEUED_PARTS: usize = 1_024;
 
 /// A part of an answer.
@@ -36,7 +37,7 @@
     }
 }
 
-/// A part of an answer, addressed to its request.
+/// One part of an answer, with the request that it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// Request that the part belongs to.
@@ -73,7 +74,8 @@
 
     /// Delivers one part of an answer without blocking.
     ///
-    /// If the queue of the request is full, the request is removed, which aborts its answer.
+    /// If the queue of the request is full or its receiver is dropped, the request is removed: the
+    /// receiver gets the queued parts, then the end of the channel without a last part.
     pub fn deliver(&self, answer: Answer) {
         let mut pending = self.lock();
         let Some(sender) = pending.get(&answer.inbound) else {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Delivers the answers received from a ring until all its senders are dropped.
+    /// Delivers the parts received from a ring until all senders of the ring are dropped.
     pub async fn run(self, answers: RingReceiver<Answer>) {
         while let Some(answer) = answers.recv().await {
             self.deliver(answer);
--- a/crates/rillgap-cli/src/explain/configuration.rs
+++ b/crates/rillgap-cli/src/explain/configuration.rs
@@ -30,7 +30,10 @@
     let lost = restored_at.filter(|at| Some(*at) > in_force_at);
     let lost = lost.map_or_else(String::new, |at| {
         let since = answer.time - at;
-        format!("; the store was restored from a backup {since:.1} s before and may have lost it")
+        format!(
+            "; the store was restored from a backup {since:.1} s earlier and may have lost \
+             this configuration"
+        )
     });
     Some(format!("decided by configuration {version}{age}{lost}"))
 }
--- a/crates/rillgap-cli/src/explain/verdict.rs
+++ b/crates/rillgap-cli/src/explain/verdict.rs
@@ -7,7 +7,7 @@
 
 /// Message of the log record of an answered request.
 pub(super) const ANSWERED: &str = "outbound: answered";
-/// Message of the log record with which a back end's node reports a request without an answer.
+/// Message of the log record of a request that ended at the back end's node without an answer.
 const UNANSWERED: &str = "inbound: no answer";
 /// Message of the log record that the caller disconnected.
 const CALLER_GONE: &str = "outbound: caller gone";
@@ -17,9 +17,9 @@
 /// How a request ended and why.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// HTTP status of the answer to the caller; `None` if no record shows it.
+    /// HTTP status of the answer to the caller; `None` if no answer was logged.
     pub status: Option<u64>,
-    /// Number of the result code; 0 if the back end answered, `None` if no record shows the answer.
+    /// Number of the result code; 0 if the back end answered, `None` if no answer was logged.
     pub code: Option<u64>,
     /// Steps from the end of the request back to its cause, one sentence each.
     pub because: Vec<String>,
@@ -47,11 +47,12 @@
         None => describe_missing_end(request, path).to_owned(),
     });
     sentences.extend(unanswered.map(describe_no_answer));
-    // If the back end itself answered with a failure, a failed call of its own may be the cause.
-    let is_own_failure = answer.is_none_or(|answer| {
+    // If the back end answered with a failure, or no answer was logged, a failed call of the back
+    // end may be the cause.
+    let may_be_caused_by_call = answer.is_none_or(|answer| {
         answer.number("code") == Some(0) && answer.number("status") >= Some(MIN_FAILURE_STATUS)
     });
-    if is_own_failure
+    if may_be_caused_by_call
         && unanswered.is_none()
         && let Some(call) = failed_call(path, request)
     {
@@ -65,20 +66,21 @@
         "no log record of the request: it succeeded and was not sampled, or the logs are from \
          another node or time"
     } else if last(path, request, CALLER_GONE).is_some() {
-        "the caller disconnected before it was answered"
+        "the caller disconnected before the answer"
     } else {
-        "no log record of its end: the node that received it ended first, or the record was dropped"
+        "no log record of its end: the node that received it stopped or crashed first, or the \
+         record was dropped"
     }
 }
 
-/// Returns the last record of a request with a message.
+/// Returns the last record of `request` with the given message.
 pub(super) fn last<'a>(path: &'a [Record], request: &str, message: &str) -> Option<&'a Record> {
     path.iter()
         .rev()
         .find(|record| record.request.as_deref() == Some(request) && record.message == message)
 }
 
-/// Returns the identifier of the outermost failed call of a request; of several, the one logged
+/// Returns the failed call of a request with the shortest identifier; of several, the one logged
 /// first.
 fn failed_call<'a>(path: &'a [Record], request: &str) -> Option<&'a str> {
     let is_failure = |record: &&Record| {
@@ -90,15 +92,15 @@
         .filter(is_failure)
         .filter_map(|record| record.request.as_deref())
         .filter(|id| *id != request && extends(id, request))
-        // The identifier of a nested call is longer than that of its parent. The next step follows
-        // the cause from the outermost call on.
+        // The identifier of a nested call is longer than that of its parent, so a parent precedes
+        // its calls. `steps` then looks for the cause among the calls of the returned one.
         .min_by_key(|id| id.len())
 }
 
 fn title(code: u64) -> &'static str {
-    let known = |known: &&ResultCode| u64::from(known.number()) == code;
-    let code = ResultCode::ALL.iter().find(known);
-    code.map_or("unknown code", |code| code.title())
+    let has_number = |candidate: &&ResultCode| u64::from(candidate.number()) == code;
+    let known = ResultCode::ALL.iter().find(has_number);
+    known.map_or("unknown code", |code| code.title())
 }
 
 fn describe_answer(answer: &Record) -> String {
--- a/crates/rillgap-cli/src/session.rs
+++ b/crates/rillgap-cli/src/session.rs
@@ -1,4 +1,4 @@
-//! Calls to the nodes of the command line, with retries of changes whose answer was lost.
+//! Calls from the command line to nodes, with retries of changes whose answer was lost.
 
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
 }
 
 impl Session {
-    /// Creates clients of the nodes that the command line names.
+    /// Creates clients of the nodes given by `--node`, or of [`DEFAULT_NODE`] without that option.
     pub fn new(arguments: &Arguments) -> Result<Self, CommandError> {
         let timeout = Duration::from_secs(arguments.timeout.0);
         let client = |address: &str| OperatorClient::new(address, timeout);
@@ -71,7 +71,10 @@
         &mut self.clients[self.current]
     }
 
-    /// Sends a change and waits up to `wait` until every machine has confirmed it.
+    /// Sends a change and polls it until every node has confirmed it or `wait` has passed.
+    ///
+    /// `wait` counts from the start but does not bound the sending: each call of it has the timeout
+    /// of the client.
     ///
     /// Retries carry the same change identifier, so the change is applied at most once.
     pub async fn change(
@@ -81,11 +84,12 @@
         wait: Duration,
     ) -> Result<Change, CommandError> {
         let deadline = Instant::now() + wait;
-        let stored = self.store(request, change).await?;
+        let stored = self.send_with_retries(request, change).await?;
         self.poll_until_accepted(stored, change, deadline).await
     }
 
-    /// Returns the state of a change, after waiting as [`Self::change`] does.
+    /// Polls an earlier change until it is accepted or `wait` has passed; returns its last known
+    /// state.
     pub async fn follow(
         &mut self,
         change: ChangeId,
@@ -97,13 +101,13 @@
     }
 
     /// Sends a change until an answer shows its effect, at most [`MAX_CALLS`] times.
-    async fn store(
+    async fn send_with_retries(
         &mut self,
         request: &ChangeRequest,
         change: ChangeId,
     ) -> Result<Change, CommandError> {
         for _ in 1..MAX_CALLS {
-            match self.send(request, change).await {
+            match self.send_once(request, change).await {
                 Err(error) if has_unknown_effect(&error) => {
                     let change = format_change_id(change);
                     log::warn!(
@@ -115,7 +119,7 @@
                 result => return Ok(result?),
             }
         }
-        let last = self.send(request, change).await;
+        let last = self.send_once(request, change).await;
         last.map_err(|error| self.final_error(error, change))
     }
 
@@ -130,7 +134,7 @@
         }
     }
 
-    async fn send(
+    async fn send_once(
         &mut self,
         request: &ChangeRequest,
         change: ChangeId,
@@ -173,7 +177,8 @@
     }
 }
 
-/// Returns whether the call may have taken effect, which a retry can show.
+/// Returns whether it is unknown if the call took effect. A retry with the same change identifier
+/// is safe and can settle it.
 fn has_unknown_effect(error: &OperatorError) -> bool {
     matches!(
         error.code(),
--- a/crates/rillgap-cli/tests/commands.rs
+++ b/crates/rillgap-cli/tests/commands.rs
@@ -16,13 +16,13 @@
 use tokio::task::JoinHandle;
 
 /// Reaction of the node to one request.
-enum Script {
+enum Reaction {
     Reply(OperatorReply),
     LoseAnswer,
 }
 
 /// Starts a node that reacts to requests as `script` says; its task returns the requests.
-async fn node(script: Vec<Script>) -> (String, JoinHandle<Vec<OperatorRequest>>) {
+async fn node(script: Vec<Reaction>) -> (String, JoinHandle<Vec<OperatorRequest>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let (handle, mut calls) = OperatorHandle::channel(1);
@@ -34,8 +34,9 @@
             let call = calls.recv().await.unwrap();
             requests.push(call.request);
             match step {
-                Script::Reply(reply) => drop(call.reply.send(reply)),
-                Script::LoseAnswer => unanswered.push(call.reply),
+                Reaction::Reply(reply) => drop(call.reply.send(reply)),
+                // The reply channel stays open: dropping it would end the call at once.
+                Reaction::LoseAnswer => unanswered.push(call.reply),
             }
         }
         requests
@@ -45,23 +46,23 @@
 
 async fn run(
     address: &str,
-    words: &[&str],
+    args: &[&str],
 ) -> (std::result::Result<ResultCode, CommandError>, String) {
-    let words = [&["--node", address, "--timeout", "1"], words].concat();
-    let arguments = Arguments::from_args(&["rillgapctl"], &words).unwrap();
+    let args = [&["--node", address, "--timeout", "1"], args].concat();
+    let arguments = Arguments::from_args(&["rillgapctl"], &args).unwrap();
     let mut output = Vec::new();
     let result = rillgap_cli::run(arguments, &mut output).await;
     (result, String::from_utf8(output).unwrap())
 }
 
-fn accepted(version: u64) -> OperatorReply {
+fn accepted_change(version: u64) -> OperatorReply {
     OperatorReply::Change {
         version: PolicyVersion(version),
         state: ChangeState::Accepted,
     }
 }
 
-fn pending_reply(version: u64) -> OperatorReply {
+fn pending_change(version: u64) -> OperatorReply {
     OperatorReply::Change {
         version: PolicyVersion(version),
         state: ChangeState::Pending {
@@ -71,7 +72,7 @@
     }
 }
 
-fn change_of(request: &OperatorRequest) -> Option<ChangeId> {
+fn change_id_of(request: &OperatorRequest) -> Option<ChangeId> {
     match request {
         OperatorRequest::ApplyPolicy { change, .. }
         | OperatorRequest::SetBackEndState { change, .. }
@@ -103,14 +104,18 @@
 #[gtest]
 #[tokio::test]
 async fn change_with_lost_answer_is_retried_with_the_same_identifier() {
-    let (address, node) = node(vec![Script::LoseAnswer, Script::Reply(accepted(5))]).await;
+    let (address, node) = node(vec![
+        Reaction::LoseAnswer,
+        Reaction::Reply(accepted_change(5)),
+    ])
+    .await;
 
     let (result, output) = run(&address, &["back-end", "drain", "takst-1"]).await;
 
     expect_that!(result, ok(eq(&ResultCode::Ok)));
     expect_that!(output, contains_substring("accepted: version 5"));
     let requests = node.await.unwrap();
-    expect_that!(change_of(&requests[0]), eq(change_of(&requests[1])));
+    expect_that!(change_id_of(&requests[0]), eq(change_id_of(&requests[1])));
     expect_that!(
         requests[0],
         matches_pattern!(OperatorRequest::SetBackEndState {
@@ -124,7 +129,8 @@
 #[gtest]
 #[tokio::test]
 async fn pending_change_lists_missing_nodes_and_returns_change_pending() {
-    let replies = (0..20).map(|_| Script::Reply(pending_reply(6)));
+    // More replies than the command polls in one second.
+    let replies = (0..20).map(|_| Reaction::Reply(pending_change(6)));
     let (address, _node) = node(replies.collect()).await;
 
     let (result, output) = run(&address, &["back-end", "restore", "takst-1", "--wait", "1"]).await;
@@ -137,8 +143,8 @@
 #[tokio::test]
 async fn change_is_queried_until_it_is_accepted() {
     let (address, _node) = node(vec![
-        Script::Reply(pending_reply(6)),
-        Script::Reply(accepted(6)),
+        Reaction::Reply(pending_change(6)),
+        Reaction::Reply(accepted_change(6)),
     ])
     .await;
     let id = "01890a5d-ac96-774b-bcce-b302099a8057";
@@ -154,7 +160,7 @@
 #[gtest]
 #[tokio::test]
 async fn plan_prints_the_differences() {
-    let (address, _node) = node(vec![Script::Reply(OperatorReply::Policy(
+    let (address, _node) = node(vec![Reaction::Reply(OperatorReply::Policy(
         policy_with_slots(21),
     ))])
     .await;
@@ -172,7 +178,7 @@
 #[gtest]
 #[tokio::test]
 async fn version_conflict_is_not_retried() {
-    let (address, node) = node(vec![Script::Reply(OperatorReply::Failed {
+    let (address, node) = node(vec![Reaction::Reply(OperatorReply::Failed {
         code: ResultCode::VersionConflict,
         version: PolicyVersion(9),
         detail: "version 9 is in force".to_owned(),
@@ -193,7 +199,7 @@
 #[gtest]
 #[tokio::test]
 async fn status_lists_members() {
-    let (address, _node) = node(vec![Script::Reply(OperatorReply::Status {
+    let (address, _node) = node(vec![Reaction::Reply(OperatorReply::Status {
         policy: PolicyVersion(4),
         view: rillgap_core::id::ViewVersion(2),
         serving: true,
--- a/crates/rillgap-cli/tests/explain.rs
+++ b/crates/rillgap-cli/tests/explain.rs
@@ -4,6 +4,9 @@
 use rillgap_cli::explain::{Explainer, Explanation};
 
 /// Log lines of three nodes with the prefixes of a log collector.
+///
+/// `a1` fails because its call `a1.b2` is shed at `fares-1`; `c3` is refused at the entry; the
+/// caller of `d4` disconnects; `e5` has a record of the back end's node, but none of its end.
 const LOG: &str = r#"
   31.1000 entry-1 {"level":"INFO","message":"mesh: peer","peer":"fares-2","is_up":false,"cause":"link closed","time":100.0,"uptime":9.0}
   20.0000 entry-1 {"level":"INFO","message":"store: dependency","is_up":true,"time":80.0,"uptime":1.0}
@@ -18,7 +21,7 @@
 
 fn explain(request: &str) -> Explanation {
     let mut explainer = Explainer::new(request);
-    explainer.read("", LOG.as_bytes()).expect("a log");
+    explainer.read("", LOG.as_bytes()).expect("log is readable");
     explainer.explain()
 }
 
@@ -27,7 +30,7 @@
 }
 
 #[gtest]
-fn failed_request_is_traced_to_its_failed_call_and_the_queue_there() {
+fn failed_request_is_traced_to_the_full_queue_of_its_call() {
     let because = sentences("a1");
     expect_that!(because.len(), eq(3));
     expect_that!(
@@ -45,7 +48,7 @@
 }
 
 #[gtest]
-fn configuration_is_described_with_its_age_and_a_restored_store() {
+fn configuration_is_described_with_its_age_and_a_store_restore() {
     let log = concat!(
         r#"n-1 {"message":"configuration: in force","version":7,"source":"store","time":90.0,"level":"INFO"}"#,
         "\n",
@@ -57,26 +60,28 @@
     );
     let describe = |request: &str| {
         let mut explainer = Explainer::new(request);
-        explainer.read("", log.as_bytes()).expect("a log");
+        explainer.read("", log.as_bytes()).expect("log is readable");
         explainer.explain().configuration
     };
     let before = "decided by configuration 7, in force there for 2.5 s";
     expect_that!(describe("x"), some(eq(before)));
-    let after = "decided by configuration 7, in force there for 3.5 s; the store was restored from a backup 0.5 s before and may have lost it";
+    let after = "decided by configuration 7, in force there for 3.5 s; the store was \
+                 restored from a backup 0.5 s earlier and may have lost this configuration";
     expect_that!(describe("y"), some(eq(after)));
 }
 
 #[gtest]
-fn call_is_followed_without_its_answered_record() {
+fn failed_call_is_found_from_the_callee_record_alone() {
     let log: String = LOG
         .lines()
         .filter(|line| !line.contains("books-1 {"))
         .map(|line| format!("{line}\n"))
         .collect();
     let mut explainer = Explainer::new("a1");
-    explainer.read("", log.as_bytes()).expect("a log");
+    explainer.read("", log.as_bytes()).expect("log is readable");
     let because = explainer.explain().verdict.because;
     expect_that!(because[0], contains_substring("entry-1 answered 500"));
+    // `because[1]` says that the end of the call was not logged.
     expect_that!(
         because[2],
         contains_substring("a1.b2: fares-1 did not serve it (code 41")
@@ -84,7 +89,7 @@
 }
 
 #[gtest]
-fn path_is_ordered_by_time_and_events_are_those_at_its_nodes_shortly_before() {
+fn path_is_ordered_by_time_and_node_events_are_limited_to_its_nodes_and_time() {
     let explanation = explain("a1");
     let nodes: Vec<&str> = explanation
         .path
@@ -150,11 +155,13 @@
 fn node_comes_from_the_prefix_of_the_line_or_from_the_file() {
     let mut explainer = Explainer::new("x");
     let line = r#"{"message":"outbound: caller gone","request":"x","time":1.0}"#;
-    explainer.read("from-file", line.as_bytes()).expect("a log");
+    explainer
+        .read("from-file", line.as_bytes())
+        .expect("log is readable");
     let prefixed = format!("2026-12-02 from-prefix {line}");
     explainer
         .read("from-file", prefixed.as_bytes())
-        .expect("a log");
+        .expect("log is readable");
     let nodes: Vec<String> = explainer
         .explain()
         .path
@@ -169,6 +176,6 @@
     let mut explainer = Explainer::new("x");
     let log: &[u8] =
         b"{\n{}\n{\"message\":7}\n\xff\xfe{\"message\":\"m\"}\n{\"message\":\"m\",\"time\":\"x\"}";
-    explainer.read("n", log).expect("a log");
+    explainer.read("n", log).expect("log is readable");
     expect_that!(explainer.explain().path, is_empty());
 }
--- a/crates/rillgap-core/src/action.rs
+++ b/crates/rillgap-core/src/action.rs
@@ -1,4 +1,4 @@
-//! Actions that a node requests from its driver.
+//! Actions that a node requests from its driver: the code that performs its input and output.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,33 +37,33 @@
 pub enum Action {
     /// Refuse an inbound request.
     Refuse {
-        /// The request.
+        /// Identifier of the inbound request.
         inbound: InboundId,
         /// Refusal to send to the caller.
         refusal: Refusal,
     },
     /// Begin the answer to an inbound request.
     AnswerHead {
-        /// The request.
+        /// Identifier of the inbound request.
         inbound: InboundId,
         /// Status and headers.
         head: AnswerHead,
     },
     /// Continue the answer to an inbound request.
     AnswerBody {
-        /// The request.
+        /// Identifier of the inbound request.
         inbound: InboundId,
         /// Next part of the body.
         chunk: Bytes,
     },
     /// End the answer to an inbound request: it is complete.
     AnswerEnd {
-        /// The request.
+        /// Identifier of the inbound request.
         inbound: InboundId,
     },
-    /// Abort the answer to an inbound request, so that its caller detects a broken transfer.
+    /// Abort the answer to an inbound request, so that the caller detects that it is incomplete.
     AnswerAbort {
-        /// The request.
+        /// Identifier of the inbound request.
         inbound: InboundId,
     },
     /// Send a request to the local back end.
@@ -77,7 +77,7 @@
     ReadBackEnd {
         /// Attempt whose answer is to be read.
         attempt: AttemptId,
-        /// Bytes that may be read in addition to earlier grants.
+        /// Additional bytes that may be read; the amounts of all actions are added up.
         bytes: u32,
     },
     /// Send a message to a peer; connect first if there is no link.
@@ -89,14 +89,14 @@
         /// The message.
         message: PeerMessage,
     },
-    /// Send a request to the platform.
+    /// Send a request to the platform's store.
     Store {
         /// Identifier that the reply carries.
         request: StoreRequestId,
         /// The request.
         body: StoreRequest,
     },
-    /// Cancel a request to the platform: its reply is no longer needed.
+    /// Cancel a request to the store: its reply is no longer needed.
     CancelStore {
         /// Request to cancel.
         request: StoreRequestId,
@@ -108,13 +108,14 @@
         /// The reply.
         reply: OperatorReply,
     },
-    /// Record an observation in logs or metrics.
+    /// Record an event in logs or metrics.
     Observe(Observation),
-    /// End the process: a stop was requested and nothing is in flight any more.
+    /// End the process: a stop was requested, nothing is in flight any more, and the node has left
+    /// the membership view.
     Exit,
 }
 
-/// An occurrence that is recorded in logs or metrics.
+/// An event that is recorded in logs or metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
     /// An inbound request was answered in full.
@@ -127,7 +128,7 @@
         /// Refusal that was sent.
         refusal: Refusal,
     },
-    /// An extra attempt was made.
+    /// A request was sent again in a further attempt.
     Retried,
     /// The node started (true) or stopped (false) serving requests.
     Serving(bool),
--- a/crates/rillgap-core/src/admission/mod.rs
+++ b/crates/rillgap-core/src/admission/mod.rs
@@ -1,13 +1,13 @@
 //! Admission control: how many requests a back end receives, in which order, and which are shed.
 //!
 //! - [`BackEndAdmission`] controls one back end: it holds an adaptive concurrency limit and a short
-//!   queue ordered by class, refuses requests that cannot meet their deadline, and publishes the
-//!   level below which requests would be shed.
-//! - [`EntryAdmission`] runs where root requests enter and refuses those that a downstream service
-//!   would shed.
-//! - [`RetryBudget`] limits retries to a fraction of successes.
+//!   queue ordered by class, refuses requests that cannot meet their deadline, and reports the
+//!   [`Level`] below which it sheds requests.
+//! - [`EntryAdmission`] runs where root requests (of external callers, not of back ends) enter and
+//!   refuses those that a downstream service would shed.
+//! - [`RetryBudget`] limits retries to a fraction of the successful requests.
 //!
-//! `docs/design/admission.md` compares the schemes.
+//! `docs/design/admission.md` compares this with other admission schemes.
 
 mod back_end;
 mod demand;
@@ -36,7 +36,7 @@
 use crate::request::Refusal;
 use crate::time::Instant;
 
-/// A request that waits to be started at the local back end.
+/// An attempt that asks to be started at the local back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
     /// Attempt that the ticket belongs to.
@@ -61,7 +61,8 @@
 pub enum Verdict {
     /// Start the attempt now.
     Start,
-    /// The ticket is queued; a [`QueueDecision`] follows unless it is cancelled.
+    /// The ticket is queued; a [`QueueDecision`] follows unless the attempt is cancelled
+    /// first.
     Queue,
     /// Refuse the attempt, which was not started.
     Refuse(Refusal),
--- a/crates/rillgap-operator/tests/calls.rs
+++ b/crates/rillgap-operator/tests/calls.rs
@@ -18,8 +18,9 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts a service whose node answers one request with `reply`; the task returns that request.
-async fn node_with(
+/// Starts a service whose node answers one request with `reply`; the returned task yields that
+/// request.
+async fn start_node(
     reply: OperatorReply,
 ) -> (OperatorClient, tokio::task::JoinHandle<OperatorRequest>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -63,8 +64,8 @@
 
 #[gtest]
 #[tokio::test]
-async fn policy_is_converted_unchanged_in_both_directions() -> Result<()> {
-    let (mut client, node) = node_with(OperatorReply::Change {
+async fn policy_survives_the_round_trip_to_and_from_the_wire_format() -> Result<()> {
+    let (mut client, node) = start_node(OperatorReply::Change {
         version: PolicyVersion(8),
         state: ChangeState::Accepted,
     })
@@ -91,18 +92,19 @@
         })
     )?;
 
-    let (mut client, _node) = node_with(OperatorReply::Policy(policy())).await;
+    let (mut client, _node) = start_node(OperatorReply::Policy(policy())).await;
     verify_that!(client.get_policy().await, ok(eq(&policy())))
 }
 
 #[gtest]
 #[tokio::test]
-async fn pending_change_names_machines() -> Result<()> {
+async fn pending_change_lists_the_missing_nodes() -> Result<()> {
     let state = ChangeState::Pending {
+        // More nodes are missing than are named.
         missing: 40,
         nodes: vec![NodeName::new("node-takst-1")],
     };
-    let (mut client, _node) = node_with(OperatorReply::Change {
+    let (mut client, _node) = start_node(OperatorReply::Change {
         version: PolicyVersion(3),
         state: state.clone(),
     })
@@ -117,7 +119,7 @@
 #[tokio::test]
 async fn every_result_code_reaches_the_client() -> Result<()> {
     for &code in ResultCode::ALL {
-        let (mut client, _node) = node_with(OperatorReply::Failed {
+        let (mut client, _node) = start_node(OperatorReply::Failed {
             code,
             version: PolicyVersion(12),
             detail: "reason".to_owned(),
--- a/crates/rillgap-sidecar/src/metrics.rs
+++ b/crates/rillgap-sidecar/src/metrics.rs
@@ -14,12 +14,12 @@
 use rillgap_forward::store_sync::StoreReply;
 
 /// Upper bound of the first latency bucket, in seconds.
-const FIRST_LATENCY_BUCKET: f64 = 0.001;
+const FIRST_LATENCY_BOUND: f64 = 0.001;
 /// Number of latency buckets; each bound is twice the one before.
 const LATENCY_BUCKETS: u16 = 14;
 
 /// Upper bound of the first bucket of the forwarding latency, in seconds.
-const FIRST_FORWARDING_BUCKET: f64 = 0.000_25;
+const FIRST_FORWARDING_BOUND: f64 = 0.000_25;
 /// Number of buckets of the forwarding latency; each bound is twice the one before.
 const FORWARDING_BUCKETS: u16 = 12;
 
@@ -47,13 +47,15 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct RetryLabels {
+    /// `yes` if the retry was charged to the retry budget, otherwise `no`.
     paid: &'static str,
 }
 
 /// Maximum number of tenants with a label of their own, which bounds the number of time series. All
 /// further tenants share one label.
 const MAX_TENANT_LABELS: usize = 200;
-/// Label that the further tenants share.
+/// Label shared by all tenants beyond [`MAX_TENANT_LABELS`]. A tenant of this name cannot be told
+/// apart from them.
 const OTHER_TENANTS_LABEL: &str = "other";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -66,10 +68,16 @@
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Arc<Registry>,
+    /// Answered requests, by status and result code.
     answers: Family<AnswerLabels, Counter>,
+    /// Time from the arrival of a request to its answer.
     latency: Histogram,
+    /// Time that nodes and links add to a request (metric `forwarding_latency`).
     forwarding: Histogram,
+    /// Requests that ended at the node of the back end without an answer (metric
+    /// `back_end_failures`).
     failures: Family<CodeLabels, Counter>,
+    /// Requests sent to another node (metric `moves`).
     retries: Family<RetryLabels, Counter>,
     tenants: Family<TenantLabels, Counter>,
     tenant_names: Arc<Mutex<BTreeSet<String>>>,
@@ -80,13 +88,14 @@
     unreadable_records: Counter,
     /// Connections that were opened to the back end.
     pub back_end_connections: Counter,
-    /// Calls of the platform or of back ends that were refused because they are malformed.
+    /// Calls to the control address that were refused because they are malformed.
     pub refused_control_calls: Counter,
     /// Log lines that were dropped because the queue of the log was full.
     pub log_lines_dropped: Counter,
     /// Version of the configuration in force.
     pub configuration_version: Gauge<u64, AtomicU64>,
-    /// Highest epoch of the store that the node has received; 0 if the store has sent none.
+    /// Highest epoch of the store that the node has received; 0 if the store has sent none
+    /// or is in its first epoch.
     pub store_epoch: Gauge<u64, AtomicU64>,
     /// Age of the proof that the configuration in force is the newest, in seconds; -1 without a
     /// proof.
@@ -97,7 +106,8 @@
     pub queued: Gauge<u64, AtomicU64>,
     /// Requests that may run at the back end at once.
     pub limit: Gauge<u64, AtomicU64>,
-    /// Contents of requests that are quarantined, because back ends crashed while they ran them.
+    /// Distinct requests (by content) that are refused because back ends crashed while running
+    /// them.
     pub quarantined: Gauge<u64, AtomicU64>,
     /// Peers with an open link.
     pub peers: Gauge<u64, AtomicU64>,
@@ -114,9 +124,9 @@
 impl Metrics {
     /// Creates and registers the metrics.
     pub fn new() -> Self {
-        let buckets = exponential_buckets(FIRST_LATENCY_BUCKET, 2.0, LATENCY_BUCKETS);
+        let buckets = exponential_buckets(FIRST_LATENCY_BOUND, 2.0, LATENCY_BUCKETS);
         let forwarding_buckets =
-            exponential_buckets(FIRST_FORWARDING_BUCKET, 2.0, FORWARDING_BUCKETS);
+            exponential_buckets(FIRST_FORWARDING_BOUND, 2.0, FORWARDING_BUCKETS);
         let mut metrics = Self {
             registry: Arc::default(),
             answers: Family::default(),
@@ -169,15 +179,18 @@
                 ..
             } => {
                 self.count_tenant(tenant, *status);
+                // Without a code of the node, the answer is that of a back end.
                 let code = code.map_or(0, |code| code.number());
                 let status = *status;
                 self.answers
                     .get_or_create(&AnswerLabels { status, code })
                     .inc();
                 self.latency.observe(*elapsed_micros as f64 / 1e6);
+                // The timing covers one attempt only; its time at the back end is 0 if no back end
+                // ran the request.
                 if *attempts == 1 && timing.back_end_micros > 0 {
-                    let elsewhere = timing.queued_micros + timing.back_end_micros;
-                    let added = elapsed_micros.saturating_sub(elsewhere);
+                    let outside_forwarding = timing.queued_micros + timing.back_end_micros;
+                    let added = elapsed_micros.saturating_sub(outside_forwarding);
                     self.forwarding.observe(added as f64 / 1e6);
                 }
             }
@@ -215,8 +228,8 @@
             .inc();
     }
 
-    /// Returns the label of a tenant: its name, or the label that is shared once there are too
-    /// many.
+    /// Returns the label of a tenant: its name, or [`OTHER_TENANTS_LABEL`] if
+    /// [`MAX_TENANT_LABELS`] others have their own.
     fn tenant_label(&self, tenant: &str) -> String {
         let mut names = self
             .tenant_names
@@ -271,12 +284,12 @@
         );
         registry.register(
             "back_end_failures",
-            "Requests that the node of the back end could not get answered, by result code",
+            "Requests that ended at the node of the back end without an answer, by result code",
             self.failures.clone(),
         );
         registry.register(
             "moves",
-            "Requests sent to another node, by whether the retry was paid from the retry budget",
+            "Requests sent to another node, by whether the retry was charged to the retry budget",
             self.retries.clone(),
         );
         registry.register(
@@ -296,12 +309,13 @@
         );
         registry.register(
             "store_epoch",
-            "Epoch of the store, which rises when it is restored from a backup; 0 if unknown",
+            "Epoch of the store, which rises when it is restored from a backup; 0 if it has sent \
+             none or is in its first one",
             self.store_epoch.clone(),
         );
         registry.register(
             "unreadable_records",
-            "Entries of the store that should be records of nodes but cannot be read",
+            "Unreadable node records in lists of the store; an entry counts again in every list",
             self.unreadable_records.clone(),
         );
         registry.register(
@@ -358,11 +372,16 @@
             ),
             (
                 "quarantined",
-                "Contents of requests that are refused because back ends crashed while they ran them",
+                "Distinct requests (by content) that are refused because back ends \
+                 crashed while running them",
                 &self.quarantined,
             ),
             ("peers", "Peers with an open link", &self.peers),
-            ("ready", "1 if the node accepts new callers", &self.ready),
+            (
+                "ready",
+                "1 if the node accepts new callers, otherwise 0",
+                &self.ready,
+            ),
         ];
         for (name, help, gauge) in gauges {
             registry.register(name, help, gauge.clone());
