--- a/crates/rillgap-core/src/admission/limit.rs
+++ b/crates/rillgap-core/src/admission/limit.rs
@@ -1,9 +1,10 @@
 //! Adaptive concurrency limit of one back end, adjusted by how its requests end.
 //!
 //! The slots of the policy are the upper bound. Below it, the limit grows by one per answer while
-//! it recovers (slow start), then by one per `limit` answers (additive increase). It is multiplied
-//! by [`DECREASE_FACTOR`] when the back end sheds, and falls to the start of slow start when
-//! requests keep failing.
+//! it recovers (slow start), then by one per `limit` answers (additive increase). An answer raises
+//! the limit only if at least [`MIN_USE_FOR_GROWTH`] of it was in use. The limit is multiplied by
+//! [`DECREASE_FACTOR`] when the back end sheds. After [`FAILURES_BEFORE_SLOW_START`] consecutive
+//! failures it drops to at most [`SLOW_START_FRACTION`] of the slots, and slow start begins again.
 
 use std::time::Duration;
 
@@ -13,12 +14,15 @@
 /// Factor applied to the limit when the back end sheds a request.
 const DECREASE_FACTOR: f64 = 0.8;
 /// Number of consecutive failures after which slow start begins again.
-const SLOW_START_FAILURES: u32 = 8;
+const FAILURES_BEFORE_SLOW_START: u32 = 8;
 /// Fraction of the slots at which slow start begins.
 const SLOW_START_FRACTION: f64 = 0.25;
+/// Minimum fraction of the limit that must be in use for an answer to raise the limit.
+const MIN_USE_FOR_GROWTH: f64 = 0.5;
 /// Minimum limit: one request is always admitted, so that the limit can recover.
 const MIN_LIMIT: f64 = 1.0;
-/// Minimum time between two decreases, so that one burst of shed requests counts once.
+/// Minimum time after a decrease during which shed requests do not decrease the limit again, so
+/// that one burst counts once. The latency of the shed request is used instead if it is longer.
 const MIN_COOLDOWN: Duration = Duration::from_millis(20);
 
 /// Adaptive concurrency limit.
@@ -45,7 +49,9 @@
 }
 
 impl ConcurrencyLimit {
-    /// Sets the upper bound. The first call begins slow start.
+    /// Sets the upper bound. After a change, growth up to the new bound is slow start. If the
+    /// previous bound was one slot, as it is initially, the limit becomes [`SLOW_START_FRACTION`]
+    /// of the new bound.
     pub fn configure(&mut self, slots: u16) {
         let slots = f64::from(slots.max(1));
         if slots == self.slots {
@@ -64,8 +70,8 @@
         self.limit as u32
     }
 
-    /// Adjusts the limit to the end of a request; `running` counts the running requests, including
-    /// this one.
+    /// Adjusts the limit when a request ends; `running` counts the running requests, including
+    /// that one.
     pub fn finish(
         &mut self,
         now: Instant,
@@ -82,8 +88,8 @@
 
     fn on_answered(&mut self, running: usize) {
         self.consecutive_failures = 0;
-        let in_use = running as f64 >= self.limit * 0.5;
-        if !in_use || self.limit >= self.slots {
+        let is_half_used = running as f64 >= self.limit * MIN_USE_FOR_GROWTH;
+        if !is_half_used || self.limit >= self.slots {
             return;
         }
         let growth = if self.limit < self.slow_start_until {
@@ -97,17 +103,17 @@
     fn on_shed(&mut self, now: Instant, latency: Duration) {
         self.consecutive_failures = 0;
         let cooldown = latency.max(MIN_COOLDOWN);
-        let cooling = self
+        let is_cooling_down = self
             .decreased_at
             .is_some_and(|at| now.saturating_since(at) < cooldown);
-        if !cooling {
+        if !is_cooling_down {
             self.decrease(now, self.limit * DECREASE_FACTOR);
         }
     }
 
     fn on_failed(&mut self, now: Instant) {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
-        if self.consecutive_failures >= SLOW_START_FAILURES {
+        if self.consecutive_failures >= FAILURES_BEFORE_SLOW_START {
             self.consecutive_failures = 0;
             self.decrease(now, self.limit.min(self.slots * SLOW_START_FRACTION));
             self.slow_start_until = self.slots;
--- a/crates/rillgap-core/src/call/outgoing.rs
+++ b/crates/rillgap-core/src/call/outgoing.rs
@@ -1,4 +1,4 @@
-//! State of a call that this node received from a caller or its back end and forwards.
+//! State of a call that this node forwards for a caller or for its local back end.
 
 use bytes::Bytes;
 
@@ -33,8 +33,10 @@
         /// Parts of the body forwarded so far.
         parts: u32,
     },
-    /// The caller was answered or has disconnected; the outcome of a keyed attempt is awaited.
-    Orphaned,
+    /// The attempt was cancelled because the caller was answered or has disconnected. A keyed call
+    /// is kept until the outcome of the attempt is known, because its claim may be released only
+    /// with proof that the attempt has not run.
+    Detached,
 }
 
 /// The current attempt of a call.
@@ -45,8 +47,9 @@
     /// Back end that runs it.
     pub target: Target,
     /// Time at which the attempt was started.
-    pub begun_at: Instant,
-    /// Extra attempts lent to it from the retry pool of the call.
+    pub started_at: Instant,
+    /// Extra attempts that this attempt may spend downstream, subtracted from the
+    /// [`RetryPool`](super::retry_pool::RetryPool) of the call.
     pub lent: u8,
     /// Progress of the attempt.
     pub phase: Phase,
@@ -59,15 +62,15 @@
     pub id: CallId,
     /// Inbound request that is answered with the result of the call.
     pub inbound: InboundId,
-    /// Root request of its chain.
+    /// First request of the chain of calls to which this call belongs.
     pub root: RootId,
-    /// Local attempt for which it was made; `None` for a root request.
+    /// Local attempt for which this call was made; `None` for a root request.
     pub parent: Option<ParentLink>,
     /// Service that is addressed.
     pub service: ServiceName,
     /// Route that it matches.
     pub route: RouteId,
-    /// Class, inherited from the root.
+    /// Class, inherited from the root request.
     pub class: Class,
     /// Whether the request may run more than once.
     pub repeatable: bool,
@@ -89,7 +92,7 @@
     pub next_attempt: u16,
     /// Current attempt; `None` before the first one.
     pub attempt: Option<CurrentAttempt>,
-    /// Failure of the last earlier attempt that may have run; `None` if there was none.
+    /// Failure of the latest of the earlier attempts that may have run; `None` if there was none.
     pub earlier_failure: Option<Refusal>,
 }
 
--- a/crates/rillgap-core/src/call/ports.rs
+++ b/crates/rillgap-core/src/call/ports.rs
@@ -1,4 +1,5 @@
-//! Output of the data path: messages to peers and to the node itself, and actions.
+//! Access of the data path to the node's other subsystems, and its outputs: messages to peers and
+//! to the node itself, and actions for the driver.
 
 use std::collections::VecDeque;
 
@@ -7,7 +8,8 @@
 use crate::message::{CallMessage, PeerMessage};
 use crate::node::Context;
 
-/// The node's other subsystems, and the outputs of the data path.
+/// Access of the data path to the node's other subsystems, and its outputs. These are not network
+/// ports.
 #[derive(Debug)]
 pub struct Ports<'a, 'b> {
     /// Other subsystems, and the actions for the driver.
--- a/crates/rillgap-core/src/call/sender/answers.rs
+++ b/crates/rillgap-core/src/call/sender/answers.rs
@@ -83,7 +83,7 @@
         let Some(phase) = self.current(attempt).and_then(|call| call.phase()) else {
             return;
         };
-        if phase != (Phase::Answering { parts }) && phase != Phase::Orphaned {
+        if phase != (Phase::Answering { parts }) && phase != Phase::Detached {
             self.abort_answer(now, attempt, ports);
             return;
         }
@@ -103,7 +103,7 @@
                 .claims
                 .complete(now, attempt, context.membership, context.out);
         }
-        if phase != Phase::Orphaned {
+        if phase != Phase::Detached {
             let latency = now.instant.saturating_since(call.arrived);
             ports.emit(Action::AnswerEnd {
                 inbound: call.inbound,
@@ -162,7 +162,7 @@
         let phase = call.phase();
         self.restore(attempt, u8::MAX, runner);
         self.report_attempt_end(now, attempt, target_result(refusal));
-        if phase == Some(Phase::Orphaned) {
+        if phase == Some(Phase::Detached) {
             self.release_claim(now, attempt, ports);
             self.remove(attempt.call);
             return;
@@ -270,7 +270,7 @@
 
 fn report_to_router(router: &mut Router, now: Now, call: &OutgoingCall, result: TargetResult) {
     if let Some(current) = &call.attempt {
-        let latency = now.instant.saturating_since(current.begun_at);
+        let latency = now.instant.saturating_since(current.started_at);
         router.on_finished(now.instant, &current.target, latency, result);
     }
 }
--- a/crates/rillgap-core/src/call/sender/attempts.rs
+++ b/crates/rillgap-core/src/call/sender/attempts.rs
@@ -50,7 +50,7 @@
         call.attempt = Some(CurrentAttempt {
             id: attempt,
             target: target.clone(),
-            begun_at: now.instant,
+            started_at: now.instant,
             lent: 0,
             phase,
         });
--- a/crates/rillgap-core/src/call/sender/completion.rs
+++ b/crates/rillgap-core/src/call/sender/completion.rs
@@ -68,7 +68,7 @@
         };
         let inbound = call.inbound;
         match call.phase() {
-            Some(Phase::Orphaned) => {
+            Some(Phase::Detached) => {
                 if let Some(attempt) = call.attempt.as_ref().map(|attempt| attempt.id) {
                     self.abandon_claim(now, attempt, ports);
                 }
@@ -119,7 +119,7 @@
                 attempt: current.id,
             };
             ports.send(current.target.node, message);
-            current.phase = Phase::Orphaned;
+            current.phase = Phase::Detached;
         }
         if !holds_claim {
             if let Some(call) = self.remove(id) {
--- a/crates/rillgap-core/src/claim/claimant/guard_query.rs
+++ b/crates/rillgap-core/src/claim/claimant/guard_query.rs
@@ -58,7 +58,7 @@
         };
         pending.stage = Stage::QueryingGuard {
             holder,
-            ends: now.instant + GUARD_TIMEOUT,
+            reply_deadline: now.instant + GUARD_TIMEOUT,
         };
         self.send_guard_query(now, attempt);
     }
@@ -67,7 +67,11 @@
         let Some(pending) = self.pending.get(&attempt) else {
             return;
         };
-        let Stage::QueryingGuard { holder, ends } = &pending.stage else {
+        let Stage::QueryingGuard {
+            holder,
+            reply_deadline,
+        } = &pending.stage
+        else {
             return;
         };
         let query = GuardQuery {
@@ -79,7 +83,7 @@
             claimant: attempt,
         };
         let to = holder.guard.node;
-        let wake = (now.instant + GUARD_RESEND_INTERVAL).min(*ends);
+        let wake = (now.instant + GUARD_RESEND_INTERVAL).min(*reply_deadline);
         self.send(to, ClaimMessage::GuardQuery(query));
         self.schedule_timer(attempt, wake);
     }
--- a/crates/rillgap-core/src/claim/claimant/mod.rs
+++ b/crates/rillgap-core/src/claim/claimant/mod.rs
@@ -148,12 +148,12 @@
             return;
         }
         match &pending.stage {
-            Stage::Voting { ends, .. } if now.instant >= *ends => {
+            Stage::Voting { round_deadline, .. } if now.instant >= *round_deadline => {
                 self.conclude(now, attempt, true, settings, electorate);
             }
             Stage::Voting { .. } => self.resend_claims(now, attempt),
             Stage::BackingOff => self.begin_round(now, attempt, electorate),
-            Stage::QueryingGuard { ends, .. } if now.instant >= *ends => {
+            Stage::QueryingGuard { reply_deadline, .. } if now.instant >= *reply_deadline => {
                 self.refuse(attempt, ResultCode::AnswerLost);
             }
             Stage::QueryingGuard { .. } => self.send_guard_query(now, attempt),
--- a/crates/rillgap-core/src/claim/claimant/pending.rs
+++ b/crates/rillgap-core/src/claim/claimant/pending.rs
@@ -18,7 +18,8 @@
     pub request: ClaimRequest,
     /// Refused attempt whose claim this one takes over; `None` if there is none.
     pub replaces: Option<AttemptId>,
-    /// Earlier holder of the key that its guard has barred; `None` if there is none.
+    /// Earlier attempt that held the key and that its
+    /// [`DispatchGuard`](crate::claim::DispatchGuard) will never start; `None` if there is none.
     pub barred: Option<AttemptId>,
     /// Current round; 0 before the first.
     pub round: Round,
@@ -26,7 +27,7 @@
     pub group: Vec<NodeId>,
     /// What the claim waits for.
     pub stage: Stage,
-    /// Time of the next timer.
+    /// Time at which the current stage is continued or times out; at most the request's deadline.
     pub wake: Instant,
 }
 
@@ -37,17 +38,18 @@
     Voting {
         /// Votes received in this round.
         tally: Tally,
-        /// Time at which the round ends.
-        ends: Instant,
+        /// Time at which the round times out.
+        round_deadline: Instant,
     },
-    /// The end of the backoff before the next round.
+    /// The end of the backoff before the next round. A new claim also has this stage until its
+    /// first round begins.
     BackingOff,
     /// The reply of the guard of the attempt that holds the key.
     QueryingGuard {
         /// Attempt that holds the key.
         holder: KeyHolder,
         /// Time at which the guard counts as unreachable.
-        ends: Instant,
+        reply_deadline: Instant,
     },
 }
 
@@ -71,7 +73,7 @@
     }
 
     /// Returns the message that requests the vote of a replica.
-    pub fn claim(&self, now: Now) -> Claim {
+    pub fn claim_message(&self, now: Now) -> Claim {
         let protected = self.protected_until().saturating_since(now.instant);
         Claim {
             key: self.request.keyed.key,
--- a/crates/rillgap-core/src/claim/claimant/voting.rs
+++ b/crates/rillgap-core/src/claim/claimant/voting.rs
@@ -58,7 +58,7 @@
         }
         pending.stage = Stage::Voting {
             tally: Tally::new(&pending.group),
-            ends: now.instant + ROUND_TIMEOUT,
+            round_deadline: now.instant + ROUND_TIMEOUT,
         };
         self.resend_claims(now, attempt);
     }
@@ -68,12 +68,16 @@
         let Some(pending) = self.pending.get(&attempt) else {
             return;
         };
-        let Stage::Voting { tally, ends } = &pending.stage else {
+        let Stage::Voting {
+            tally,
+            round_deadline,
+        } = &pending.stage
+        else {
             return;
         };
-        let wake = (now.instant + VOTE_RESEND_INTERVAL).min(*ends);
+        let wake = (now.instant + VOTE_RESEND_INTERVAL).min(*round_deadline);
         let missing: Vec<NodeId> = tally.missing().collect();
-        let message = ClaimMessage::Claim(Box::new(pending.claim(now)));
+        let message = ClaimMessage::Claim(Box::new(pending.claim_message(now)));
         self.send_all(&missing, &message);
         self.schedule_timer(attempt, wake);
     }
--- a/crates/rillgap-core/src/claim/claims.rs
+++ b/crates/rillgap-core/src/claim/claims.rs
@@ -83,7 +83,7 @@
         membership: &impl Electorate,
         out: &mut Outbox,
     ) {
-        self.counters.acquired += 1;
+        self.counters.requested += 1;
         self.claimant
             .acquire(now, request, None, &self.settings, membership);
         self.dispatch_outgoing(now, membership, out);
@@ -98,7 +98,7 @@
         membership: &impl Electorate,
         out: &mut Outbox,
     ) {
-        self.counters.acquired += 1;
+        self.counters.requested += 1;
         self.claimant
             .acquire(now, request, Some(refused), &self.settings, membership);
         self.dispatch_outgoing(now, membership, out);
--- a/crates/rillgap-core/src/claim/counters.rs
+++ b/crates/rillgap-core/src/claim/counters.rs
@@ -1,10 +1,10 @@
-//! Counts claims, their results and their messages.
+//! Counters of claims, their results and their messages.
 
 /// Counters of the claim protocol at one node since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClaimCounters {
-    /// Claims that the data path requested, including reassigned ones.
-    pub acquired: u64,
+    /// Claims that the data path requested, including reassignments to a new attempt.
+    pub requested: u64,
     /// Claims that a majority granted.
     pub granted: u64,
     /// Claims that ended with the stored answer of an already completed key.
--- a/crates/rillgap-core/src/claim/mod.rs
+++ b/crates/rillgap-core/src/claim/mod.rs
@@ -1,9 +1,9 @@
 //! Runs at most one attempt for each idempotency key.
 //!
-//! Two checks prevent a key from running twice. Before dispatch, a majority of the key's replicas
-//! must grant the attempt a claim ([`Claims`]). At the back end's node, the [`DispatchGuard`]
-//! starts a key at most once and never starts a barred attempt. `docs/design/claims.md` explains
-//! why both are needed.
+//! Two checks prevent a request from running twice. Before dispatch, a majority of the key's
+//! replicas must grant the attempt a claim ([`Claims`]). At the back end's node, the
+//! [`DispatchGuard`] starts at most one attempt per key and never starts a barred attempt.
+//! `docs/design/claims.md` explains why both are needed.
 
 pub mod answer;
 pub mod claimant;
@@ -53,7 +53,7 @@
         /// smaller of this value and the budget that the request arrived with.
         budget: u8,
     },
-    /// The key has already completed with this answer.
+    /// An earlier attempt with this key has completed with this answer.
     Completed(RememberedAnswer),
     /// The attempt must not be dispatched; the result code says what is known about the key.
     Refused(Refusal),
--- a/crates/rillgap-core/src/code.rs
+++ b/crates/rillgap-core/src/code.rs
@@ -65,7 +65,7 @@
 result_codes! {
     /// Success.
     Ok = 0, 200, Completed, "success";
-    /// A header is missing, malformed or contradictory.
+    /// A header is missing or contradictory, or the request or its body is malformed.
     MalformedRequest = 10, 400, NotRun, "malformed request";
     /// The route requires an `Idempotency-Key`, but none was sent.
     KeyRequired = 11, 400, NotRun, "idempotency key required";
@@ -86,17 +86,20 @@
     HeadersTooLong = 18, 431, NotRun, "request headers too long";
     /// The request was not received completely in time.
     RequestTimeout = 19, 408, NotRun, "request not received in time";
-    /// A back end's own call did not carry the token of a running call.
+    /// A call from a back end did not carry the token of the running request on whose behalf it is
+    /// made, or came from an address that the listener does not admit.
     TokenInvalid = 20, 403, NotRun, "call token missing, stale or unknown";
     /// A back end made more calls for one inbound call than are allowed.
     CallBoundExceeded = 21, 429, NotRun, "too many calls for one request";
-    /// The budget of extra attempts of the chain is spent.
+    /// The retry budget shared by all calls of one root request, or by all requests with the same
+    /// idempotency key, is used up.
     RetryBudgetSpent = 22, 429, NotRun, "retry budget of the chain spent";
     /// The route requires an API key, but no known key was sent.
     Unauthenticated = 23, 401, NotRun, "key missing or unknown";
     /// The tenant has reached its rate limit.
     LimitReached = 24, 429, NotRun, "tenant at its limit";
-    /// The request was shed at the entry because a downstream service is overloaded.
+    /// The request was shed at the entry, because a downstream service is overloaded or the entry
+    /// itself has reached a limit.
     Overloaded = 40, 503, NotRun, "overloaded, shed at the entry";
     /// The queue of the back end was full, or too slow for the class of the request.
     QueueFull = 41, 503, NotRun, "overloaded, shed at the back end";
@@ -104,16 +107,17 @@
     DeadlineUnmet = 42, 504, NotRun, "deadline cannot be met";
     /// No back end of the service accepts new requests.
     NoBackEnd = 43, 503, NotRun, "no back end available";
-    /// The back end is leaving service.
+    /// The back end is draining, or the instance that was to run the request is gone or was
+    /// replaced.
     BackEndLeaving = 44, 503, NotRun, "back end leaving service";
     /// The node is stopping.
     NodeStopping = 45, 503, NotRun, "node stopping";
     /// The node has no confirmed policy or membership, so it does not serve requests yet.
     NotReady = 46, 503, NotRun, "node not ready";
-    /// The attempt was sent to an earlier incarnation of the back end's node.
+    /// The attempt was meant for another incarnation (process run) of the back end's node.
     WrongIncarnation = 47, 503, NotRun, "attempt meant for an earlier run";
-    /// Another attempt with the same key barred this one before it arrived, and may itself have
-    /// been executed.
+    /// Another attempt with the same key prevented this one from starting; that other attempt may
+    /// have been executed.
     AttemptBarred = 48, 409, Unknown, "attempt barred by another one of its key";
     /// The back end refused the request without executing it.
     BackEndShed = 49, 503, NotRun, "back end shed the request";
@@ -123,7 +127,8 @@
     Cancelled = 51, 499, NotRun, "cancelled before it was started";
     /// The configuration is not known to be recent enough to authenticate keys.
     ConfigurationUnproven = 52, 503, NotRun, "configuration not known to be the newest";
-    /// The node that owns the bucket of the tenant's limit did not answer.
+    /// The token bucket of the tenant's rate limit has no owner, or its owner did not answer in
+    /// time.
     LimitUnknown = 53, 503, NotRun, "tenant's limit cannot be asked for";
     /// The parent request of this call is no longer running on the node.
     ParentEnded = 54, 503, NotRun, "the request that the call is made for has ended";
@@ -133,11 +138,12 @@
     AnswerTimeout = 70, 504, Unknown, "no answer in time";
     /// The connection to the node or back end was lost after the request was sent.
     AnswerLost = 71, 502, Unknown, "answer lost";
-    /// Another attempt with the same key is running.
+    /// Another attempt of the same request is running or may have run.
     InProgress = 72, 409, Unknown, "an attempt with this key is running";
-    /// The node that executed the request with this key has ended, and its result is lost.
+    /// The request with this key was started, but its result is not known: the attempt failed, or
+    /// its node has ended or restarted.
     ResultLost = 73, 502, Unknown, "result of this key lost";
-    /// No majority of the replicas of the key's claim answered.
+    /// No majority of the key's claim replicas granted or settled the claim in time.
     NoQuorum = 74, 503, Unknown, "no majority of claim replicas";
     /// The answer ended before it was complete.
     AnswerBroken = 75, 502, Unknown, "answer broken off";
@@ -151,7 +157,7 @@
     PolicyInvalid = 100, 400, NotRun, "policy invalid";
     /// The policy in force is not the expected version.
     VersionConflict = 101, 409, NotRun, "policy version conflict";
-    /// The change is stored, but not yet confirmed by every machine.
+    /// The change is stored, but not yet confirmed by every member of the view.
     ChangePending = 102, 202, Unknown, "change pending";
     /// No change with this identifier is known.
     ChangeUnknown = 103, 404, NotRun, "change unknown";
@@ -167,7 +173,7 @@
     MeshVersion = 150, 502, NotRun, "mesh protocol version mismatch";
     /// A mesh frame is malformed or too long.
     MeshFrame = 151, 502, NotRun, "mesh frame malformed";
-    /// A settings file cannot be read.
+    /// A settings or policy file cannot be read.
     SettingsUnreadable = 170, 500, NotRun, "settings unreadable";
     /// A setting is unknown or out of range.
     SettingsInvalid = 171, 500, NotRun, "settings invalid";
--- a/crates/rillgap-core/src/configuration/confirmation.rs
+++ b/crates/rillgap-core/src/configuration/confirmation.rs
@@ -103,8 +103,9 @@
         self.state == ConfirmationState::Confirmed
     }
 
-    /// Returns whether enough queries to peers brought no confirmation to read the store instead.
-    pub fn peers_exhausted(&self) -> bool {
+    /// Returns whether [`ATTEMPTS_BEFORE_STORE`] attempts to query peers have not confirmed the
+    /// policy, so that a store reader reads the store.
+    pub fn peer_queries_failed(&self) -> bool {
         !self.is_confirmed() && self.attempts >= ATTEMPTS_BEFORE_STORE
     }
 
--- a/crates/rillgap-core/src/configuration/engine.rs
+++ b/crates/rillgap-core/src/configuration/engine.rs
@@ -1,5 +1,5 @@
-//! Dispatches messages, replies of the store and requests of operators to the parts of the
-//! configuration.
+//! Routes peer messages, store replies and operator requests to the components of the
+//! configuration: confirmation, store reads, distribution to peers, changes and look-ups.
 
 use std::sync::Arc;
 
@@ -22,7 +22,8 @@
 use crate::store::{StoreReply, StoreRequestId};
 use crate::time::Instant;
 
-/// State of the configuration at one node, without the identifiers of its store requests.
+/// Components of [`Configuration`](super::Configuration), which supplies the [`StepContext`] of
+/// each call and numbers the store requests.
 #[derive(Debug)]
 pub struct Engine {
     held: HeldDocument,
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Records the time of a step, so that a pause of the process is detected.
+    /// Records the time at which the node handles an event; a long gap since the last one means
+    /// that the process was paused.
     pub fn record_step_time(&mut self, now: Instant) {
         self.confirmation.record_step_time(now);
     }
@@ -69,8 +71,9 @@
         in_force.then(|| self.held.policy())
     }
 
-    /// Returns the query round of the confirmation.
-    pub fn round(&self) -> u64 {
+    /// Returns the number of the current round of queries to peers. Answers from earlier rounds do
+    /// not confirm the policy.
+    pub fn query_round(&self) -> u64 {
         self.confirmation.round()
     }
 
@@ -174,11 +177,11 @@
         }
     }
 
-    /// Runs what is due in each part.
+    /// Sends the queries, store reads and fetches that are due, and handles timeouts.
     pub fn poll(&mut self, context: &mut StepContext<'_>) {
         self.confirmation.poll(context, self.held.version());
         self.watch.poll(context);
-        if self.may_read_store(context) {
+        if self.needs_store_confirmation(context) {
             self.linearizable_read.poll(context);
         }
         self.spread.poll(context, self.held.version());
@@ -187,7 +190,9 @@
         self.acceptance.poll(context);
     }
 
-    /// Returns when [`Self::poll`] must be called next.
+    /// Returns when [`Self::poll`] must be called next, at the latest at the next check for a pause
+    /// of the process. Reads of the watch and linearizable reads are not included: a read that is
+    /// due begins at the next call of [`Self::poll`].
     pub fn next_wake(&self) -> Instant {
         let periodic = self.confirmation.next_wake().min(self.spread.next_wake());
         let pending = [
@@ -198,8 +203,10 @@
         pending.into_iter().flatten().fold(periodic, Instant::min)
     }
 
-    fn may_read_store(&self, context: &StepContext<'_>) -> bool {
-        self.confirmation.peers_exhausted() && context.membership.is_store_reader()
+    /// Returns whether queries to peers have not confirmed the policy, so that this store reader
+    /// confirms it by a linearizable read.
+    fn needs_store_confirmation(&self, context: &StepContext<'_>) -> bool {
+        self.confirmation.peer_queries_failed() && context.membership.is_store_reader()
     }
 
     fn get_policy(&mut self, context: &mut StepContext<'_>, request: OperatorRequestId) {
@@ -314,7 +321,8 @@
         }
     }
 
-    /// Handles a reply of the store to a look-up or a change of an operator.
+    /// Handles a store reply that belongs to an operator's look-up or change. Ignores any other
+    /// reply, such as that to a failed read of the watch.
     fn on_operator_store_reply(
         &mut self,
         context: &mut StepContext<'_>,
@@ -356,8 +364,8 @@
         self.adopt(context, document, update, None);
     }
 
-    /// Replaces the held document if `document` has a higher version, and forwards the update to
-    /// other nodes, except `from`.
+    /// If `document` has a higher version, replaces the held document, forwards the update to other
+    /// nodes except `from`, and makes the next queries due at once if the policy is unconfirmed.
     fn adopt(
         &mut self,
         context: &mut StepContext<'_>,
--- a/crates/rillgap-core/src/configuration/mod.rs
+++ b/crates/rillgap-core/src/configuration/mod.rs
@@ -147,7 +147,7 @@
         let context = StepContext {
             now: now.instant,
             may_serve: membership.may_serve(now),
-            round: self.engine.round(),
+            round: self.engine.query_round(),
             membership,
             request_ids: &mut self.request_ids,
             out,
--- a/crates/rillgap-forward/src/crash/register.rs
+++ b/crates/rillgap-forward/src/crash/register.rs
@@ -1,4 +1,5 @@
-//! Register of the crash evidence that a node has, by content.
+//! Collects evidence of which requests crash back ends. Requests are identified by the fingerprint
+//! of their content; see the [module documentation](super).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,10 +21,11 @@
 
 /// Maximum age of crashes that count as one series.
 const CRASH_SERIES_WINDOW: Duration = Duration::from_secs(10);
-/// Number of unexplained crashes in one series from which the evidence against a request is weak. A
-/// crash is unexplained if the request was not in flight and no other one was the only suspect:
-/// with so many of them, the request may have been in flight at other crashes by chance. One or two
-/// may be the first crashes of another request that crashes back ends.
+/// Minimum number of unexplained crashes in one series for which the evidence against a request is
+/// weak. From the view of a request, a crash is unexplained if that request was not in flight and
+/// no other request was the only suspect. With so many unexplained crashes, the request may have
+/// been in flight at the others by chance. Fewer do not weaken the evidence: they may be the first
+/// crashes caused by another request.
 const MIN_UNEXPLAINED_CRASHES: usize = 3;
 
 /// A content whose suspicion has changed.
@@ -39,22 +41,24 @@
     pub crashes_as_only_suspect: usize,
 }
 
-/// Crash evidence that a node has, by content.
+/// Crash evidence held by a node, by content fingerprint.
 #[derive(Clone, Debug, Default)]
 pub struct CrashRegister {
     contents: BTreeMap<Fingerprint, Evidence>,
-    /// Contents that the back end beside the node has answered recently.
+    /// Contents that the local back end has answered recently.
     recent_answers: RecentAnswers,
-    /// Contents that are recurrent or quarantined. Only these affect requests at their entry node.
-    recurrent: BTreeSet<Fingerprint>,
+    /// Contents with suspicion [`Suspicion::Recurrent`] or higher. Entry nodes check requests for
+    /// these only.
+    recurrent_or_quarantined: BTreeSet<Fingerprint>,
     /// Contents whose evidence must be sent to peers.
-    changed: BTreeSet<Fingerprint>,
-    changes: Vec<SuspicionChange>,
+    unsent: BTreeSet<Fingerprint>,
+    /// Changes of suspicion that were not yet taken to be logged.
+    suspicion_changes: Vec<SuspicionChange>,
     next_eviction: Instant,
 }
 
 impl CrashRegister {
-    /// Returns whether there is no evidence, so that no request need be looked up.
+    /// Returns whether there is no evidence, in which case requests do not have to be looked up.
     pub fn is_empty(&self) -> bool {
         self.contents.is_empty()
     }
@@ -62,13 +66,13 @@
     /// Returns whether there are recurrent or quarantined contents, which entry nodes must check
     /// for.
     pub fn has_recurrent(&self) -> bool {
-        !self.recurrent.is_empty()
+        !self.recurrent_or_quarantined.is_empty()
     }
 
     /// Returns the number of quarantined contents.
     pub fn quarantined(&self, now: Instant) -> usize {
-        let recurrent = self.recurrent.iter();
-        recurrent
+        let contents = self.recurrent_or_quarantined.iter();
+        contents
             .filter(|content| self.suspicion(now, **content) == Suspicion::Quarantined)
             .count()
     }
@@ -79,11 +83,14 @@
         evidence.map_or(Suspicion::Clear, |evidence| evidence.suspicion(now))
     }
 
-    /// Returns the time until the quarantine of a content ends, in milliseconds; zero without
-    /// evidence.
+    /// Returns the time, in milliseconds, until a quarantine that began with the last crash of a
+    /// content ends; zero without evidence. The result does not show whether the content is
+    /// quarantined.
     pub fn quarantine_remaining_millis(&self, now: Instant, content: Fingerprint) -> u32 {
         let evidence = self.contents.get(&content);
-        let left = evidence.map_or(Duration::ZERO, |known| known.quarantine_remaining(now));
+        let left = evidence.map_or(Duration::ZERO, |evidence| {
+            evidence.quarantine_remaining(now)
+        });
         u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
     }
 
@@ -125,14 +132,14 @@
     /// flight and no other content was the only suspect.
     fn unexplained_crashes(&self, now: Instant, current: CrashId, content: Fingerprint) -> usize {
         let mut explained: BTreeMap<CrashId, bool> = BTreeMap::new();
-        for known in self.contents.values() {
-            for (crash, was_only_suspect) in known.recent(now, CRASH_SERIES_WINDOW) {
+        for evidence in self.contents.values() {
+            for (crash, was_only_suspect) in evidence.recent(now, CRASH_SERIES_WINDOW) {
                 *explained.entry(crash).or_default() |= was_only_suspect;
             }
         }
         let own = self.contents.get(&content);
         let was_in_flight = |crash: CrashId| {
-            crash == current || own.is_some_and(|known| known.was_in_flight_at(crash))
+            crash == current || own.is_some_and(|evidence| evidence.was_in_flight_at(crash))
         };
         let unexplained = explained.iter().filter(|(_, is_explained)| !**is_explained);
         unexplained
@@ -152,33 +159,34 @@
         }
     }
 
-    /// Merges the evidence of a peer. Returns whether this node exonerates any of it, of which the
-    /// peer has no record.
+    /// Merges the evidence of a peer. Returns whether this node has exonerated any of these
+    /// contents because of an earlier answer. The exoneration must be sent to the peer too, which
+    /// does not have it.
     pub fn merge(&mut self, now: Instant, evidence: &[ContentEvidence]) -> bool {
         let mut exonerates = false;
-        for message in evidence {
-            exonerates |= self.merge_one(now, message);
+        for content_evidence in evidence {
+            exonerates |= self.merge_one(now, content_evidence);
         }
         exonerates
     }
 
     /// Merges the evidence against one content. Returns whether this node has exonerated the
     /// content because of an earlier answer.
-    fn merge_one(&mut self, now: Instant, message: &ContentEvidence) -> bool {
-        let is_new = !self.contents.contains_key(&message.content);
+    fn merge_one(&mut self, now: Instant, content_evidence: &ContentEvidence) -> bool {
+        let is_new = !self.contents.contains_key(&content_evidence.content);
         if is_new {
-            if Evidence::from_message(now, message).is_expired(now) {
+            if Evidence::from_message(now, content_evidence).is_expired(now) {
                 return false;
             }
             self.evict_if_full(now);
         }
-        let evidence = self.contents.entry(message.content).or_default();
+        let evidence = self.contents.entry(content_evidence.content).or_default();
         let before = evidence.suspicion(now);
-        let has_changed = evidence.merge(now, message);
-        let was_answered = is_new && self.recent_answers.contains(now, message.content);
+        let has_changed = evidence.merge(now, content_evidence);
+        let was_answered = is_new && self.recent_answers.contains(now, content_evidence.content);
         let exonerates = was_answered && evidence.exonerate();
         if has_changed || exonerates {
-            self.record_change(now, message.content, before);
+            self.record_change(now, content_evidence.content, before);
         }
         exonerates
     }
@@ -188,16 +196,16 @@
         let Some(evidence) = self.contents.get(&content) else {
             return;
         };
-        self.changed.insert(content);
+        self.unsent.insert(content);
         let suspicion = evidence.suspicion(now);
         if suspicion >= Suspicion::Recurrent {
-            self.recurrent.insert(content);
+            self.recurrent_or_quarantined.insert(content);
         } else {
-            self.recurrent.remove(&content);
+            self.recurrent_or_quarantined.remove(&content);
         }
-        let is_relevant = suspicion.max(before) >= Suspicion::Recurrent;
-        if suspicion != before && is_relevant {
-            self.changes.push(SuspicionChange {
+        let is_reported = suspicion.max(before) >= Suspicion::Recurrent;
+        if suspicion != before && is_reported {
+            self.suspicion_changes.push(SuspicionChange {
                 content,
                 suspicion,
                 crashes: evidence.crashes(),
@@ -206,23 +214,27 @@
         }
     }
 
-    /// Evicts the least important evidence if the register is full. Many contents of a single crash
-    /// must not evict the evidence against those that were in flight at several.
+    /// Evicts the evidence with the lowest suspicion if the register is full; among equals, that
+    /// with the oldest last crash. Contents that were in flight at one crash, however many, must
+    /// not displace those that were in flight at several crashes.
     fn evict_if_full(&mut self, now: Instant) {
         if self.contents.len() < MAX_CONTENTS {
             return;
         }
-        let weight = |known: &Evidence| (known.suspicion(now), Reverse(known.age(now)));
-        let lightest = self.contents.iter().min_by_key(|(_, known)| weight(known));
-        if let Some(content) = lightest.map(|(content, _)| *content) {
+        let priority = |evidence: &Evidence| (evidence.suspicion(now), Reverse(evidence.age(now)));
+        let least_important = self
+            .contents
+            .iter()
+            .min_by_key(|(_, evidence)| priority(evidence));
+        if let Some(content) = least_important.map(|(content, _)| *content) {
             self.remove(content);
         }
     }
 
     fn remove(&mut self, content: Fingerprint) {
         self.contents.remove(&content);
-        self.recurrent.remove(&content);
-        self.changed.remove(&content);
+        self.recurrent_or_quarantined.remove(&content);
+        self.unsent.remove(&content);
     }
 
     /// Evicts expired evidence.
@@ -234,7 +246,7 @@
         let expired = self
             .contents
             .iter()
-            .filter(|(_, known)| known.is_expired(now));
+            .filter(|(_, evidence)| evidence.is_expired(now));
         let expired: Vec<Fingerprint> = expired.map(|(content, _)| *content).collect();
         for content in expired {
             self.remove(content);
@@ -242,10 +254,10 @@
     }
 
     /// Takes the evidence that has changed since the last call. Evidence of several crashes is sent
-    /// to all nodes. The rest is sent only to nodes beside back ends of the same service, which
-    /// need it to detect the second crash of a content.
-    pub fn take_updates(&mut self, now: Instant) -> EvidenceUpdate {
-        let contents = std::mem::take(&mut self.changed);
+    /// to all nodes. The rest is sent only to nodes with a local back end of the same service,
+    /// which need it to detect the second crash of a content.
+    pub fn take_unsent_evidence(&mut self, now: Instant) -> EvidenceUpdate {
+        let contents = std::mem::take(&mut self.unsent);
         let changed = contents.iter().filter_map(|content| {
             let evidence = self.contents.get(content)?;
             Some((content, evidence))
@@ -258,9 +270,10 @@
         sort_evidence(now, self.contents.iter())
     }
 
-    /// Takes the changes of suspicions since the last call.
-    pub fn take_changes(&mut self) -> Vec<SuspicionChange> {
-        std::mem::take(&mut self.changes)
+    /// Takes the changes of suspicion since the last call, which are to be logged. Changes between
+    /// clear and suspected are not included.
+    pub fn take_suspicion_changes(&mut self) -> Vec<SuspicionChange> {
+        std::mem::take(&mut self.suspicion_changes)
     }
 }
 
@@ -269,7 +282,7 @@
 pub struct EvidenceUpdate {
     /// Evidence for all nodes.
     pub for_all: Vec<ContentEvidence>,
-    /// Evidence only for nodes beside back ends of the same service.
+    /// Evidence only for nodes with a local back end of the same service.
     pub for_service: Vec<ContentEvidence>,
 }
 
@@ -279,9 +292,9 @@
     evidence: impl Iterator<Item = (&'a Fingerprint, &'a Evidence)>,
 ) -> EvidenceUpdate {
     let mut sorted = EvidenceUpdate::default();
-    for (content, known) in evidence {
-        let message = known.to_message(now, *content);
-        if known.has_several_crashes() {
+    for (content, evidence) in evidence {
+        let message = evidence.to_message(now, *content);
+        if evidence.has_several_crashes() {
             sorted.for_all.push(message);
         } else {
             sorted.for_service.push(message);
--- a/crates/rillgap-forward/src/node/evidence.rs
+++ b/crates/rillgap-forward/src/node/evidence.rs
@@ -20,11 +20,11 @@
     /// evidence reaches all of them.
     pub(super) fn send_new_evidence(&mut self, now: Instant, out: &mut Actions) {
         let crashes = self.inbound.crashes_mut();
-        for change in crashes.take_changes() {
+        for change in crashes.take_suspicion_changes() {
             out.push(Action::Log(LogRecord::SuspicionChanged(change)));
         }
         let source = self.evidence_source.take();
-        let updates = crashes.take_updates(now);
+        let updates = crashes.take_unsent_evidence(now);
         let all_links = self.directory.open_links();
         send_evidence(&updates.for_all, all_links, source, out);
         let service = self.inbound.service();
