--- a/crates/rillgap-core/src/admission/limit.rs
+++ b/crates/rillgap-core/src/admission/limit.rs
@@ -2,7 +2,7 @@
 //!
 //! The slots of the policy are the upper bound. Below it, the limit grows by one per answer while
 //! it recovers (slow start), then by one per `limit` answers (additive increase). An answer raises
-//! the limit only if at least [`MIN_USE_FOR_GROWTH`] of it was in use. The limit is multiplied by
+//! the limit only if at least half of it was in use. The limit is multiplied by
 //! [`DECREASE_FACTOR`] when the back end sheds. After [`FAILURES_BEFORE_SLOW_START`] consecutive
 //! failures it drops to at most [`SLOW_START_FRACTION`] of the slots, and slow start begins again.
 
@@ -17,8 +17,6 @@
 const FAILURES_BEFORE_SLOW_START: u32 = 8;
 /// Fraction of the slots at which slow start begins.
 const SLOW_START_FRACTION: f64 = 0.25;
-/// Minimum fraction of the limit that must be in use for an answer to raise the limit.
-const MIN_USE_FOR_GROWTH: f64 = 0.5;
 /// Minimum limit: one request is always admitted, so that the limit can recover.
 const MIN_LIMIT: f64 = 1.0;
 /// Minimum time after a decrease during which shed requests do not decrease the limit again, so
@@ -88,7 +86,8 @@
 
     fn on_answered(&mut self, running: usize) {
         self.consecutive_failures = 0;
-        let is_half_used = running as f64 >= self.limit * MIN_USE_FOR_GROWTH;
+        // At least half of the limit must be in use for an answer to raise the limit.
+        let is_half_used = running as f64 >= self.limit * 0.5;
         if !is_half_used || self.limit >= self.slots {
             return;
         }
