--- a/crates/rillgap-caller/src/handler.rs
+++ b/crates/rillgap-caller/src/handler.rs
@@ -1,4 +1,4 @@
-//! Handles one HTTP request from its first byte to the head of its answer.
+//! Handles an HTTP request until the head of its answer is known.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use crate::request;
 use crate::settings::{Audience, HttpLimits};
 
-/// What every connection of a listener shares.
+/// Request handler of a listener, shared by all its connections.
 #[derive(Clone, Debug)]
 pub struct Handler {
     shared: Arc<Shared>,
@@ -31,8 +31,8 @@
     limits: HttpLimits,
     exchange: Exchange,
     events: RingSender<Event>,
-    /// Bytes of bodies that may be received in addition.
-    receiving: Semaphore,
+    /// Bytes of request bodies that may still be reserved, over all connections.
+    receive_budget: Semaphore,
 }
 
 impl Handler {
@@ -49,7 +49,7 @@
                 limits,
                 exchange,
                 events,
-                receiving: Semaphore::new(limits.receiving_bytes),
+                receive_budget: Semaphore::new(limits.receiving_bytes),
             }),
         }
     }
@@ -59,7 +59,7 @@
         &self.shared.limits
     }
 
-    /// Answers one request.
+    /// Forwards one request to the node and returns its answer, or a problem response if refused.
     pub async fn handle(
         &self,
         peer: SocketAddr,
@@ -81,19 +81,23 @@
             return Err(problem::refusal(ResultCode::TokenInvalid));
         }
         let is_head_request = request.method() == Method::HEAD;
-        let request = request::read(request, &shared.audience, &shared.limits, &shared.receiving)
-            .await
-            .map_err(problem::refusal)?;
+        let request = request::read(
+            request,
+            &shared.audience,
+            &shared.limits,
+            &shared.receive_budget,
+        )
+        .await
+        .map_err(problem::refusal)?;
         let mut inbound = Inbound::register(&shared.exchange, &shared.events);
         let event = Event::Inbound {
             inbound: inbound.id(),
             request,
         };
-        // A full ring means that the node is behind: refusing at once keeps it from falling
-        // further behind.
+        // A full ring means that the node is overloaded: refusing immediately adds no load to it.
         if let Err(error) = shared.events.try_send(event) {
             inbound.set_ended();
-            return Err(problem::refusal(not_taken(&error)));
+            return Err(problem::refusal(ring_error_code(&error)));
         }
         match inbound.next_part().await {
             Some(AnswerPart::Head(head)) => Ok(respond(head, is_head_request, inbound)),
@@ -109,7 +113,7 @@
     }
 }
 
-fn not_taken<T>(error: &RingError<T>) -> ResultCode {
+fn ring_error_code<T>(error: &RingError<T>) -> ResultCode {
     match error {
         RingError::Full(_) => ResultCode::Overloaded,
         RingError::Closed(_) => ResultCode::NodeStopping,
@@ -126,21 +130,22 @@
     is_head_request: bool,
     mut inbound: Inbound,
 ) -> Response<ResponseBody> {
-    let mut map = http::HeaderMap::with_capacity(head.headers.len());
-    headers::append(&head.headers, &mut map);
-    let content_length = map
+    let mut response_headers = http::HeaderMap::with_capacity(head.headers.len());
+    headers::append(&head.headers, &mut response_headers);
+    let content_length = response_headers
         .get(http::header::CONTENT_LENGTH)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.parse().ok());
     let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
     if is_head_request || has_no_body(status, content_length) {
-        // The connection never asks for the body, so the answer is whole as far as it goes.
+        // The connection never polls a body that is empty or not sent, so the end of the answer
+        // is recorded here.
         inbound.set_ended();
     }
     let body = ResponseBody::Streamed(AnswerStream::new(inbound, content_length));
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    *response.headers_mut() = map;
+    *response.headers_mut() = response_headers;
     response
 }
 
--- a/crates/rillgap-caller/src/request.rs
+++ b/crates/rillgap-caller/src/request.rs
@@ -1,4 +1,4 @@
-//! Reads an HTTP request into the core's form and checks its bounds.
+//! Converts an HTTP request to an [`InboundRequest`] and enforces its limits.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 use crate::settings::{Audience, HttpLimits};
 use crate::{key, trace};
 
-/// Request headers that the node replaces by its own.
-const REPLACED: [&str; 4] = ["host", "content-length", "expect", names::TIMEOUT];
+/// Request headers that are not forwarded, because the node sets or handles them itself.
+const REPLACED_HEADERS: [&str; 4] = ["host", "content-length", "expect", names::TIMEOUT];
 
-/// Digits of a call token.
-const TOKEN_DIGITS: usize = 32;
+/// Number of hexadecimal digits of a call token (128 bits).
+const CALL_TOKEN_HEX_DIGITS: usize = 32;
 
-/// Reads a whole request, if there is room for its body.
+/// Reads a request with its body, if `receive_budget` has room for the body.
 ///
 /// # Errors
 ///
@@ -31,18 +31,18 @@
     request: http::Request<Incoming>,
     audience: &Audience,
     limits: &HttpLimits,
-    receiving: &Semaphore,
+    receive_budget: &Semaphore,
 ) -> Result<InboundRequest, ResultCode> {
     let (parts, body) = request.into_parts();
     let mut inbound = read_head(&parts, audience, limits)?;
-    let _room = reserve(&body, limits, receiving)?;
+    let _reservation = reserve_body(&body, limits, receive_budget)?;
     inbound.body = tokio::time::timeout(limits.request_timeout, read_body(body, limits))
         .await
         .map_err(|_| ResultCode::RequestTimeout)??;
     Ok(inbound)
 }
 
-/// Reads the head of a request; the body is left empty.
+/// Reads the head of a request and leaves the body empty.
 ///
 /// # Errors
 ///
@@ -101,7 +101,7 @@
 
 fn read_token(headers: &HeaderMap) -> Option<CallToken> {
     let value = headers.get(names::CALL_TOKEN)?.to_str().ok()?;
-    if value.len() != TOKEN_DIGITS || !value.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+    if value.len() != CALL_TOKEN_HEX_DIGITS || !value.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
     }
     u128::from_str_radix(value, 16).ok().map(CallToken)
@@ -137,7 +137,7 @@
 
 fn forwarded_headers(headers: &HeaderMap) -> Vec<Header> {
     let mut forwarded = headers::forwarded(headers, |name| {
-        REPLACED.contains(&name)
+        REPLACED_HEADERS.contains(&name)
             || name == names::TRACE_PARENT
             || name.starts_with(names::RESERVED_PREFIX)
     });
@@ -156,20 +156,24 @@
         .map_or_else(trace::create, str::to_owned)
 }
 
-/// Takes room for a body before any of it is received; `receiving` counts bytes.
-fn reserve<'a>(
+/// Reserves the bytes of a body in `receive_budget` before any of it is received.
+///
+/// Reserves the maximum length if the body's length is not announced.
+fn reserve_body<'a>(
     body: &Incoming,
     limits: &HttpLimits,
-    receiving: &'a Semaphore,
+    receive_budget: &'a Semaphore,
 ) -> Result<SemaphorePermit<'a>, ResultCode> {
-    let longest = limits.body_bytes as u64;
+    let max_body_bytes = limits.body_bytes as u64;
     let size = body.size_hint();
-    if size.lower() > longest {
+    if size.lower() > max_body_bytes {
         return Err(ResultCode::BodyTooLong);
     }
-    let expected = size.upper().map_or(longest, |upper| upper.min(longest));
+    let expected = size
+        .upper()
+        .map_or(max_body_bytes, |upper| upper.min(max_body_bytes));
     let expected = u32::try_from(expected).unwrap_or(u32::MAX);
-    receiving
+    receive_budget
         .try_acquire_many(expected)
         .map_err(|_| ResultCode::Overloaded)
 }
--- a/crates/rillgap-core/src/action.rs
+++ b/crates/rillgap-core/src/action.rs
@@ -1,4 +1,4 @@
-//! Actions that a node asks its driver to carry out.
+//! Actions that a node requests from its driver: the code that performs its input and output.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,58 +12,58 @@
 use crate::request::{AnswerHead, Refusal, RequestHead};
 use crate::store::{StoreRequest, StoreRequestId};
 
-/// Where actions are collected.
+/// List to which a node appends its actions.
 pub type Outbox = Vec<Action>;
 
 /// A request for the local back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackEndRequest {
-    /// Attempt that it serves.
+    /// Attempt to which the request belongs.
     pub attempt: AttemptId,
-    /// Back end that shall run it.
+    /// Back end that is to run the request.
     pub back_end: BackEndName,
-    /// Token that the back end returns with its own calls.
+    /// Token that the back end must send with the calls that it makes for this request.
     pub token: CallToken,
     /// Time until the deadline.
     pub timeout: Duration,
     /// Method, target and headers.
     pub head: RequestHead,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Something that the driver shall do.
+/// An operation for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Refuse an inbound request, at once.
+    /// Refuse an inbound request.
     Refuse {
-        /// The request.
+        /// Identifier of the inbound request.
         inbound: InboundId,
-        /// What the caller is told.
+        /// Refusal to send to the caller.
         refusal: Refusal,
     },
     /// Begin the answer to an inbound request.
     AnswerHead {
-        /// The request.
+        /// Identifier of the inbound request.
         inbound: InboundId,
         /// Status and headers.
         head: AnswerHead,
     },
     /// Continue the answer to an inbound request.
     AnswerBody {
-        /// The request.
+        /// Identifier of the inbound request.
         inbound: InboundId,
         /// Next part of the body.
         chunk: Bytes,
     },
-    /// End the answer to an inbound request: it is whole.
+    /// End the answer to an inbound request: it is complete.
     AnswerEnd {
-        /// The request.
+        /// Identifier of the inbound request.
         inbound: InboundId,
     },
-    /// Break off the answer to an inbound request, so that its caller sees a broken transfer.
+    /// Abort the answer to an inbound request, so that the caller detects that it is incomplete.
     AnswerAbort {
-        /// The request.
+        /// Identifier of the inbound request.
         inbound: InboundId,
     },
     /// Send a request to the local back end.
@@ -75,9 +75,9 @@
     },
     /// Read more of the local back end's answer.
     ReadBackEnd {
-        /// Attempt whose answer is meant.
+        /// Attempt whose answer is to be read.
         attempt: AttemptId,
-        /// Bytes that may be read in addition.
+        /// Additional bytes that may be read; the amounts of all actions are added up.
         bytes: u32,
     },
     /// Send a message to a peer; connect first if there is no link.
@@ -89,16 +89,16 @@
         /// The message.
         message: PeerMessage,
     },
-    /// Send a request to the platform.
+    /// Send a request to the platform's store.
     Store {
-        /// Identifies the reply.
+        /// Identifier that the reply carries.
         request: StoreRequestId,
-        /// What is asked.
+        /// The request.
         body: StoreRequest,
     },
-    /// Give up a request to the platform: its reply is of no use any more.
+    /// Cancel a request to the store: its reply is no longer needed.
     CancelStore {
-        /// Request.
+        /// Request to cancel.
         request: StoreRequestId,
     },
     /// Reply to an operator.
@@ -108,13 +108,14 @@
         /// The reply.
         reply: OperatorReply,
     },
-    /// Report something worth logging or counting.
+    /// Record an event in logs or metrics.
     Observe(Observation),
-    /// Nothing is in flight any more after a stop was asked for: end the process.
+    /// End the process: a stop was requested, nothing is in flight any more, and the node has left
+    /// the membership view.
     Exit,
 }
 
-/// Something worth logging or counting.
+/// An event that is recorded in logs or metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observation {
     /// An inbound request was answered in full.
@@ -124,12 +125,12 @@
     },
     /// An inbound request was refused.
     Refused {
-        /// Why.
+        /// Refusal that was sent.
         refusal: Refusal,
     },
-    /// An extra attempt was made.
+    /// A request was sent again in a further attempt.
     Retried,
-    /// The node began or ceased to serve requests.
+    /// The node started (true) or stopped (false) serving requests.
     Serving(bool),
     /// A policy came into force.
     PolicyInForce(crate::id::PolicyVersion),
--- a/crates/rillgap-core/src/admission/back_end.rs
+++ b/crates/rillgap-core/src/admission/back_end.rs
@@ -1,4 +1,4 @@
-//! Admission beside one back end.
+//! Admission of requests at one back end: concurrency limit, queue by class, deadlines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use super::queue::{ClassQueue, Queued};
 use super::report::{LoadReport, ServiceLoad, merge_service_loads};
 use super::service_time::ServiceTimes;
-use super::threshold::{Pressure, Threshold};
+use super::threshold::{Threshold, WindowLoad};
 use super::{Completion, QueueDecision, Ticket, Verdict};
 use crate::code::ResultCode;
 use crate::id::{AttemptId, NodeId, ServiceName};
@@ -17,50 +17,53 @@
 use crate::request::{Refusal, RetryAfter};
 use crate::time::{Instant, micros};
 
-/// Queued requests per slot, at most.
-const QUEUE_PER_SLOT: usize = 8;
-/// Bounds of the queue's length.
-const QUEUE_LENGTH: (usize, usize) = (32, 1_024);
-/// Shortest and longest time after which a refused caller is asked back, in milliseconds.
-const RETRY_AFTER_MILLIS: (u64, u64) = (50, 5_000);
-/// Time after which a queue that never emptied counts as standing.
-const STANDING_AFTER: Duration = Duration::from_millis(100);
-/// Longest wait in a standing queue, as a share of the mean time that requests take.
-const STANDING_BOUND: f64 = 0.5;
-/// Share of the limit that may run although it is not expected to meet its deadline, so that
-/// an estimate which has become too long is corrected.
-const PROBE_SHARE: f64 = 0.1;
+/// Maximum number of queued requests per slot.
+const MAX_QUEUED_PER_SLOT: usize = 8;
+/// Smallest and largest queue capacity, in requests.
+const QUEUE_CAPACITY_RANGE: (usize, usize) = (32, 1_024);
+/// Bounds of the `Retry-After` time of a refusal, in milliseconds.
+const RETRY_AFTER_RANGE_MILLIS: (u64, u64) = (50, 5_000);
+/// Time for which a queue must stay non-empty to count as a standing queue.
+const STANDING_QUEUE_DELAY: Duration = Duration::from_millis(100);
+/// Maximum wait in a standing queue, as a fraction of the mean request latency.
+const MAX_STANDING_WAIT_FRACTION: f64 = 0.5;
+/// Fraction of the limit open to requests that are expected to miss their deadline. Without
+/// these probes, a latency estimate that is too high would never be corrected.
+const PROBE_FRACTION: f64 = 0.1;
 
 /// A request running at the back end.
 #[derive(Clone, Debug)]
 struct Running {
     class: Class,
+    /// Levels of the downstream services that the request called.
     involved: Vec<ServiceLoad>,
-    /// Time in the queue beside this back end.
+    /// Time spent in this back end's queue.
     waited: Duration,
-    /// Time that calls made for it waited in other back ends' queues.
+    /// Total time that the request's nested calls spent in queues of other back ends.
     nested_wait: Duration,
 }
 
-/// Admission beside one back end.
+/// Admission controller of one back end.
 #[derive(Clone, Debug, Default)]
 pub struct BackEndAdmission {
     settings: AdmissionSettings,
     node: NodeId,
     service: Option<ServiceName>,
     slots: u16,
-    queue_bound: Duration,
+    queue_timeout: Duration,
     limit: ConcurrencyLimit,
     times: ServiceTimes,
     threshold: Threshold,
     queue: ClassQueue,
+    /// Since when the queue has not been empty; `None` while it is empty.
     queued_since: Option<Instant>,
     running: BTreeMap<AttemptId, Running>,
-    decided: Vec<QueueDecision>,
+    /// Decisions to return from the next [`BackEndAdmission::poll`].
+    decisions: Vec<QueueDecision>,
 }
 
 impl BackEndAdmission {
-    /// Creates the admission of a fresh node.
+    /// Creates the controller of a node that has just started.
     pub fn new(settings: AdmissionSettings, node: NodeId) -> Self {
         Self {
             settings,
@@ -69,17 +72,17 @@
         }
     }
 
-    /// Takes over the service's policy.
+    /// Applies the policy of the back end's service.
     pub fn configure(&mut self, service: &ServicePolicy) {
         if self.service.as_ref() != Some(&service.name) {
             self.service = Some(service.name.clone());
         }
         self.slots = service.slots;
-        self.queue_bound = Duration::from_millis(u64::from(service.queue_millis));
+        self.queue_timeout = Duration::from_millis(u64::from(service.queue_millis));
         self.limit.configure(service.slots);
     }
 
-    /// Decides on a new ticket.
+    /// Starts, queues or refuses a new ticket.
     pub fn offer(&mut self, now: Instant, ticket: Ticket) -> Verdict {
         match self.settings.mode {
             ControlMode::None => self.start(&ticket, Duration::ZERO),
@@ -88,8 +91,8 @@
         }
     }
 
-    /// Tells that a started attempt has ended after `latency`; returns the load to carry on
-    /// its answer, with the services that the attempt involved.
+    /// Records that a started attempt ended after `latency`. Returns the load report for its
+    /// answer, which includes the services that the attempt called.
     pub fn finish(
         &mut self,
         now: Instant,
@@ -103,8 +106,13 @@
         };
         self.limit.finish(now, completion, latency, running);
         match completion {
-            Completion::Answered => self.times.answered(ended.class, latency, ended.nested_wait),
-            Completion::Failed => self.times.given_up(ended.class, latency, ended.nested_wait),
+            Completion::Answered => {
+                self.times
+                    .record_answered(ended.class, latency, ended.nested_wait)
+            }
+            Completion::Failed => self
+                .times
+                .record_failed(ended.class, latency, ended.nested_wait),
             Completion::Shed => {}
         }
         let mut load = self.load();
@@ -114,34 +122,35 @@
         load
     }
 
-    /// Tells that a call made on behalf of a running attempt was answered with `load`.
-    pub fn nested(&mut self, attempt: AttemptId, load: &LoadReport) {
+    /// Records the load report from the answer to a nested call of a running attempt.
+    pub fn record_nested_load(&mut self, attempt: AttemptId, load: &LoadReport) {
         if let Some(running) = self.running.get_mut(&attempt) {
             merge_service_loads(&mut running.involved, &load.services);
             running.nested_wait += Duration::from_micros(u64::from(load.waited_micros));
         }
     }
 
-    /// Takes a ticket out of the queue; returns whether it was queued.
+    /// Removes a ticket from the queue; returns whether it was queued.
     pub fn cancel(&mut self, _now: Instant, attempt: AttemptId) -> bool {
         self.queue.remove(attempt).is_some()
     }
 
-    /// Settles queued tickets; to be called after every other call and on wake-up.
+    /// Starts or refuses queued tickets where possible. Must be called after every call that
+    /// changes the state, and at [`Self::next_wake`].
     pub fn poll(&mut self, now: Instant) -> Vec<QueueDecision> {
         self.update_threshold(now);
         self.refuse_expired(now);
         self.start_queued(now);
-        self.watch_queue(now);
-        std::mem::take(&mut self.decided)
+        self.track_standing_queue(now);
+        std::mem::take(&mut self.decisions)
     }
 
-    /// Returns when [`Self::poll`] must be called next.
+    /// Returns the time at which [`Self::poll`] must be called next; `None` if no ticket is queued.
     pub fn next_wake(&self) -> Option<Instant> {
         self.queue.next_cutoff()
     }
 
-    /// Returns the load to carry on answers and refusals.
+    /// Returns the load report that answers and refusals carry.
     pub fn load(&self) -> LoadReport {
         let service = self.service.as_ref().map(|name| ServiceLoad {
             service: name.clone(),
@@ -164,7 +173,7 @@
         }
     }
 
-    fn has_room(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         count(self.running.len()) < self.current_limit()
     }
 
@@ -180,18 +189,18 @@
     }
 
     fn offer_fixed(&mut self, now: Instant, ticket: Ticket) -> Verdict {
-        if self.has_room() {
+        if self.has_free_slot() {
             return self.start(&ticket, Duration::ZERO);
         }
-        if self.queue.len() >= self.longest_queue() {
+        if self.queue.len() >= self.max_queue_len() {
             return Verdict::Refuse(self.refusal(ResultCode::QueueFull));
         }
-        // One class for all keeps the order of arrival.
+        // A single class makes the queue first-in, first-out.
         let ticket = Ticket {
             class: Class::Standard,
             ..ticket
         };
-        let cutoff = now + self.queue_bound;
+        let cutoff = now + self.queue_timeout;
         self.queue.push(Queued {
             ticket,
             queued_at: now,
@@ -202,25 +211,25 @@
 
     fn offer_full(&mut self, now: Instant, ticket: Ticket) -> Verdict {
         let work_micros = self.times.class_occupancy_micros(ticket.class);
-        self.threshold.arrived(ticket.level(), work_micros);
+        self.threshold.record_arrival(ticket.level(), work_micros);
         let expected = self.times.expected(ticket.class);
         let remaining = ticket.deadline.saturating_since(now);
         if remaining < expected && !self.may_probe() {
             return Verdict::Refuse(self.refusal(ResultCode::DeadlineUnmet));
         }
         let ahead = self.queue.ahead_of(ticket.class);
-        if ahead == 0 && self.has_room() {
+        if ahead == 0 && self.has_free_slot() {
             return self.start(&ticket, Duration::ZERO);
         }
         let wait = self.drain_time(ahead + 1);
         if remaining < wait + expected {
             return Verdict::Refuse(self.refusal(ResultCode::DeadlineUnmet));
         }
-        let bound = self.class_bound(now, ticket.class);
-        if wait > bound || !self.make_room(&ticket) {
+        let timeout = self.class_queue_timeout(now, ticket.class);
+        if wait > timeout || !self.make_queue_space(&ticket) {
             return Verdict::Refuse(self.refusal(ResultCode::QueueFull));
         }
-        let cutoff = (ticket.deadline - expected).min(now + bound);
+        let cutoff = (ticket.deadline - expected).min(now + timeout);
         self.queue.push(Queued {
             ticket,
             queued_at: now,
@@ -229,69 +238,74 @@
         Verdict::Queue
     }
 
-    /// Returns whether a request may run although its deadline looks too short.
+    /// Returns whether a request may start although it is expected to miss its deadline.
     fn may_probe(&self) -> bool {
-        let probes = (f64::from(self.current_limit()) * PROBE_SHARE).max(1.0);
+        let probes = (f64::from(self.current_limit()) * PROBE_FRACTION).max(1.0);
         self.queue.len() == 0 && (self.running.len() as f64) < probes
     }
 
-    /// Makes sure that the queue has a place, at the cost of a lower ticket if need be.
-    fn make_room(&mut self, ticket: &Ticket) -> bool {
-        if self.queue.len() < self.longest_queue() {
+    /// Ensures that the queue has space, by evicting a ticket of lower level if it is full; returns
+    /// whether it has.
+    fn make_queue_space(&mut self, ticket: &Ticket) -> bool {
+        if self.queue.len() < self.max_queue_len() {
             return true;
         }
         let Some(evicted) = self.queue.evict_below(ticket) else {
             return false;
         };
         let refusal = self.refusal(ResultCode::QueueFull);
-        self.decided
+        self.decisions
             .push(QueueDecision::Refuse(evicted.ticket.attempt, refusal));
         true
     }
 
-    fn longest_queue(&self) -> usize {
-        let (shortest, longest) = QUEUE_LENGTH;
-        (usize::from(self.slots) * QUEUE_PER_SLOT).clamp(shortest, longest)
+    fn max_queue_len(&self) -> usize {
+        let (shortest, longest) = QUEUE_CAPACITY_RANGE;
+        (usize::from(self.slots) * MAX_QUEUED_PER_SLOT).clamp(shortest, longest)
     }
 
-    /// Returns the longest time in the queue for a class: all of the policy's bound for the
-    /// highest class, a quarter less for each class below. A standing queue is no burst that
-    /// passes, so all but the highest class get a short one, as CoDel does.
-    fn class_bound(&self, now: Instant, class: Class) -> Duration {
+    /// Returns the maximum time that a request of a class may spend in the queue: the policy's
+    /// bound for the highest class, a quarter of it less for each class below.
+    ///
+    /// A standing queue is lasting overload rather than a burst, so all classes but the highest
+    /// then get a shorter bound, as in CoDel.
+    fn class_queue_timeout(&self, now: Instant, class: Class) -> Duration {
         let classes = Class::ALL.len() as u32;
         let standing = self
             .queued_since
-            .is_some_and(|since| now.saturating_since(since) >= STANDING_AFTER);
-        let whole = if standing && class != Class::Critical {
-            let short = Duration::from_micros((STANDING_BOUND * self.times.mean_micros()) as u64);
-            short.min(self.queue_bound)
+            .is_some_and(|since| now.saturating_since(since) >= STANDING_QUEUE_DELAY);
+        let timeout = if standing && class != Class::Critical {
+            let standing_timeout = Duration::from_micros(
+                (MAX_STANDING_WAIT_FRACTION * self.times.mean_micros()) as u64,
+            );
+            standing_timeout.min(self.queue_timeout)
         } else {
-            self.queue_bound
+            self.queue_timeout
         };
-        whole * (class.index() as u32 + 1) / classes
+        timeout * (class.index() as u32 + 1) / classes
     }
 
-    /// Returns the time in which `count` queued requests come to their turn.
+    /// Returns the estimated time until `count` queued requests have been started.
     fn drain_time(&self, count: usize) -> Duration {
         let slots = f64::from(self.current_limit().max(1));
         Duration::from_micros((count as f64 * self.times.mean_micros() / slots) as u64)
     }
 
     fn refusal(&self, code: ResultCode) -> Refusal {
-        let (shortest, longest) = RETRY_AFTER_MILLIS;
-        let drain = micros(self.drain_time(self.queue.len() + 1)) / 1_000;
+        let (shortest, longest) = RETRY_AFTER_RANGE_MILLIS;
+        let drain_millis = micros(self.drain_time(self.queue.len() + 1)) / 1_000;
         let level = u64::from(self.threshold.level().0);
-        let pressure = longest * level / u64::from(Level::COUNT);
-        let millis = drain.max(pressure).clamp(shortest, longest);
+        let level_millis = longest * level / u64::from(Level::COUNT);
+        let wait_millis = drain_millis.max(level_millis).clamp(shortest, longest);
         Refusal {
             code,
             retry_after: RetryAfter {
-                millis: u32::try_from(millis).unwrap_or(u32::MAX),
+                millis: u32::try_from(wait_millis).unwrap_or(u32::MAX),
             },
         }
     }
 
-    fn watch_queue(&mut self, now: Instant) {
+    fn track_standing_queue(&mut self, now: Instant) {
         if self.queue.len() == 0 {
             self.queued_since = None;
         } else {
@@ -303,49 +317,50 @@
         if self.settings.mode != ControlMode::Full || !self.threshold.is_due(now) {
             return;
         }
-        let pressure = Pressure {
+        let load = WindowLoad {
             limit: f64::from(self.current_limit().max(1)),
             mean_service_micros: self.times.mean_occupancy_micros(),
             queued: Class::ALL
                 .map(|class| (class.index() as u8, self.queue.class_len(class)))
                 .into(),
         };
-        self.threshold.update(now, &pressure);
+        self.threshold.update(now, &load);
     }
 
     fn refuse_expired(&mut self, now: Instant) {
         while let Some(expired) = self.queue.pop_expired(now) {
-            let bound_by_deadline = expired.cutoff + self.times.expected(expired.ticket.class)
+            let is_deadline_cutoff = expired.cutoff + self.times.expected(expired.ticket.class)
                 >= expired.ticket.deadline;
-            let code = if bound_by_deadline {
+            let code = if is_deadline_cutoff {
                 ResultCode::DeadlineUnmet
             } else {
                 ResultCode::QueueFull
             };
             let refusal = self.refusal(code);
-            self.decided
+            self.decisions
                 .push(QueueDecision::Refuse(expired.ticket.attempt, refusal));
         }
     }
 
     fn start_queued(&mut self, now: Instant) {
-        while self.has_room() {
+        while self.has_free_slot() {
             let Some(queued) = self.queue.pop() else {
                 return;
             };
             let decision = self.decide_queued(now, &queued);
-            self.decided.push(decision);
+            self.decisions.push(decision);
         }
     }
 
-    /// Decides again on a ticket whose turn has come: the back end may have become slower.
+    /// Decides on the ticket at the head of the queue. The deadline is checked again, since the
+    /// latency estimate may have risen while the ticket was queued.
     fn decide_queued(&mut self, now: Instant, queued: &Queued) -> QueueDecision {
         let ticket = &queued.ticket;
         let remaining = ticket.deadline.saturating_since(now);
-        let doomed = self.settings.mode == ControlMode::Full
+        let misses_deadline = self.settings.mode == ControlMode::Full
             && remaining < self.times.expected(ticket.class)
             && !self.may_probe();
-        if doomed {
+        if misses_deadline {
             return QueueDecision::Refuse(ticket.attempt, self.refusal(ResultCode::DeadlineUnmet));
         }
         self.start(ticket, now.saturating_since(queued.queued_at));
--- a/crates/rillgap-core/src/call/gate/answers.rs
+++ b/crates/rillgap-core/src/call/attempt_runner/answers.rs
@@ -1,8 +1,8 @@
-//! Answers of the back end, on their way to the entry node.
+//! Forwards answers of the local back end to the entry node.
 
 use bytes::Bytes;
 
-use super::{Gate, Phase};
+use super::{AttemptRunner, Phase};
 use crate::action::Action;
 use crate::admission::Completion;
 use crate::call::ports::Ports;
@@ -13,21 +13,21 @@
 use crate::request::AnswerHead;
 use crate::time::Now;
 
-impl Gate {
-    /// Continues the answer of an attempt: its reader has room for more.
+impl AttemptRunner {
+    /// Reads more of an attempt's answer after the entry node has granted credit.
     pub fn on_credit(&mut self, attempt: AttemptId, bytes: u32, ports: &mut Ports<'_, '_>) {
         if self.attempts.contains_key(&attempt) {
-            ports.act(Action::ReadBackEnd { attempt, bytes });
+            ports.emit(Action::ReadBackEnd { attempt, bytes });
         }
     }
 
-    /// Passes on the head of the back end's answer.
+    /// Forwards the head of the back end's answer.
     pub fn on_head(&mut self, attempt: AttemptId, head: AnswerHead, ports: &mut Ports<'_, '_>) {
         let load = self.admission.load();
         let Some(local) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        local.recorder.head(&head);
+        local.recorder.record_head(&head);
         ports.send(
             local.entry,
             CallMessage::AnswerHead {
@@ -38,7 +38,7 @@
         );
     }
 
-    /// Passes on a part of the back end's answer.
+    /// Forwards a part of the back end's answer.
     pub fn on_body(&mut self, attempt: AttemptId, chunk: Bytes, ports: &mut Ports<'_, '_>) {
         let Some(local) = self.attempts.get_mut(&attempt) else {
             return;
@@ -46,7 +46,7 @@
         let Phase::Running { parts, .. } = &mut local.phase else {
             return;
         };
-        local.recorder.body(&chunk);
+        local.recorder.record_body(&chunk);
         let sequence = *parts;
         *parts += 1;
         let chunk = Vec::from(chunk);
@@ -60,7 +60,7 @@
         );
     }
 
-    /// Ends the back end's answer: it is whole.
+    /// Completes an attempt whose answer has been read to its end.
     pub fn on_end(&mut self, now: Now, attempt: AttemptId, ports: &mut Ports<'_, '_>) {
         let Some((local, load)) = self.finish(now, attempt, Completion::Answered) else {
             return;
@@ -72,7 +72,7 @@
             self.guard
                 .complete(now, keyed.key, local.recorder.into_answer());
         }
-        let unspent = local.pool.left();
+        let unspent = local.pool.available();
         ports.send(
             local.entry,
             CallMessage::AnswerEnd {
@@ -84,7 +84,7 @@
         );
     }
 
-    /// Ends an attempt whose answer broke off.
+    /// Ends an attempt for which the back end gave no complete answer.
     pub fn on_failed(
         &mut self,
         now: Now,
--- a/crates/rillgap-core/src/call/sender/attempts.rs
+++ b/crates/rillgap-core/src/call/sender/attempts.rs
@@ -1,12 +1,12 @@
-//! Attempts: choice of the back end, dispatch and retries.
+//! Attempts: selection of the back end, dispatch and retries.
 
-use super::{Sender, plain};
+use super::{Sender, refusal_for};
 use crate::action::{Action, Observation};
-use crate::call::gate::Gate;
+use crate::call::attempt_runner::AttemptRunner;
 use crate::call::outgoing::{CurrentAttempt, Phase};
-use crate::call::pool::RetryPool;
 use crate::call::ports::Ports;
 use crate::call::retry::{self, Retry};
+use crate::call::retry_pool::RetryPool;
 use crate::claim::ClaimRequest;
 use crate::code::ResultCode;
 use crate::id::{AttemptId, CallId};
@@ -16,18 +16,21 @@
 use crate::time::{Now, micros};
 
 impl Sender {
-    /// Begins the next attempt, as a retry of `refused` if that is given.
+    /// Starts the next attempt of a call.
+    ///
+    /// `refused` is the keyed attempt whose claim the new one takes over, `None` if there is none.
+    /// `fallback_code` is the reason of the refusal if no back end is available.
     pub(super) fn begin_attempt(
         &mut self,
         now: Now,
         id: CallId,
         refused: Option<AttemptId>,
-        otherwise: ResultCode,
-        gate: &mut Gate,
+        fallback_code: ResultCode,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let Some(target) = self.pick(now, id, ports) else {
-            self.refuse_untargeted(now, id, refused, otherwise, gate, ports);
+            self.refuse_untargeted(now, id, refused, fallback_code, runner, ports);
             return;
         };
         let Some(call) = self.calls.get_mut(&id) else {
@@ -47,12 +50,12 @@
         call.attempt = Some(CurrentAttempt {
             id: attempt,
             target: target.clone(),
-            begun_at: now.instant,
+            started_at: now.instant,
             lent: 0,
             phase,
         });
         let Some(keyed) = call.keyed else {
-            self.dispatch(now, attempt, gate, ports);
+            self.dispatch(now, attempt, runner, ports);
             return;
         };
         let request = ClaimRequest {
@@ -74,29 +77,30 @@
         }
     }
 
-    /// Refuses a call for which no back end is left.
+    /// Refuses a call for which no back end is available.
     ///
-    /// A keyed call that never held a claim does not know what became of its key.
+    /// For a keyed call that has never held a claim the outcome is unknown, because the state of
+    /// its key was not checked.
     pub(super) fn refuse_untargeted(
         &mut self,
         now: Now,
         id: CallId,
         refused: Option<AttemptId>,
-        otherwise: ResultCode,
-        gate: &mut Gate,
+        fallback_code: ResultCode,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         if let Some(attempt) = refused {
-            self.refuse_and_release(now, attempt, plain(otherwise), gate, ports);
+            self.refuse_and_release(now, attempt, refusal_for(fallback_code), runner, ports);
             return;
         }
         let keyed = self.calls.get(&id).is_some_and(|call| call.keyed.is_some());
         let code = if keyed {
             ResultCode::KeyUnchecked
         } else {
-            otherwise
+            fallback_code
         };
-        self.refuse(id, plain(code), gate, ports);
+        self.refuse(id, refusal_for(code), runner, ports);
     }
 
     pub(super) fn pick(&mut self, now: Now, id: CallId, ports: &Ports<'_, '_>) -> Option<Target> {
@@ -115,15 +119,21 @@
         &mut self,
         now: Now,
         attempt: AttemptId,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         if self.is_unreachable(attempt, ports) {
-            self.retry(now, attempt, plain(ResultCode::NodeStopping), gate, ports);
+            self.retry(
+                now,
+                attempt,
+                refusal_for(ResultCode::NodeStopping),
+                runner,
+                ports,
+            );
             return;
         }
         let lent = self
-            .with_pool(attempt.call, gate, RetryPool::lend)
+            .with_pool(attempt.call, runner, RetryPool::lend)
             .unwrap_or(0);
         let Some(call) = self.calls.get_mut(&attempt.call) else {
             return;
@@ -143,21 +153,21 @@
             back_end: target.back_end.clone(),
             class: call.class,
             remaining_micros: micros(call.deadline.saturating_since(now.instant)),
-            share: lent,
+            extra_attempts: lent,
             head: call.head.clone(),
             body: call.body.to_vec(),
         };
         if let Some(link) = call.parent
-            && let Some(parent) = gate.parent_by_attempt(link.attempt)
+            && let Some(parent) = runner.parent_by_attempt(link.attempt)
         {
-            parent.children.sent(link.content);
+            parent.children.mark_sent(link.content);
         }
-        self.router.started(now.instant, &target);
+        self.router.on_started(now.instant, &target);
         ports.send(target.node, CallMessage::Dispatch(Box::new(dispatch)));
     }
 
-    /// Returns whether the target has left the view since it was chosen, so that nothing can be
-    /// sent to it.
+    /// Returns whether the target's node has left the view since it was selected, so that its
+    /// address is unknown.
     fn is_unreachable(&self, attempt: AttemptId, ports: &Ports<'_, '_>) -> bool {
         let current = self
             .calls
@@ -170,38 +180,39 @@
         })
     }
 
-    /// Tries another back end if bounds, budgets and deadline allow, or refuses the call.
+    /// Starts another attempt if the refusal permits a retry and the budgets allow it; refuses the
+    /// call otherwise.
     pub(super) fn retry(
         &mut self,
         now: Now,
         failed: AttemptId,
         refusal: Refusal,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let allowed = match retry::kind(refusal.code) {
             Retry::Never => false,
-            Retry::Reroute => self.take_reroute(failed.call) || self.spend(failed.call, gate),
-            Retry::Budgeted => self.spend(failed.call, gate),
+            Retry::Reroute => self.take_reroute(failed.call) || self.spend(failed.call, runner),
+            Retry::Budgeted => self.spend(failed.call, runner),
         };
         if allowed {
-            ports.act(Action::Observe(Observation::Retried));
+            ports.emit(Action::Observe(Observation::Retried));
             let keyed = self
                 .calls
                 .get(&failed.call)
                 .is_some_and(|call| call.keyed.is_some());
             let refused = Some(failed).filter(|_| keyed);
-            self.begin_attempt(now, failed.call, refused, refusal.code, gate, ports);
+            self.begin_attempt(now, failed.call, refused, refusal.code, runner, ports);
             return;
         }
-        self.refuse_and_release(now, failed, refusal, gate, ports);
+        self.refuse_and_release(now, failed, refusal, runner, ports);
     }
 
     pub(super) fn take_reroute(&mut self, id: CallId) -> bool {
         let Some(call) = self.calls.get_mut(&id) else {
             return false;
         };
-        if call.reroutes >= retry::MOST_REROUTES {
+        if call.reroutes >= retry::MAX_REROUTES {
             return false;
         }
         call.reroutes += 1;
--- a/crates/rillgap-core/src/call/sender/claims.rs
+++ b/crates/rillgap-core/src/call/sender/claims.rs
@@ -2,10 +2,10 @@
 
 use bytes::Bytes;
 
-use super::{Sender, plain};
+use super::{Sender, refusal_for};
 use crate::action::{Action, Observation};
 use crate::admission::RootRequest;
-use crate::call::gate::Gate;
+use crate::call::attempt_runner::AttemptRunner;
 use crate::call::outgoing::Phase;
 use crate::call::ports::Ports;
 use crate::claim::{ClaimEvent, ClaimResult, RememberedAnswer};
@@ -15,12 +15,12 @@
 use crate::time::Now;
 
 impl Sender {
-    /// Handles what became of a claim.
+    /// Handles the result of a claim request.
     pub fn on_claim(
         &mut self,
         now: Now,
         event: ClaimEvent,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let id = event.attempt.call;
@@ -28,7 +28,7 @@
             call.is_current(event.attempt) && call.phase() == Some(Phase::Claiming)
         });
         if !waiting {
-            // The caller is gone or was answered while the claim was being asked for.
+            // The caller disconnected or was answered while the claim was pending.
             if matches!(event.result, ClaimResult::Granted { .. }) {
                 let membership = &*ports.context.membership;
                 ports
@@ -43,19 +43,19 @@
                 if let Some(pool) = self.pools.get_mut(&id) {
                     pool.limit(budget);
                 }
-                self.on_granted(now, event.attempt, gate, ports);
+                self.on_granted(now, event.attempt, runner, ports);
             }
             ClaimResult::Completed(answer) => self.answer_remembered(now, id, answer, ports),
-            ClaimResult::Refused(refusal) => self.refuse(id, refusal, gate, ports),
+            ClaimResult::Refused(refusal) => self.refuse(id, refusal, runner, ports),
         }
     }
 
-    /// Admits a keyed call that now holds its claim, and dispatches it.
+    /// Admits a keyed call whose claim was granted, and dispatches it.
     pub(super) fn on_granted(
         &mut self,
         now: Now,
         attempt: AttemptId,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let Some(call) = self.calls.get(&attempt.call) else {
@@ -69,8 +69,8 @@
         };
         let admitted = self.entry_admission.admit(now.instant, request);
         match admitted {
-            Ok(()) => self.dispatch(now, attempt, gate, ports),
-            Err(refusal) => self.refuse_and_release(now, attempt, refusal, gate, ports),
+            Ok(()) => self.dispatch(now, attempt, runner, ports),
+            Err(refusal) => self.refuse_and_release(now, attempt, refusal, runner, ports),
         }
     }
 
@@ -86,16 +86,16 @@
         };
         let inbound = call.inbound;
         let latency = now.instant.saturating_since(call.arrived);
-        ports.act(Action::AnswerHead {
+        ports.emit(Action::AnswerHead {
             inbound,
             head: answer.head,
         });
-        ports.act(Action::AnswerBody {
+        ports.emit(Action::AnswerBody {
             inbound,
             chunk: Bytes::from(answer.body),
         });
-        ports.act(Action::AnswerEnd { inbound });
-        ports.act(Action::Observe(Observation::Answered { latency }));
+        ports.emit(Action::AnswerEnd { inbound });
+        ports.emit(Action::Observe(Observation::Answered { latency }));
     }
 
     pub(super) fn release_claim(
@@ -130,27 +130,27 @@
             .is_some_and(|call| call.keyed.is_some())
     }
 
-    /// Refuses a call whose attempt has not run, and gives its claim back if it has one.
+    /// Refuses a call whose attempt has not run, and releases its claim if it has one.
     ///
-    /// Only a claim that is still held proves that no other attempt of the key has run; a
-    /// holder that was frozen past its deadline must say that the outcome is unknown.
+    /// Only a claim that is still held proves that no other attempt of the key has run. A
+    /// holder whose process was paused past its deadline must report the outcome as unknown.
     pub(super) fn refuse_and_release(
         &mut self,
         now: Now,
         attempt: AttemptId,
         refusal: Refusal,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let context = &*ports.context;
         let holds = context.claims.holds(now, attempt, &*context.membership);
         let unproved = self.is_keyed(attempt) && !holds;
-        let told = if unproved && refusal.code.outcome() == Outcome::NotRun {
-            plain(ResultCode::InProgress)
+        let reported = if unproved && refusal.code.outcome() == Outcome::NotRun {
+            refusal_for(ResultCode::InProgress)
         } else {
             refusal
         };
         self.release_claim(now, attempt, ports);
-        self.refuse(attempt.call, told, gate, ports);
+        self.refuse(attempt.call, reported, runner, ports);
     }
 }
--- a/crates/rillgap-core/src/call/sender/mod.rs
+++ b/crates/rillgap-core/src/call/sender/mod.rs
@@ -1,4 +1,4 @@
-//! Sends calls on to back ends: attempts, claims, answers, retries and deadlines.
+//! Forwards calls to back ends: attempts, claims, answers, retries and deadlines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,11 +6,11 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 
 use crate::admission::{EntryAdmission, RetryBudget};
+use crate::call::attempt_runner::AttemptRunner;
 use crate::call::deadlines::Deadlines;
-use crate::call::gate::Gate;
 use crate::call::outgoing::OutgoingCall;
-use crate::call::pool::RetryPool;
 use crate::call::ports::Ports;
+use crate::call::retry_pool::RetryPool;
 use crate::code::ResultCode;
 use crate::event::InboundId;
 use crate::id::{AttemptId, CallId};
@@ -23,15 +23,15 @@
 mod attempts;
 mod budget;
 mod claims;
-mod ending;
+mod completion;
 
-/// Mixed into the node's seed, so that identifiers share no random numbers with other parts.
+/// XORed with the node's seed, so that identifiers come from a random sequence of their own.
 const IDENTIFIER_SEED_SALT: u64 = 0x726f_6f74_7321;
 
-/// Mixed into the node's seed, so that routing shares no random numbers with other parts.
+/// XORed with the node's seed, so that routing has a random sequence of its own.
 const ROUTER_SEED_SALT: u64 = 0x726f_7574_6572;
 
-/// What the end of an answer states about the whole of it.
+/// Totals that are sent with the end of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerTrailer {
     /// Number of parts of the body.
@@ -40,7 +40,7 @@
     pub unspent: u8,
 }
 
-/// Calls that this node sends on.
+/// Calls in flight that this node forwards to back ends.
 #[derive(Debug)]
 pub struct Sender {
     /// Admission of root requests.
@@ -55,11 +55,11 @@
     random: ChaCha8Rng,
     next_sequence: u64,
     stopping: bool,
-    unbounded_chain: bool,
+    has_unbounded_chain: bool,
 }
 
 impl Sender {
-    /// Creates the sender of a fresh node.
+    /// Creates a sender without calls.
     pub fn new(settings: &NodeSettings) -> Self {
         Self {
             entry_admission: EntryAdmission::new(settings.admission),
@@ -73,16 +73,16 @@
             random: ChaCha8Rng::seed_from_u64(settings.random_seed ^ IDENTIFIER_SEED_SALT),
             next_sequence: 0,
             stopping: false,
-            unbounded_chain: settings.admission.unbounded_chain(),
+            has_unbounded_chain: settings.admission.has_unbounded_chain(),
         }
     }
 
-    /// Returns whether no call is under way.
+    /// Returns whether no call is in flight.
     pub fn is_idle(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// Returns the number of calls under way.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> usize {
         self.calls.len()
     }
@@ -92,12 +92,12 @@
         self.stopping
     }
 
-    /// Returns whether a baseline is run that does not bound the attempts of a chain.
+    /// Returns whether the settings select a baseline that does not limit the retries of a chain.
     pub const fn is_unbounded(&self) -> bool {
-        self.unbounded_chain
+        self.has_unbounded_chain
     }
 
-    /// Takes no new root requests from now on.
+    /// Refuses new root requests from now on.
     pub const fn begin_stop(&mut self) {
         self.stopping = true;
     }
@@ -107,12 +107,12 @@
         self.deadlines.next()
     }
 
-    /// Draws a random identifier.
+    /// Generates a random identifier.
     pub fn draw_identifier(&mut self) -> u128 {
         u128::from(self.random.next_u64()) << 64 | u128::from(self.random.next_u64())
     }
 
-    /// Draws the identifier of a new call.
+    /// Returns the identifier for a new call.
     pub fn next_call_id(&mut self, settings: &NodeSettings) -> CallId {
         self.next_sequence += 1;
         CallId {
@@ -122,17 +122,17 @@
         }
     }
 
-    /// Gives a root call its extra attempts.
+    /// Registers the retry pool of a root request.
     pub fn open_pool(&mut self, call: CallId, pool: RetryPool) {
         self.pools.insert(call, pool);
     }
 
-    /// Begins a call that was admitted.
+    /// Registers an admitted call and starts its first attempt.
     pub fn begin(
         &mut self,
         now: Now,
         call: OutgoingCall,
-        gate: &mut Gate,
+        runner: &mut AttemptRunner,
         ports: &mut Ports<'_, '_>,
     ) {
         let id = call.id;
@@ -143,7 +143,7 @@
         }
         self.deadlines.insert(call.deadline, id);
         self.calls.insert(id, call);
-        self.begin_attempt(now, id, None, ResultCode::NoBackEnd, gate, ports);
+        self.begin_attempt(now, id, None, ResultCode::NoBackEnd, runner, ports);
     }
 }
 
@@ -152,7 +152,7 @@
     policy.map_or(0, |policy| policy.bounds.retry_percent)
 }
 
-const fn plain(code: ResultCode) -> Refusal {
+const fn refusal_for(code: ResultCode) -> Refusal {
     Refusal {
         code,
         retry_after: RetryAfter::DEFAULT,
--- a/crates/rillgap-core/src/claim/claimant/voting.rs
+++ b/crates/rillgap-core/src/claim/claimant/voting.rs
@@ -1,4 +1,4 @@
-//! Rounds of votes: what is sent, what the votes mean and what follows from them.
+//! Runs the voting rounds of a claim: sends claims, evaluates votes and acts on the result.
 
 use super::pending::Stage;
 use super::tally::{Conclusion, Tally};
@@ -7,14 +7,15 @@
 use crate::claim::electorate::{Electorate, replica_group};
 use crate::claim::message::{ClaimMessage, KeyHolder, VoteReply};
 use crate::claim::settings::{
-    ClaimSettings, MOST_RACING_ROUNDS, MOST_ROUNDS, ROUND_TIMEOUT, UNCHARGED_ATTEMPTS, VOTE_RESEND,
+    ClaimSettings, MAX_RACING_ROUNDS, MAX_ROUNDS, ROUND_TIMEOUT, UNCHARGED_ATTEMPTS,
+    VOTE_RESEND_INTERVAL,
 };
 use crate::code::ResultCode;
 use crate::id::{AttemptId, NodeId};
 use crate::time::Now;
 
 impl Claimant {
-    /// Handles a vote.
+    /// Handles the vote of a replica; ignores votes of other rounds.
     pub fn on_vote(
         &mut self,
         now: Now,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Asks the replicas of the view in force for their votes.
+    /// Starts a round: requests the votes of the replicas in the current view.
     pub(super) fn begin_round(
         &mut self,
         now: Now,
@@ -45,7 +46,7 @@
         let Some(pending) = self.pending.get_mut(&attempt) else {
             return;
         };
-        if pending.round.0 >= MOST_ROUNDS {
+        if pending.round.0 >= MAX_ROUNDS {
             self.refuse(attempt, ResultCode::NoQuorum);
             return;
         }
@@ -57,24 +58,28 @@
         }
         pending.stage = Stage::Voting {
             tally: Tally::new(&pending.group),
-            ends: now.instant + ROUND_TIMEOUT,
+            round_deadline: now.instant + ROUND_TIMEOUT,
         };
         self.resend_claims(now, attempt);
     }
 
-    /// Sends the claim to the replicas that have not answered.
+    /// Sends the claim to the replicas that have not voted.
     pub(super) fn resend_claims(&mut self, now: Now, attempt: AttemptId) {
         let Some(pending) = self.pending.get(&attempt) else {
             return;
         };
-        let Stage::Voting { tally, ends } = &pending.stage else {
+        let Stage::Voting {
+            tally,
+            round_deadline,
+        } = &pending.stage
+        else {
             return;
         };
-        let wake = (now.instant + VOTE_RESEND).min(*ends);
+        let wake = (now.instant + VOTE_RESEND_INTERVAL).min(*round_deadline);
         let missing: Vec<NodeId> = tally.missing().collect();
-        let message = ClaimMessage::Claim(Box::new(pending.claim(now)));
+        let message = ClaimMessage::Claim(Box::new(pending.claim_message(now)));
         self.send_all(&missing, &message);
-        self.wake_at(attempt, wake);
+        self.schedule_timer(attempt, wake);
     }
 
     pub(super) fn conclude(
@@ -103,7 +108,8 @@
         }
     }
 
-    /// Takes the claim into possession, or gives it back if the key's budget is spent.
+    /// Records the granted claim as held, or refuses it if its deadline has passed or the key's
+    /// budget is spent.
     fn win(
         &mut self,
         now: Now,
@@ -122,7 +128,7 @@
         }
         let extra_attempts = usize::from(settings.extra_attempts);
         if spent > extra_attempts + UNCHARGED_ATTEMPTS {
-            // Without the lease the claim may have been given to another attempt since.
+            // Without the lease, another attempt may hold the claim by now.
             let code = if electorate.may_vote(now) {
                 ResultCode::RetryBudgetSpent
             } else {
@@ -145,8 +151,8 @@
         self.report(attempt, ClaimResult::Granted { budget });
     }
 
-    /// Gives the votes of a lost round back; then asks the holder's gate, or tries again if the
-    /// holder may be another claimant that has not won either.
+    /// Releases the votes of a lost round. Then starts another round after a backoff if the holder
+    /// may be a racing claimant without a majority, or else queries the holder's guard.
     fn lose(
         &mut self,
         now: Now,
@@ -155,27 +161,27 @@
         by_majority: bool,
         electorate: &dyn Electorate,
     ) {
-        self.give_votes_back(attempt);
+        self.release_votes(attempt);
         let Some(pending) = self.pending.get(&attempt) else {
             return;
         };
         let racing = holder.protected && !holder.completed && !by_majority;
-        if racing && pending.round.0 < MOST_RACING_ROUNDS {
+        if racing && pending.round.0 < MAX_RACING_ROUNDS {
             self.pause(now, attempt);
             return;
         }
-        self.ask_gate(now, attempt, holder, electorate);
+        self.query_guard(now, attempt, holder, electorate);
     }
 
-    /// Tries again after a pause if replicas may yet vote, or refuses.
+    /// Starts another round after a backoff if membership views differ, or else refuses.
     fn pause_or_refuse(&mut self, now: Now, attempt: AttemptId) {
         let Some(pending) = self.pending.get(&attempt) else {
             return;
         };
         let views_differ =
             matches!(&pending.stage, Stage::Voting { tally, .. } if tally.views_differ());
-        if views_differ && pending.round.0 < MOST_RACING_ROUNDS {
-            self.give_votes_back(attempt);
+        if views_differ && pending.round.0 < MAX_RACING_ROUNDS {
+            self.release_votes(attempt);
             self.pause(now, attempt);
             return;
         }
@@ -184,13 +190,13 @@
 
     fn pause(&mut self, now: Now, attempt: AttemptId) {
         if let Some(pending) = self.pending.get_mut(&attempt) {
-            pending.stage = Stage::Pausing;
+            pending.stage = Stage::BackingOff;
             let wake = now.instant + pending.backoff();
-            self.wake_at(attempt, wake);
+            self.schedule_timer(attempt, wake);
         }
     }
 
-    fn give_votes_back(&mut self, attempt: AttemptId) {
+    fn release_votes(&mut self, attempt: AttemptId) {
         if let Some(pending) = self.pending.remove(&attempt) {
             self.send_release(&pending, pending.round);
             self.pending.insert(attempt, pending);
--- a/crates/rillgap-core/src/claim/guard.rs
+++ b/crates/rillgap-core/src/claim/guard.rs
@@ -1,60 +1,60 @@
-//! The guard beside a back end: starts a key at most once and never a barred attempt.
+//! Starts each key at most once at a back end's node, and never starts a barred attempt.
 
 use std::collections::BTreeMap;
 
 use crate::claim::answer::RememberedAnswer;
-use crate::claim::message::{GateQuestion, KeyState};
+use crate::claim::message::{GuardQuery, KeyState};
 use crate::claim::settings::{
-    ClaimFaults, ClaimSettings, LONGEST_ANSWER, MOST_ANSWER_BYTES, MOST_DEAD_ATTEMPTS,
-    MOST_GUARDED_KEYS,
+    ClaimFaults, ClaimSettings, MAX_ANSWER_BYTES, MAX_ANSWER_STORE_BYTES, MAX_DEAD_ATTEMPTS,
+    MAX_GUARDED_KEYS,
 };
 use crate::id::{AttemptId, Fingerprint, IdempotencyKey};
 use crate::message::KeyedAttempt;
 use crate::policy::Bounds;
 use crate::time::{Now, WallTime};
 
-/// Decision of the dispatch guard on an attempt.
+/// Decision of the dispatch guard on a keyed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GuardVerdict {
-    /// The attempt may start (it is now recorded as started).
+    /// The attempt may start and is now recorded as started.
     Start,
-    /// The attempt was barred before it arrived: it has not run and never will.
+    /// The attempt was barred, or its key may have been dropped: it has not run and never will.
     Barred,
-    /// The key was already started here: the attempt has not run and never will, but the key has.
+    /// The key was already started here. This attempt has not run and never will, but the key has.
     AlreadyStarted,
-    /// No room to remember another key: the attempt was not started and never will be.
+    /// The guard has no room for another key: the attempt has not run and never will.
     Full,
 }
 
-/// The guard beside a back end.
+/// Guard of a back end's node that starts each key at most once.
 ///
-/// It remembers every key that was started in this run for as long as the key can be used; with
-/// its table full it refuses new keys rather than forget one. Only answers are forgotten early.
+/// It records every key that was started in this incarnation for as long as the key can be used.
+/// A full table rejects new keys instead of evicting recorded ones. Only answers are evicted early.
 #[derive(Debug, Default)]
 pub struct DispatchGuard {
     settings: ClaimSettings,
     keys: BTreeMap<IdempotencyKey, GuardedKey>,
     answers: AnswerStore,
-    /// Keys made at this time or before may have been forgotten.
-    forgotten_until: Option<WallTime>,
+    /// Keys created at this time or earlier may have been dropped; `None` if none was dropped.
+    dropped_until: Option<WallTime>,
 }
 
-/// What the guard knows of one key.
+/// State of one key at the guard.
 #[derive(Debug, Default)]
 struct GuardedKey {
-    started: Option<Started>,
+    started: Option<StartedAttempt>,
     barred: Vec<AttemptId>,
 }
 
-/// The attempt of a key that was started.
+/// Attempt that started a key.
 #[derive(Debug)]
-struct Started {
+struct StartedAttempt {
     attempt: AttemptId,
     fingerprint: Fingerprint,
     progress: Progress,
 }
 
-/// How far a started attempt has come.
+/// Progress of a started attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Running,
@@ -63,32 +63,32 @@
 }
 
 impl DispatchGuard {
-    /// Takes over the bounds of the policy in force.
+    /// Applies the bounds of the policy in force.
     pub const fn configure(&mut self, bounds: &Bounds) {
         self.settings.configure(bounds);
     }
 
-    /// Plants faults, to prove that tests and observers catch them.
-    pub const fn plant(&mut self, faults: ClaimFaults) {
+    /// Injects faults, to prove that tests detect them.
+    pub const fn inject_faults(&mut self, faults: ClaimFaults) {
         self.settings.faults = faults;
     }
 
-    /// Returns the number of keys that are remembered.
+    /// Returns the number of recorded keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Returns whether no key is remembered.
+    /// Returns whether no key is recorded.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Returns the bytes of the answers that are kept.
+    /// Returns the total size of the stored answers in bytes.
     pub const fn answer_bytes(&self) -> usize {
         self.answers.bytes
     }
 
-    /// Asks to start a keyed attempt.
+    /// Decides whether a keyed attempt may start, and records its start.
     pub fn start(&mut self, now: Now, attempt: AttemptId, keyed: KeyedAttempt) -> GuardVerdict {
         self.expire(now);
         let faults = self.settings.faults;
@@ -105,7 +105,7 @@
         if key.barred.contains(&attempt) && !faults.ignore_bars {
             return GuardVerdict::Barred;
         }
-        key.started = Some(Started {
+        key.started = Some(StartedAttempt {
             attempt,
             fingerprint: keyed.fingerprint,
             progress: Progress::Running,
@@ -115,8 +115,8 @@
 
     /// Records that a keyed attempt was refused here and must never start.
     ///
-    /// If the attempt was started and the back end refused it before running it, the key counts
-    /// as not started again.
+    /// If the attempt was started and the back end refused it before running it, the key counts as
+    /// not started again, so that another attempt may start it.
     pub fn bar(&mut self, now: Now, attempt: AttemptId, keyed: KeyedAttempt) {
         self.expire(now);
         if self.is_forgotten(keyed.key) || !self.has_room_for(keyed.key) {
@@ -132,60 +132,63 @@
         key.bar(attempt);
     }
 
-    /// Remembers the whole answer of a started key; `None` if it is too long to keep.
+    /// Records that a started key has completed, and stores its complete answer.
+    ///
+    /// `None`, or an answer above [`MAX_ANSWER_BYTES`], records the completion only.
     pub fn complete(&mut self, _now: Now, key: IdempotencyKey, answer: Option<RememberedAnswer>) {
-        if !self.end(key, Progress::Completed) {
+        if !self.record_end(key, Progress::Completed) {
             return;
         }
-        if let Some(answer) = answer.filter(|answer| answer.bytes() <= LONGEST_ANSWER) {
-            self.answers.keep(key, answer);
+        if let Some(answer) = answer.filter(|answer| answer.bytes() <= MAX_ANSWER_BYTES) {
+            self.answers.insert(key, answer);
         }
     }
 
     /// Records that a started key failed with an unknown outcome.
     pub fn fail(&mut self, _now: Now, key: IdempotencyKey) {
-        self.end(key, Progress::Failed);
+        self.record_end(key, Progress::Failed);
     }
 
-    /// Answers what became of a key in this run, and bars its holder if that is asked for.
-    pub(crate) fn answer(&mut self, now: Now, question: &GateQuestion) -> KeyState {
+    /// Returns the state of a key in this incarnation, and bars its holder if the query requests it
+    /// and the key was not started.
+    pub(crate) fn answer_query(&mut self, now: Now, query: &GuardQuery) -> KeyState {
         self.expire(now);
         if let Some(started) = self
             .keys
-            .get(&question.key)
+            .get(&query.key)
             .and_then(|key| key.started.as_ref())
         {
-            return self.state_of_started(question, started);
+            return self.state_of_started(query, started);
         }
-        if !question.bar {
+        if !query.bar {
             return KeyState::NotStarted;
         }
-        if self.is_forgotten(question.key) || !self.has_room_for(question.key) {
+        if self.is_forgotten(query.key) || !self.has_room_for(query.key) {
             return KeyState::Full;
         }
-        let key = self.keys.entry(question.key).or_default();
-        if key.bar(question.holder) {
+        let key = self.keys.entry(query.key).or_default();
+        if key.bar(query.holder) {
             KeyState::Barred
         } else {
             KeyState::Full
         }
     }
 
-    fn state_of_started(&self, question: &GateQuestion, started: &Started) -> KeyState {
-        if started.fingerprint != question.fingerprint {
+    fn state_of_started(&self, query: &GuardQuery, started: &StartedAttempt) -> KeyState {
+        if started.fingerprint != query.fingerprint {
             return KeyState::OtherRequest;
         }
         match started.progress {
             Progress::Running => KeyState::Running,
             Progress::Failed => KeyState::Failed,
-            Progress::Completed => match self.answers.get(question.key) {
+            Progress::Completed => match self.answers.get(query.key) {
                 Some(answer) => KeyState::Completed(answer.clone()),
                 None => KeyState::AnswerForgotten,
             },
         }
     }
 
-    fn end(&mut self, key: IdempotencyKey, progress: Progress) -> bool {
+    fn record_end(&mut self, key: IdempotencyKey, progress: Progress) -> bool {
         let running = self
             .keys
             .get_mut(&key)
@@ -201,35 +204,35 @@
     }
 
     fn has_room_for(&self, key: IdempotencyKey) -> bool {
-        self.keys.len() < MOST_GUARDED_KEYS || self.keys.contains_key(&key)
+        self.keys.len() < MAX_GUARDED_KEYS || self.keys.contains_key(&key)
     }
 
     fn is_forgotten(&self, key: IdempotencyKey) -> bool {
-        self.forgotten_until >= Some(key.created_at())
+        self.dropped_until >= Some(key.created_at())
     }
 
-    /// Forgets keys that nobody can use any more.
+    /// Drops keys that can no longer be used at any node.
     fn expire(&mut self, now: Now) {
-        let before = self.settings.forget_before(now);
+        let cutoff = self.settings.oldest_usable_creation(now);
         while let Some(oldest) = self.keys.first_entry() {
             let key = *oldest.key();
-            if key.created_at() >= before {
+            if key.created_at() >= cutoff {
                 return;
             }
             oldest.remove();
             self.answers.remove(key);
-            self.forgotten_until = self.forgotten_until.max(Some(key.created_at()));
+            self.dropped_until = self.dropped_until.max(Some(key.created_at()));
         }
     }
 }
 
 impl GuardedKey {
-    /// Bars an attempt; returns whether there was room to remember it.
+    /// Bars an attempt; returns whether there was room to record it.
     fn bar(&mut self, attempt: AttemptId) -> bool {
         if self.barred.contains(&attempt) {
             return true;
         }
-        if self.barred.len() >= MOST_DEAD_ATTEMPTS {
+        if self.barred.len() >= MAX_DEAD_ATTEMPTS {
             return false;
         }
         self.barred.push(attempt);
@@ -237,18 +240,18 @@
     }
 }
 
-/// Answers of completed keys, the least recently completed dropped first.
+/// Stores the answers of completed keys and evicts the least recently completed first.
 #[derive(Debug, Default)]
 struct AnswerStore {
-    answers: BTreeMap<IdempotencyKey, KeptAnswer>,
-    by_age: BTreeMap<u64, IdempotencyKey>,
+    answers: BTreeMap<IdempotencyKey, StoredAnswer>,
+    by_sequence: BTreeMap<u64, IdempotencyKey>,
     next_sequence: u64,
     bytes: usize,
 }
 
-/// An answer and its place in the order of completion.
+/// Stored answer and its position in the order of completion.
 #[derive(Debug)]
-struct KeptAnswer {
+struct StoredAnswer {
     sequence: u64,
     answer: RememberedAnswer,
 }
@@ -258,15 +261,15 @@
         self.answers.get(&key).map(|kept| &kept.answer)
     }
 
-    fn keep(&mut self, key: IdempotencyKey, answer: RememberedAnswer) {
+    fn insert(&mut self, key: IdempotencyKey, answer: RememberedAnswer) {
         self.remove(key);
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         self.bytes += answer.bytes();
-        self.by_age.insert(sequence, key);
-        self.answers.insert(key, KeptAnswer { sequence, answer });
-        while self.bytes > MOST_ANSWER_BYTES {
-            let Some((_, oldest)) = self.by_age.pop_first() else {
+        self.by_sequence.insert(sequence, key);
+        self.answers.insert(key, StoredAnswer { sequence, answer });
+        while self.bytes > MAX_ANSWER_STORE_BYTES {
+            let Some((_, oldest)) = self.by_sequence.pop_first() else {
                 return;
             };
             self.remove(oldest);
@@ -275,7 +278,7 @@
 
     fn remove(&mut self, key: IdempotencyKey) {
         if let Some(kept) = self.answers.remove(&key) {
-            self.by_age.remove(&kept.sequence);
+            self.by_sequence.remove(&kept.sequence);
             self.bytes -= kept.answer.bytes();
         }
     }
--- a/crates/rillgap-core/src/claim/replica.rs
+++ b/crates/rillgap-core/src/claim/replica.rs
@@ -1,44 +1,44 @@
-//! Replica side of claims: which attempt holds a key at this node.
+//! Replica side of claims: votes and records which attempt holds each key at this node.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::claim::electorate::{Electorate, Voter};
 use crate::claim::message::{
-    AbstainReason, Claim, Gate, KeyHolder, Release, Round, Vote, VoteReply,
+    AbstainReason, Claim, GuardId, KeyHolder, Release, Round, Vote, VoteReply,
 };
-use crate::claim::settings::{ClaimSettings, MOST_DEAD_ATTEMPTS, MOST_RECORDS};
+use crate::claim::settings::{ClaimSettings, MAX_DEAD_ATTEMPTS, MAX_REPLICA_KEYS};
 use crate::id::{AttemptId, IdempotencyKey};
 use crate::membership::ActivatedView;
 use crate::time::{Instant, Now, WallTime};
 
-/// Keys that this node knows of as a replica.
+/// Keys that this node has recorded as a replica.
 #[derive(Debug)]
 pub struct Replica {
     voter: Voter,
-    records: BTreeMap<IdempotencyKey, Record>,
-    /// Keys made at this time or before may have been forgotten.
-    forgotten_until: Option<WallTime>,
+    records: BTreeMap<IdempotencyKey, KeyRecord>,
+    /// Keys created at this time or earlier may have been dropped; `None` if none was dropped.
+    dropped_until: Option<WallTime>,
 }
 
-/// What this node knows of one key.
+/// State of one key at this replica.
 #[derive(Debug, Default)]
-struct Record {
+struct KeyRecord {
     holder: Option<Holder>,
     dead: Vec<DeadAttempt>,
 }
 
-/// The attempt to which this node has given its vote.
+/// Attempt for which this replica has voted.
 #[derive(Debug)]
 struct Holder {
     attempt: AttemptId,
     round: Round,
-    gate: Gate,
+    guard: GuardId,
     protected_until: Instant,
     completed: bool,
 }
 
-/// An attempt that must not be granted any more, up to a round.
+/// Attempt that must not be granted in any round up to `round`.
 #[derive(Debug)]
 struct DeadAttempt {
     attempt: AttemptId,
@@ -47,21 +47,21 @@
 }
 
 impl Replica {
-    /// Creates the replica of a fresh node, which remembers nothing.
+    /// Creates the replica of a newly started node, without any recorded keys.
     pub const fn new(voter: Voter) -> Self {
         Self {
             voter,
             records: BTreeMap::new(),
-            forgotten_until: None,
+            dropped_until: None,
         }
     }
 
-    /// Returns the number of keys that are remembered.
+    /// Returns the number of recorded keys.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether no key is remembered.
+    /// Returns whether no key is recorded.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Takes a vote back.
+    /// Withdraws the vote for a released attempt.
     pub fn on_release(&mut self, release: &Release) {
         if let Some(record) = self.records.get_mut(&release.key) {
-            record.bury(release.attempt, release.round, release.spent);
+            record.mark_dead(release.attempt, release.round, release.spent);
         }
     }
 
-    /// Records that the holder has completed.
+    /// Records that the holder of a key has completed.
     pub fn on_complete(&mut self, key: IdempotencyKey, attempt: AttemptId) {
         let holder = self
             .records
@@ -100,16 +100,16 @@
         }
     }
 
-    /// Forgets keys that nobody can use any more.
+    /// Drops keys that can no longer be used at any node.
     pub fn expire(&mut self, now: Now, settings: &ClaimSettings) {
-        let before = settings.forget_before(now);
+        let cutoff = settings.oldest_usable_creation(now);
         while let Some(oldest) = self.records.first_entry() {
             let created_at = oldest.key().created_at();
-            if created_at >= before {
+            if created_at >= cutoff {
                 return;
             }
             oldest.remove();
-            self.forgotten_until = self.forgotten_until.max(Some(created_at));
+            self.dropped_until = self.dropped_until.max(Some(created_at));
         }
     }
 
@@ -121,14 +121,14 @@
         electorate: &dyn Electorate,
     ) -> Vote {
         if let Some(record) = self.records.get_mut(&claim.key) {
-            record.bury_superseded(claim);
+            record.mark_superseded_dead(claim);
             if record.is_dead(claim) {
                 return Vote::Dead;
             }
             if let Some(holder) = record.other_holder(claim)
                 && !settings.faults.ignore_holder
             {
-                let mut description = holder.describe(now, electorate);
+                let mut description = holder.to_key_holder(now, electorate);
                 description.protected &= !settings.faults.ignore_protection;
                 return Vote::Held(description);
             }
@@ -146,25 +146,25 @@
         settings: &ClaimSettings,
         electorate: &dyn Electorate,
     ) -> Result<(), AbstainReason> {
-        if self.forgotten_until >= Some(claim.key.created_at()) {
+        if self.dropped_until >= Some(claim.key.created_at()) {
             return Err(AbstainReason::KeyTooOld);
         }
         let full = match self.records.get(&claim.key) {
-            Some(record) => record.dead.len() + 2 > MOST_DEAD_ATTEMPTS,
-            None => self.records.len() >= MOST_RECORDS,
+            Some(record) => record.dead.len() + 2 > MAX_DEAD_ATTEMPTS,
+            None => self.records.len() >= MAX_REPLICA_KEYS,
         };
         if full {
             return Err(AbstainReason::Full);
         }
         match self.voter.check(now, claim.key, &claim.group, electorate) {
-            Err(AbstainReason::NoStanding) if settings.faults.ignore_vote_standing => Ok(()),
+            Err(AbstainReason::NotEligible) if settings.faults.ignore_voter_eligibility => Ok(()),
             checked => checked,
         }
     }
 
     fn grant(&mut self, now: Now, claim: &Claim) -> Vote {
         let record = self.records.entry(claim.key).or_default();
-        record.bury_superseded(claim);
+        record.mark_superseded_dead(claim);
         let protected_until = now.instant + Duration::from_micros(claim.protected_micros);
         match &mut record.holder {
             Some(holder) if holder.attempt == claim.attempt => {
@@ -175,7 +175,7 @@
                 *holder = Some(Holder {
                     attempt: claim.attempt,
                     round: claim.round,
-                    gate: claim.gate,
+                    guard: claim.guard,
                     protected_until,
                     completed: false,
                 });
@@ -187,16 +187,17 @@
     }
 }
 
-impl Record {
-    /// Buries the attempts that the claim proves to be dead.
-    fn bury_superseded(&mut self, claim: &Claim) {
+impl KeyRecord {
+    /// Marks the attempts as dead that the claim reports as replaced or barred.
+    fn mark_superseded_dead(&mut self, claim: &Claim) {
         for attempt in [claim.replaces, claim.barred].into_iter().flatten() {
-            self.bury(attempt, Round::LAST, true);
+            self.mark_dead(attempt, Round::LAST, true);
         }
     }
 
-    /// Takes the vote of an attempt back, if it has it, and gives it none up to `round` again.
-    fn bury(&mut self, attempt: AttemptId, round: Round, spent: bool) {
+    /// Withdraws the vote for an attempt, if it holds the key, and rejects its claims up to
+    /// `round`.
+    fn mark_dead(&mut self, attempt: AttemptId, round: Round, spent: bool) {
         let held = self
             .holder
             .as_ref()
@@ -209,8 +210,8 @@
             dead.spent |= spent;
             return;
         }
-        // A full record grants nothing any more, so it need not know of further dead attempts.
-        if self.dead.len() < MOST_DEAD_ATTEMPTS {
+        // A full record grants no further claims, so it need not record further dead attempts.
+        if self.dead.len() < MAX_DEAD_ATTEMPTS {
             self.dead.push(DeadAttempt {
                 attempt,
                 round,
@@ -220,7 +221,7 @@
     }
 
     fn is_dead(&self, claim: &Claim) -> bool {
-        let buried = self
+        let dead = self
             .dead
             .iter()
             .any(|dead| dead.attempt == claim.attempt && claim.round <= dead.round);
@@ -228,7 +229,7 @@
             .holder
             .as_ref()
             .is_some_and(|holder| holder.attempt == claim.attempt && claim.round < holder.round);
-        buried || outdated
+        dead || outdated
     }
 
     fn other_holder(&self, claim: &Claim) -> Option<&Holder> {
@@ -247,20 +248,22 @@
 }
 
 impl Holder {
-    fn describe(&self, now: Now, electorate: &dyn Electorate) -> KeyHolder {
+    fn to_key_holder(&self, now: Now, electorate: &dyn Electorate) -> KeyHolder {
         KeyHolder {
             attempt: self.attempt,
-            gate: self.gate,
-            protected: now.instant < self.protected_until && !self.claimant_is_gone(electorate),
+            guard: self.guard,
+            protected: now.instant < self.protected_until
+                && !self.claimant_was_replaced(electorate),
             completed: self.completed,
         }
     }
 
-    /// Returns whether the claimant's node was replaced by a later run.
+    /// Returns whether the claimant's node has restarted since the claim.
     ///
-    /// Runs are not ordered, so an activated view must have named the claimant's run and the
-    /// latest another; a claimant that has only just started is in no activated view yet.
-    fn claimant_is_gone(&self, electorate: &dyn Electorate) -> bool {
+    /// Incarnations are not ordered, so an activated view must have listed the claimant's
+    /// incarnation and the latest activated view another one. A claimant that has just started is
+    /// not yet in an activated view.
+    fn claimant_was_replaced(&self, electorate: &dyn Electorate) -> bool {
         let call = self.attempt.call;
         let names_run = |entry: &ActivatedView| {
             let member = entry.view.member(call.node);
--- a/crates/rillgap-core/src/configuration/alteration.rs
+++ b/crates/rillgap-core/src/configuration/alteration.rs
@@ -1,69 +1,70 @@
-//! What an operator wants to change, and what it makes of a document.
+//! The alterations that operators request, and the document that results from each.
 
 use super::document::PolicyDocument;
 use super::message::BackEndChange;
-use super::spread::News;
+use super::spread::PeerUpdate;
 use crate::code::ResultCode;
 use crate::id::{BackEndName, ChangeId, PolicyVersion};
 use crate::policy::{BackEndState, Policy};
 
-/// What an operator wants to change.
+/// An alteration of the policy that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Alteration {
-    /// Replace the policy.
+    /// Replaces the whole policy.
     Policy {
-        /// The new one.
+        /// The new policy; its version and change are set when it is written.
         policy: Box<Policy>,
-        /// Version that must still be in force; `None` for whichever is.
+        /// Version that the new policy must follow; `None` accepts any.
         expected: Option<PolicyVersion>,
     },
-    /// Move a back end into or out of service.
+    /// Moves a back end into or out of service.
     BackEnd {
-        /// The back end.
+        /// Name of the back end.
         name: BackEndName,
         /// Its new state.
         state: BackEndState,
     },
 }
 
-/// What an alteration makes of a document.
+/// Result of planning an alteration on a document.
 #[derive(Debug)]
-pub enum Planned {
-    /// The document that follows.
+pub enum Plan {
+    /// The document to write.
     Next(Box<PolicyDocument>),
-    /// The document is older than the expected version.
-    NotYet,
-    /// The alteration cannot be made.
+    /// The base document is older than the expected version: a read may have returned an older
+    /// object, so the plan is tried again after another read.
+    BaseOutdated,
+    /// The alteration cannot be applied to this document.
     Refused(ResultCode),
 }
 
 impl Alteration {
-    /// Plans the document that follows `base`.
-    pub fn plan(&self, base: &PolicyDocument, change: ChangeId) -> Planned {
+    /// Plans the document that results from applying this alteration to `base`.
+    pub fn plan(&self, base: &PolicyDocument, change: ChangeId) -> Plan {
         match self {
             Self::Policy { policy, expected } => {
                 let expected = expected.unwrap_or(base.policy.version);
                 if expected < base.policy.version {
-                    return Planned::Refused(ResultCode::VersionConflict);
+                    return Plan::Refused(ResultCode::VersionConflict);
                 }
                 if expected > base.policy.version {
-                    return Planned::NotYet;
+                    return Plan::BaseOutdated;
                 }
-                Planned::Next(Box::new(base.replaced_by((**policy).clone(), change)))
+                Plan::Next(Box::new(base.with_policy((**policy).clone(), change)))
             }
             Self::BackEnd { name, state } => base
                 .with_back_end(name, *state, change)
-                .map_or(Planned::Refused(ResultCode::TargetUnknown), |next| {
-                    Planned::Next(Box::new(next))
+                .map_or(Plan::Refused(ResultCode::TargetUnknown), |next| {
+                    Plan::Next(Box::new(next))
                 }),
         }
     }
 
-    /// Returns what other nodes are told of a change that made `version`.
-    pub fn news(&self, change: ChangeId, version: PolicyVersion) -> News {
+    /// Returns the update to send to other nodes after the change `change` created `version`.
+    pub fn peer_update(&self, change: ChangeId, version: PolicyVersion) -> PeerUpdate {
         match self {
-            Self::Policy { .. } => News::Version(version),
-            Self::BackEnd { name, state } => News::BackEnd(BackEndChange {
+            Self::Policy { .. } => PeerUpdate::Version(version),
+            Self::BackEnd { name, state } => PeerUpdate::BackEnd(BackEndChange {
                 base: PolicyVersion(version.0.saturating_sub(1)),
                 change,
                 back_end: name.clone(),
--- a/crates/rillgap-core/src/configuration/scope.rs
+++ b/crates/rillgap-core/src/configuration/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of the configuration use in common.
+//! Provides what the parts of the configuration need in a step: time, membership and outputs.
 
 use super::message::ConfigurationMessage;
 use crate::action::{Action, Outbox};
@@ -13,7 +13,8 @@
 /// Key of the object that holds the policy.
 pub const POLICY_KEY: &str = "rillgap/policy";
 
-/// Marks the store requests of the configuration; those of the membership have this bit clear.
+/// Bit that is set in the identifiers of the store requests of the configuration and clear in those
+/// of the membership.
 const CONFIGURATION_BIT: u64 = 1 << 63;
 
 /// Returns the key of the object that holds the policy.
@@ -21,43 +22,43 @@
     StoreKey(POLICY_KEY.to_owned())
 }
 
-/// Returns whether a store request is one of the configuration's.
-pub fn is_own(request: StoreRequestId) -> bool {
+/// Returns whether a store request was sent by the configuration.
+pub fn is_configuration_request(request: StoreRequestId) -> bool {
     request.0 & CONFIGURATION_BIT != 0
 }
 
-/// Draws identifiers of store requests.
+/// Generates the identifiers of store requests.
 #[derive(Debug, Default)]
-pub struct StoreRequests {
+pub struct StoreRequestIds {
     last: u64,
 }
 
-impl StoreRequests {
-    fn draw(&mut self) -> StoreRequestId {
+impl StoreRequestIds {
+    fn next_id(&mut self) -> StoreRequestId {
         self.last += 1;
         StoreRequestId(CONFIGURATION_BIT | self.last)
     }
 }
 
-/// Surroundings of one step: time, peers and the place for actions.
+/// Inputs and outputs of one step.
 #[derive(Debug)]
-pub struct Scope<'a> {
+pub struct StepContext<'a> {
     /// Monotonic time of the step.
     pub now: Instant,
-    /// Whether this node is a member of the view and in touch with others.
-    pub in_touch: bool,
-    /// Round of questions of the confirmation at the beginning of the step.
+    /// Whether the membership lets this node serve; see [`Membership::may_serve`].
+    pub may_serve: bool,
+    /// Query round of the confirmation at the beginning of the step.
     pub round: u64,
-    /// Membership.
+    /// Members of the view, their addresses and the versions that they have confirmed.
     pub membership: &'a Membership,
-    /// Identifiers of store requests.
-    pub requests: &'a mut StoreRequests,
-    /// Actions for the driver.
+    /// Generator of the identifiers of store requests.
+    pub request_ids: &'a mut StoreRequestIds,
+    /// Actions that the driver of the node executes.
     pub out: &'a mut Outbox,
 }
 
-impl Scope<'_> {
-    /// Sends a message to a member; one that is not in the view gets nothing.
+impl StepContext<'_> {
+    /// Sends a message to a member of the view. Drops it if `to` is not a member.
     pub fn send(&mut self, to: NodeId, message: ConfigurationMessage) {
         if let Some(address) = self.membership.address(to) {
             self.out.push(Action::Send {
@@ -69,13 +70,13 @@
     }
 
     /// Sends a request to the store.
-    pub fn store(&mut self, body: StoreRequest) -> StoreRequestId {
-        let request = self.requests.draw();
+    pub fn send_store_request(&mut self, body: StoreRequest) -> StoreRequestId {
+        let request = self.request_ids.next_id();
         self.out.push(Action::Store { request, body });
         request
     }
 
-    /// Gives up a request to the store.
+    /// Cancels a request to the store.
     pub fn cancel_store(&mut self, request: StoreRequestId) {
         self.out.push(Action::CancelStore { request });
     }
@@ -85,7 +86,7 @@
         self.out.push(Action::Reply { request, reply });
     }
 
-    /// Tells an operator of a failure.
+    /// Replies to an operator that the request failed; `version` is the latest known one.
     pub fn fail(
         &mut self,
         request: OperatorRequestId,
--- a/crates/rillgap-core/src/configuration/spread.rs
+++ b/crates/rillgap-core/src/configuration/spread.rs
@@ -1,42 +1,47 @@
-//! Spread of the policy between nodes, and repair where a message was lost.
+//! Spreads the policy between nodes, and fetches it where a message was lost.
 //!
-//! A small change goes whole along the tree of [`Membership::spread_targets`]; of a new policy
-//! only its version goes, and who does not hold it fetches it from the announcing node.
+//! Updates are forwarded along the tree of [`Membership::spread_targets`]. A change of one back
+//! end is sent whole. Of any other new policy only the version is announced; a node that does not
+//! hold that version fetches the document from the announcing node.
 //!
 //! [`Membership::spread_targets`]: crate::membership::Membership::spread_targets
 
 use std::time::Duration;
 
-use super::document::{Held, PolicyDocument};
+use super::context::StepContext;
+use super::document::{HeldDocument, PolicyDocument};
 use super::message::{BackEndChange, ConfigurationMessage};
-use super::scope::Scope;
 use crate::id::{NodeId, PolicyVersion};
 use crate::time::Instant;
 
-/// Time after which a document that was asked for is asked for again.
+/// Time after which a document may be fetched again if it has not arrived.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause between two looks for a node that holds a later version.
-pub const REPAIR_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between two checks whether another node holds a later version.
+pub const REPAIR_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is passed on to other nodes.
+/// An update of the policy that is forwarded to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
-    /// A small change.
+pub enum PeerUpdate {
+    /// A change of one back end, in full.
     BackEnd(BackEndChange),
-    /// A new policy, by its version.
+    /// The version of a new policy.
     Version(PolicyVersion),
 }
 
-impl News {
-    /// Returns what to tell of a document that was read from the store: the small change, if it
-    /// is all that is new.
+impl PeerUpdate {
+    /// Returns the update to forward when `document` replaces `held`: the change of one back end if
+    /// that is the only difference, otherwise the version.
     pub fn between(held: &PolicyDocument, document: &PolicyDocument) -> Self {
-        single_change(held, document).map_or(Self::Version(document.policy.version), Self::BackEnd)
+        single_back_end_change(held, document)
+            .map_or(Self::Version(document.policy.version), Self::BackEnd)
     }
 }
 
-fn single_change(held: &PolicyDocument, document: &PolicyDocument) -> Option<BackEndChange> {
+fn single_back_end_change(
+    held: &PolicyDocument,
+    document: &PolicyDocument,
+) -> Option<BackEndChange> {
     let stored = document.changes.last()?;
     let mut pairs = held.policy.back_ends.iter().zip(&document.policy.back_ends);
     let (_, back_end) = pairs.find(|(before, after)| before != after)?;
@@ -50,23 +55,23 @@
     })
 }
 
-impl From<News> for ConfigurationMessage {
-    fn from(news: News) -> Self {
-        match news {
-            News::BackEnd(change) => Self::BackEnd(change),
-            News::Version(version) => Self::Announce { version },
+impl From<PeerUpdate> for ConfigurationMessage {
+    fn from(update: PeerUpdate) -> Self {
+        match update {
+            PeerUpdate::BackEnd(change) => Self::BackEnd(change),
+            PeerUpdate::Version(version) => Self::Announce { version },
         }
     }
 }
 
-/// A document that was asked for.
+/// A document that was requested from a peer.
 #[derive(Debug)]
 struct Fetch {
     version: PolicyVersion,
-    until: Instant,
+    deadline: Instant,
 }
 
-/// The spread at one node.
+/// Fetches and repair checks of one node.
 #[derive(Debug)]
 pub struct Spread {
     fetch: Option<Fetch>,
@@ -74,7 +79,7 @@
 }
 
 impl Spread {
-    /// Creates the state in which nothing was asked for.
+    /// Creates the initial state, without a fetch in flight and with the first repair due at once.
     pub fn new(now: Instant) -> Self {
         Self {
             fetch: None,
@@ -82,54 +87,65 @@
         }
     }
 
-    /// Passes news on to the next nodes of the tree, except to the one that they came from.
-    pub fn pass_on(&mut self, scope: &mut Scope<'_>, news: News, from: Option<NodeId>) {
-        let message = ConfigurationMessage::from(news);
-        for to in scope.membership.spread_targets() {
+    /// Forwards an update to the next nodes of the tree, except the one that sent it.
+    pub fn forward(
+        &mut self,
+        context: &mut StepContext<'_>,
+        update: PeerUpdate,
+        from: Option<NodeId>,
+    ) {
+        let message = ConfigurationMessage::from(update);
+        for to in context.membership.spread_targets() {
             if Some(to) != from {
-                scope.send(to, message.clone());
+                context.send(to, message.clone());
             }
         }
     }
 
-    /// Fetches a version from a node that has it, unless it is held or on its way.
+    /// Fetches the document from a node that holds `version`, unless this version or a later one
+    /// is held or is being fetched.
     pub fn fetch(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut StepContext<'_>,
         from: NodeId,
         version: PolicyVersion,
         held: PolicyVersion,
     ) {
-        if version <= held || self.is_fetching(scope.now, version) {
+        if version <= held || self.is_fetching(context.now, version) {
             return;
         }
         self.fetch = Some(Fetch {
             version,
-            until: scope.now + FETCH_TIMEOUT,
+            deadline: context.now + FETCH_TIMEOUT,
         });
-        scope.send(from, ConfigurationMessage::Fetch { held });
+        context.send(from, ConfigurationMessage::Fetch { held });
     }
 
-    /// Sends the document to a node that asked for it, if it is later than what that node holds.
-    pub fn on_fetch(scope: &mut Scope<'_>, from: NodeId, theirs: PolicyVersion, held: &Held) {
-        if held.version() > theirs {
+    /// Sends the held document to a node that fetches it, if its version exceeds `peer_version`.
+    pub fn on_fetch(
+        context: &mut StepContext<'_>,
+        from: NodeId,
+        peer_version: PolicyVersion,
+        held: &HeldDocument,
+    ) {
+        if held.version() > peer_version {
             let document = Box::new(held.document().clone());
-            scope.send(from, ConfigurationMessage::Document(document));
+            context.send(from, ConfigurationMessage::Document(document));
         }
     }
 
-    /// Fetches what others are known to hold and this node does not.
-    pub fn poll(&mut self, scope: &mut Scope<'_>, held: PolicyVersion) {
-        if scope.now < self.next_repair {
+    /// Fetches the highest version that another node is known to hold, if this node does not.
+    pub fn poll(&mut self, context: &mut StepContext<'_>, held: PolicyVersion) {
+        if context.now < self.next_repair {
             return;
         }
-        self.next_repair = scope.now + REPAIR_PAUSE;
-        if let Some((version, node)) = scope.membership.best_known_policy() {
-            self.fetch(scope, node, version, held);
+        self.next_repair = context.now + REPAIR_INTERVAL;
+        if let Some((version, node)) = context.membership.best_known_policy() {
+            self.fetch(context, node, version, held);
         }
     }
 
-    /// Returns when [`Self::poll`] looks next.
+    /// Returns when [`Self::poll`] checks next.
     pub fn next_wake(&self) -> Instant {
         self.next_repair
     }
@@ -137,12 +153,16 @@
     fn is_fetching(&self, now: Instant, version: PolicyVersion) -> bool {
         self.fetch
             .as_ref()
-            .is_some_and(|fetch| fetch.version >= version && now < fetch.until)
+            .is_some_and(|fetch| fetch.version >= version && now < fetch.deadline)
     }
 }
 
-/// Returns the document that follows `held` by a change, if the change applies to it.
-pub fn apply(held: &Held, change: &BackEndChange) -> Option<PolicyDocument> {
+/// Applies the change of a back end to the held document; returns `None` if its base is another
+/// version or the policy has no such back end.
+pub fn apply_back_end_change(
+    held: &HeldDocument,
+    change: &BackEndChange,
+) -> Option<PolicyDocument> {
     if held.version() != change.base {
         return None;
     }
--- a/crates/rillgap-core/src/membership/exchange.rs
+++ b/crates/rillgap-core/src/membership/exchange.rs
@@ -1,7 +1,8 @@
-//! Exchange of digests: between the relays of a zone, the relays of its region and other regions.
+//! Exchange of digests between the relays of zones and regions.
 //!
-//! The relays of a zone tell those of the region what they hear. The relays of a region collect
-//! that, exchange it with one relay of each other region, and tell the relays of their zones.
+//! The relays of a zone send their digest to the relays of the region. Each relay of a region
+//! collects these digests, exchanges them with one relay of every other region, and sends the
+//! digests of all other zones to the relays of its own zones.
 
 use std::collections::BTreeSet;
 
@@ -11,31 +12,32 @@
 
 use super::contact::LivePeers;
 use super::message::{Exchange, MembershipMessage, ZoneDigest};
-use super::protocol::{Accusation, Protocol};
-use super::timing::{NAMED_LIMIT, REGION_INTERVAL};
+use super::protocol::{FailureReport, Protocol};
+use super::timing::{MAX_LISTED_NODES, REGION_EXCHANGE_INTERVAL};
 use super::topology::{RegionId, ZoneId};
 
 impl Protocol {
-    /// Exchanges what is due if this node is a relay of its region, or may soon be one.
+    /// Sends the exchanges that are due if this node is a relay of its region or a standby.
     pub fn tick_region(&mut self, now: Instant, out: &mut Outbox) {
-        let is_concerned = self.roles.region_relay || self.roles.region_substitute;
-        if !is_concerned || now < self.next_region_exchange {
+        let takes_part = self.roles.region_relay || self.roles.region_standby;
+        if !takes_part || now < self.next_region_exchange {
             return;
         }
-        self.next_region_exchange = self.after(now, REGION_INTERVAL);
+        self.next_region_exchange = self.after(now, REGION_EXCHANGE_INTERVAL);
         for partner in self.region_partners(now) {
             self.send_exchange(now, partner, false, out);
         }
     }
 
-    /// Returns all nodes with which this one exchanges digests.
+    /// Returns all nodes with which this node exchanges digests.
     pub fn partners(&self, now: Instant) -> BTreeSet<NodeId> {
         let mut partners = self.relay_partners(now);
         partners.extend(self.region_partners(now));
         partners
     }
 
-    /// Returns the partners of a relay: the other one of its zone, and those of the region.
+    /// Returns the exchange partners of a zone relay: the other relay of its zone and the relays of
+    /// the region.
     pub fn relay_partners(&self, now: Instant) -> BTreeSet<NodeId> {
         let mut partners = BTreeSet::new();
         if self.roles.relay {
@@ -47,11 +49,12 @@
         partners
     }
 
-    /// Returns the partners of a region's relay: the relays of all zones of the region, its other
-    /// relay, and one of each other region. A substitute watches the region's relays.
+    /// Returns the exchange partners of a region relay: the relays of all zones of the region, the
+    /// other relay of the region, and one relay of each other region. The partners of a standby are
+    /// the region relays, so that it detects their failure.
     fn region_partners(&self, now: Instant) -> BTreeSet<NodeId> {
         let mut partners = BTreeSet::new();
-        if self.roles.region_relay || self.roles.region_substitute {
+        if self.roles.region_relay || self.roles.region_standby {
             let region = self.region_relays(now, self.identity.region);
             self.add_partners(now, region, &mut partners);
         }
@@ -69,8 +72,9 @@
         partners
     }
 
-    /// Returns the relay of another region with which this region's relay exchanges digests: the
-    /// first of them speaks to the first, the second to the second.
+    /// Returns the relay of another region with which this region relay exchanges digests. Relays
+    /// are paired by position, the first with the first and the second with the second. A silent
+    /// relay whose retry is due takes precedence.
     pub fn counterpart(&self, now: Instant, region: RegionId) -> Option<NodeId> {
         let own = self.region_relays(now, self.identity.region).live;
         let position = own.iter().position(|node| *node == self.identity.id)?;
@@ -91,9 +95,10 @@
         partners.extend(retried.filter(|peer| self.contacts.is_retry_due(now, *peer)));
     }
 
+    /// Sends an exchange; a zone relay's list of presumed failed members goes to its zone only.
     pub fn send_exchange(&mut self, now: Instant, to: NodeId, is_reply: bool, out: &mut Outbox) {
-        let accused = if self.topology.order(self.identity.zone).contains(&to) {
-            self.accused(now)
+        let presumed_failed = if self.topology.order(self.identity.zone).contains(&to) {
+            self.presumed_failed(now)
         } else {
             Vec::new()
         };
@@ -105,14 +110,16 @@
             agreed: self.agreed,
             policy: self.policy,
             digests: self.digests_for(now, to),
-            accused,
-            leaving: self.store.leaving().take(NAMED_LIMIT).collect(),
+            presumed_failed,
+            leaving: self.store.leaving().take(MAX_LISTED_NODES).collect(),
         };
-        self.contacts.sent(now, to);
+        self.contacts.record_sent(now, to);
         self.send(to, MembershipMessage::Exchange(Box::new(exchange)), out);
     }
 
-    /// Returns the digests for which this node speaks to another.
+    /// Returns the digests that this node sends to `to`: the own region's digests to another
+    /// region; within the region the own zone's digest, and those of all other zones if this node
+    /// is the region relay responsible for `to`.
     fn digests_for(&self, now: Instant, to: NodeId) -> Vec<ZoneDigest> {
         let Some(member) = self.view.member(to) else {
             return Vec::new();
@@ -123,16 +130,17 @@
                 .digests
                 .outgoing(now, |zone| self.is_in_own_region(zone));
         }
-        let speaks_for_all = self.roles.region_relay && self.serves(now, to);
+        let sends_other_zones = self.roles.region_relay && self.is_responsible_for(now, to);
         let is_relay = self.roles.relay;
         self.digests.outgoing(now, |other| {
             let is_own = other == self.identity.zone;
-            (is_relay && is_own) || (speaks_for_all && other != zone)
+            (is_relay && is_own) || (sends_other_zones && other != zone)
         })
     }
 
-    /// Returns whether it is this one of the region's relays that tells `to` of other zones.
-    fn serves(&self, now: Instant, to: NodeId) -> bool {
+    /// Returns whether this region relay sends the digests of other zones to `to`. Receivers are
+    /// divided among the region relays by identifier; another region relay receives them from each.
+    fn is_responsible_for(&self, now: Instant, to: NodeId) -> bool {
         let relays = self.region_relays(now, self.identity.region).live;
         let count = relays.len().max(1) as u64;
         let position = (to.0 % count) as usize;
@@ -146,6 +154,8 @@
             .is_some_and(|zone| zone.region == self.identity.region)
     }
 
+    /// Handles an exchange. Replies to it, unless it is a reply itself or its sender is a partner
+    /// that receives the regular exchanges of this node.
     pub fn on_exchange(
         &mut self,
         now: Now,
@@ -154,44 +164,44 @@
         exchange: Exchange,
         out: &mut Outbox,
     ) {
-        if !self.hears(now.instant, from, incarnation, out) {
+        if !self.accepts_from(now.instant, from, incarnation, out) {
             return;
         }
         let now = now.instant;
-        self.probes.received(now, from, exchange.probe);
-        let spoken = exchange.echo.and_then(|echo| self.probes.date(now, echo));
-        if let Some(spoken) = spoken {
-            self.contacts.answered(from);
-            self.note_contact(from, spoken);
+        self.probes.record_received(now, from, exchange.probe);
+        let sent_after = exchange.echo.and_then(|echo| self.probes.date(now, echo));
+        if let Some(sent_after) = sent_after {
+            self.contacts.record_answer(from);
+            self.record_contact(from, sent_after);
         }
         for digest in exchange.digests {
-            self.digests.insert(now, digest, spoken);
+            self.digests.insert(now, digest, sent_after);
         }
-        self.note_policy(now, exchange.policy, from);
-        self.note_agreed(now, exchange.agreed);
+        self.record_policy(now, exchange.policy, from);
+        self.record_agreed(now, exchange.agreed);
         if !exchange.leaving.is_empty() {
-            self.take_leaving(&exchange.leaving);
+            self.record_leaving(&exchange.leaving);
         }
-        let accusation = Accusation {
-            nodes: exchange.accused,
+        let report = FailureReport {
+            nodes: exchange.presumed_failed,
             at: now,
         };
-        self.accusations.insert(from, accusation);
+        self.failure_reports.insert(from, report);
         self.compare_views(now, from, exchange.view, out);
         if !exchange.is_reply && !self.partners(now).contains(&from) {
             self.send_exchange(now, from, true, out);
         }
     }
 
-    fn note_contact(&mut self, from: NodeId, spoken: Instant) {
+    fn record_contact(&mut self, from: NodeId, sent_after: Instant) {
         let is_own_zone = self
             .view
             .member(from)
             .is_some_and(|member| member.zone == self.identity.member.zone);
         if is_own_zone {
-            self.zone_contact = self.zone_contact.max(Some(spoken));
+            self.zone_contact = self.zone_contact.max(Some(sent_after));
         } else {
-            self.other_contact = self.other_contact.max(Some(spoken));
+            self.other_contact = self.other_contact.max(Some(sent_after));
         }
     }
 }
--- a/crates/rillgap-core/src/membership/history.rs
+++ b/crates/rillgap-core/src/membership/history.rs
@@ -1,4 +1,7 @@
-//! Views that are agreed for so long that no vote under an earlier one can still be cast.
+//! History of views and the times of their activation.
+//!
+//! A view is activated once it has been agreed for longer than the vote lease, so that no vote
+//! under an earlier view can be cast any more.
 
 use std::sync::Arc;
 
@@ -6,38 +9,38 @@
 use crate::time::{Instant, Now, WallTime};
 use crate::view::View;
 
-use super::timing::{CLOCK_SKEW, HISTORY_LIFE, HISTORY_LIMIT, VOTE_LEASE};
+use super::timing::{CLOCK_DRIFT_ALLOWANCE, MAX_RETAINED_VIEWS, VIEW_RETENTION, VOTE_LEASE};
 
-/// Time that stands for "not yet activated": later than every other time.
+/// Activation time of a view that is not activated yet; later than every other time.
 pub const NOT_ACTIVATED: WallTime = WallTime::from_millis(u64::MAX);
 
-/// A view together with the moment since when this node treats it as agreed.
+/// A view and the time since when this node treats it as activated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ActivatedView {
     /// The view.
     pub view: Arc<View>,
-    /// When a majority had confirmed it for longer than the vote lease, by this host's wall
-    /// clock, or [`NOT_ACTIVATED`].
+    /// Time of activation by this host's wall clock, or [`NOT_ACTIVATED`]. By then the view had
+    /// been agreed for longer than the vote lease.
     pub activated_at: WallTime,
 }
 
 impl ActivatedView {
-    /// Returns whether the view is activated.
+    /// Returns whether this node has activated the view.
     pub fn is_activated(&self) -> bool {
         self.activated_at < NOT_ACTIVATED
     }
 }
 
-/// The views of the longest key life, activated or waiting to be.
+/// Views that may matter to keys still alive, activated or not, in ascending order.
 #[derive(Debug, Default)]
 pub struct ViewHistory {
     views: Vec<ActivatedView>,
-    /// When each of the views is activated, once it is agreed.
-    due: Vec<Option<Instant>>,
+    /// Activation time of each view by the monotonic clock; `None` until the view is agreed.
+    activation_due: Vec<Option<Instant>>,
 }
 
 impl ViewHistory {
-    /// Creates the history of a view that is never changed.
+    /// Creates the history of a fixed view, which is activated from the beginning.
     pub fn fixed(view: Arc<View>) -> Self {
         let activated = ActivatedView {
             view,
@@ -45,7 +48,7 @@
         };
         Self {
             views: vec![activated],
-            due: vec![None],
+            activation_due: vec![None],
         }
     }
 
@@ -54,48 +57,50 @@
         &self.views
     }
 
-    /// Takes in a view that came into force at this node.
-    pub fn adopted(&mut self, view: Arc<View>) {
+    /// Appends a view that came into force at this node, and drops the oldest one beyond
+    /// [`MAX_RETAINED_VIEWS`].
+    pub fn push(&mut self, view: Arc<View>) {
         self.views.push(ActivatedView {
             view,
             activated_at: NOT_ACTIVATED,
         });
-        self.due.push(None);
-        if self.views.len() > HISTORY_LIMIT {
-            self.forget_first();
+        self.activation_due.push(None);
+        if self.views.len() > MAX_RETAINED_VIEWS {
+            self.drop_first();
         }
     }
 
-    /// Takes in that joint majorities have confirmed views up to `agreed`.
-    pub fn agreed(&mut self, now: Instant, agreed: ViewVersion) {
-        let waiting = self.views.iter().zip(&mut self.due);
+    /// Schedules the activation of all views up to `agreed`, which joint majorities have confirmed.
+    pub fn mark_agreed(&mut self, now: Instant, agreed: ViewVersion) {
+        let waiting = self.views.iter().zip(&mut self.activation_due);
         for (entry, due) in waiting {
             if entry.view.version <= agreed {
-                due.get_or_insert(now + VOTE_LEASE + CLOCK_SKEW);
+                due.get_or_insert(now + VOTE_LEASE + CLOCK_DRIFT_ALLOWANCE);
             }
         }
     }
 
-    /// Activates what is due and forgets what is too old to matter.
+    /// Activates the views that are due, and drops the oldest view if its successor was activated
+    /// more than [`VIEW_RETENTION`] ago.
     pub fn poll(&mut self, now: Now) {
-        for (entry, due) in self.views.iter_mut().zip(&self.due) {
+        for (entry, due) in self.views.iter_mut().zip(&self.activation_due) {
             let is_due = due.is_some_and(|due| due <= now.instant);
             if is_due && !entry.is_activated() {
                 entry.activated_at = now.wall;
             }
         }
-        let horizon = now.wall.minus(HISTORY_LIFE);
+        let horizon = now.wall.minus(VIEW_RETENTION);
         let is_replaced = self
             .views
             .get(1)
             .is_some_and(|next| next.activated_at <= horizon);
         if is_replaced {
-            self.forget_first();
+            self.drop_first();
         }
     }
 
-    fn forget_first(&mut self) {
+    fn drop_first(&mut self) {
         self.views.remove(0);
-        self.due.remove(0);
+        self.activation_due.remove(0);
     }
 }
--- a/crates/rillgap-core/src/membership/protocol.rs
+++ b/crates/rillgap-core/src/membership/protocol.rs
@@ -1,4 +1,4 @@
-//! Membership of a running node: its state and its clockwork.
+//! State of the membership protocol at one node, its periodic work and the dispatch of messages.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 
 use super::change::ChangeLog;
 use super::contact::{Contacts, LivePeers};
-use super::detector::{Detector, Heard};
+use super::detector::{Detector, HeartbeatRecord};
 use super::digest::DigestTable;
 use super::history::ViewHistory;
 use super::joining::Joining;
@@ -25,12 +25,12 @@
 use super::proposal::Proposals;
 use super::store_client::StoreClient;
 use super::timing::{
-    CONTACT_LIMIT, FREEZE_LIMIT, LEAVE_LIMIT, REGION_SUBSTITUTES, RELAYS, SPREAD_TIME, TICK,
-    VOTE_LEASE,
+    CONTACT_TIMEOUT, LEAVE_TIMEOUT, POLICY_PROPAGATION_TIME, PROCESS_PAUSE_THRESHOLD,
+    REGION_RELAYS_AND_STANDBYS, RELAYS_PER_GROUP, TICK, VOTE_LEASE,
 };
 use super::topology::{RegionId, Topology, ZoneId};
 
-/// Who this node is.
+/// Identity of this node.
 #[derive(Clone, Debug)]
 pub(super) struct Identity {
     pub id: NodeId,
@@ -39,42 +39,45 @@
     pub region: RegionId,
 }
 
-/// Roles that this node has at present; they follow from the view and from who answers.
+/// Present roles of this node, derived from the view and from which peers answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Roles {
-    /// Among the first live members of its zone: takes heartbeats.
+    /// Among the first live members of its zone: receives the heartbeats of the zone.
     pub relay: bool,
     /// Among the first live members of its region's order: collects the digests of its zones,
-    /// speaks to other regions and to the store.
+    /// exchanges them with other regions, and reads and writes the store.
     pub region_relay: bool,
-    /// Next in the region's order, and watches whether the region's relays live.
-    pub region_substitute: bool,
+    /// Near the head of the region's order but not a region relay: detects the failure of the
+    /// region relays in order to replace them.
+    pub region_standby: bool,
 }
 
-/// The highest policy version heard of.
+/// Highest known policy version, a node that has it, and when it became known.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HeardPolicy {
+pub(super) struct KnownPolicy {
     pub version: PolicyVersion,
     pub holder: NodeId,
     pub since: Instant,
 }
 
-/// A status as received.
+/// Status received from a relay.
 #[derive(Clone, Debug)]
 pub(super) struct ReceivedStatus {
     pub status: Status,
+    /// Hash of the status. Heartbeats carry it, so that the relay omits an unchanged status.
     pub digest: u32,
+    /// Last time at which the relay sent or confirmed this status.
     pub confirmed_at: Instant,
 }
 
-/// Members whom another relay of the zone wants removed.
+/// Members that another relay of the zone presumes failed.
 #[derive(Clone, Debug)]
-pub(super) struct Accusation {
+pub(super) struct FailureReport {
     pub nodes: Vec<NodeId>,
     pub at: Instant,
 }
 
-/// Membership of a running node.
+/// State of the membership protocol at one node.
 #[derive(Debug)]
 pub(super) struct Protocol {
     pub identity: Identity,
@@ -84,31 +87,41 @@
     pub topology: Topology,
     pub log: ChangeLog,
     pub history: ViewHistory,
+    /// Latest view that joint majorities have confirmed.
     pub agreed: ViewVersion,
+    /// Policy version in force at this node.
     pub policy: PolicyVersion,
-    pub best_policy: Option<HeardPolicy>,
+    /// Highest known policy version; `None` if no node has reported any.
+    pub best_policy: Option<KnownPolicy>,
     pub roles: Roles,
     pub probes: ProbeClock,
     pub contacts: Contacts,
     pub detector: Detector,
     pub digests: DigestTable,
+    /// Status that this relay sends to members, with its hash; `None` at other nodes.
     pub own_status: Option<(Box<Status>, u32)>,
+    /// Last status received from each relay.
     pub statuses: BTreeMap<NodeId, ReceivedStatus>,
-    pub accusations: BTreeMap<NodeId, Accusation>,
-    /// Time at which, at the latest, the evidence was given on which this node votes.
+    /// Last failure report of each exchange partner.
+    pub failure_reports: BTreeMap<NodeId, FailureReport>,
+    /// Lower bound on the time of the evidence on which this node votes.
     pub lease: Option<Instant>,
-    /// Latest time of a message that the own zone is known to have received.
+    /// Lower bound on the time of the last message from the own zone that echoes one of this node,
+    /// which proves that the zone receives this node's messages.
     pub zone_contact: Option<Instant>,
-    /// The same for relays of other zones.
+    /// Counterpart of `zone_contact` for relays of other zones.
     pub other_contact: Option<Instant>,
     pub joining: Joining,
     pub proposals: Proposals,
     pub store: StoreClient,
+    /// Start of the planned leave; `None` if the node is not leaving.
     pub leaving_since: Option<Instant>,
-    /// Whether a later run of this node was seen in the view: it must never join again.
+    /// Whether the view has contained a later incarnation of this node, after which this one must
+    /// not join again.
     pub superseded: bool,
-    pub was_member: bool,
-    /// Whether the view holds this run; kept because it is asked at every step.
+    /// Whether any view has contained this incarnation.
+    pub was_ever_member: bool,
+    /// Whether the view contains this incarnation; cached because every step needs it.
     is_member: bool,
     pub last_poll: Instant,
     pub next_tick: Instant,
@@ -116,12 +129,13 @@
     pub next_relay_exchange: Instant,
     pub next_region_exchange: Instant,
     pub last_view_request: Option<Instant>,
-    pub heartbeat_turn: usize,
-    /// Policy and view that the last heartbeats to all relays have confirmed.
+    pub next_relay_index: usize,
+    /// Policy and view that were confirmed in the last heartbeats.
     pub announced: (PolicyVersion, ViewVersion),
 }
 
 impl Protocol {
+    /// Creates the state of a starting node.
     pub fn new(now: Now, settings: &NodeSettings) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(settings.random_seed ^ settings.incarnation.0);
         let identity = Identity {
@@ -156,7 +170,7 @@
             digests: DigestTable::default(),
             own_status: None,
             statuses: BTreeMap::new(),
-            accusations: BTreeMap::new(),
+            failure_reports: BTreeMap::new(),
             lease: None,
             zone_contact: None,
             other_contact: None,
@@ -165,7 +179,7 @@
             store: StoreClient::default(),
             leaving_since: None,
             superseded: false,
-            was_member: false,
+            was_ever_member: false,
             is_member: false,
             last_poll: now.instant,
             next_tick: now.instant,
@@ -174,32 +188,34 @@
             next_region_exchange: now.instant,
             announced: (PolicyVersion::default(), ViewVersion::default()),
             last_view_request: None,
-            heartbeat_turn: 0,
+            next_relay_index: 0,
             random,
         };
         protocol.update_is_member();
         protocol
     }
 
-    /// Returns whether the view holds this run of this node.
+    /// Returns whether the view contains this incarnation of this node.
     pub fn is_member(&self) -> bool {
         self.is_member
     }
 
-    /// Looks up whether the view holds this run of this node.
+    /// Updates the cached result of [`Self::is_member`]; called after each change of the view.
     pub fn update_is_member(&mut self) {
-        self.is_member = self.is_current_run(self.identity.id, self.identity.member.incarnation);
+        self.is_member =
+            self.is_current_incarnation(self.identity.id, self.identity.member.incarnation);
     }
 
-    /// Returns whether the view holds a certain run of a node.
-    pub fn is_current_run(&self, node: NodeId, incarnation: Incarnation) -> bool {
+    /// Returns whether the view contains the given incarnation of a node.
+    pub fn is_current_incarnation(&self, node: NodeId, incarnation: Incarnation) -> bool {
         self.view
             .member(node)
             .is_some_and(|member| member.incarnation == incarnation)
     }
 
+    /// Performs the periodic work once per [`TICK`].
     pub fn poll(&mut self, now: Now, out: &mut Outbox) {
-        self.notice_freeze(now.instant);
+        self.detect_process_pause(now.instant);
         self.last_poll = now.instant;
         if now.instant < self.next_tick {
             return;
@@ -215,9 +231,10 @@
         self.history.poll(now);
     }
 
-    /// After a freeze nothing learnt before counts any more, and nobody is accused.
-    fn notice_freeze(&mut self, now: Instant) {
-        if now.saturating_since(self.last_poll) <= FREEZE_LIMIT {
+    /// Drops all evidence after a process pause. It may be outdated, and members must not be
+    /// presumed failed because their heartbeats were not processed during the pause.
+    fn detect_process_pause(&mut self, now: Instant) {
+        if now.saturating_since(self.last_poll) <= PROCESS_PAUSE_THRESHOLD {
             return;
         }
         self.probes.reset();
@@ -225,7 +242,7 @@
         self.detector.reset(now);
         self.digests.reset();
         self.statuses.clear();
-        self.accusations.clear();
+        self.failure_reports.clear();
         self.lease = None;
         self.zone_contact = None;
         self.other_contact = None;
@@ -234,6 +251,7 @@
         self.next_region_exchange = now;
     }
 
+    /// Derives the roles from the view and from which peers answer.
     pub fn update_roles(&mut self, now: Instant) {
         let id = self.identity.id;
         let is_member = self.is_member();
@@ -241,19 +259,21 @@
         let relay = is_member && self.zone_relays(now).live.contains(&id);
         let region_relay = is_member && self.region_relays(now, region).live.contains(&id);
         let first = self.topology.region_order(region).iter();
-        let is_first = first.take(REGION_SUBSTITUTES).any(|node| *node == id);
+        let is_near_head = first
+            .take(REGION_RELAYS_AND_STANDBYS)
+            .any(|node| *node == id);
         self.roles = Roles {
             relay,
             region_relay,
-            region_substitute: is_member && is_first && !region_relay,
+            region_standby: is_member && is_near_head && !region_relay,
         };
-        self.detector.watch(now, relay);
+        self.detector.set_relay(now, relay);
         if !relay {
             self.own_status = None;
         }
     }
 
-    /// Returns the relays of the own zone, which may include this node.
+    /// Returns the relays of the own zone, possibly including this node.
     pub fn zone_relays(&self, now: Instant) -> LivePeers {
         self.relays_of(now, self.identity.zone)
     }
@@ -261,84 +281,84 @@
     /// Returns the relays of a zone.
     pub fn relays_of(&self, now: Instant, zone: ZoneId) -> LivePeers {
         self.contacts
-            .first_live(now, self.topology.order(zone), RELAYS)
+            .first_live(now, self.topology.order(zone), RELAYS_PER_GROUP)
     }
 
     /// Returns the relays of a region.
     pub fn region_relays(&self, now: Instant, region: RegionId) -> LivePeers {
         self.contacts
-            .first_live(now, self.topology.region_order(region), RELAYS)
+            .first_live(now, self.topology.region_order(region), RELAYS_PER_GROUP)
     }
 
     pub fn may_serve(&self, now: Now) -> bool {
         let now = now.instant;
-        let thawed = now.saturating_since(self.last_poll) <= FREEZE_LIMIT;
-        thawed && self.is_in_service() && self.is_in_touch(now)
+        let not_paused = now.saturating_since(self.last_poll) <= PROCESS_PAUSE_THRESHOLD;
+        not_paused && self.is_in_service() && self.has_recent_contact(now)
     }
 
     pub fn may_vote(&self, now: Now) -> bool {
         let now = now.instant;
-        let thawed = now.saturating_since(self.last_poll) <= FREEZE_LIMIT;
-        let leased = self
+        let not_paused = now.saturating_since(self.last_poll) <= PROCESS_PAUSE_THRESHOLD;
+        let has_lease = self
             .lease
             .is_some_and(|lease| now.saturating_since(lease) <= VOTE_LEASE);
-        thawed && leased && self.is_in_service()
+        not_paused && has_lease && self.is_in_service()
     }
 
     fn is_in_service(&self) -> bool {
         self.is_member() && self.leaving_since.is_none() && !self.superseded
     }
 
-    /// Returns whether the own zone has heard this node lately. The last live member of a zone
-    /// may instead be heard by another zone; an only member needs nobody.
-    pub fn is_in_touch(&self, now: Instant) -> bool {
-        let recent = |contact: Option<Instant>| {
-            contact.is_some_and(|at| now.saturating_since(at) <= CONTACT_LIMIT)
+    /// Returns whether the own zone has recently received messages of this node. For the last live
+    /// member of a zone, contact with another zone suffices; the only member of a zone needs none.
+    pub fn has_recent_contact(&self, now: Instant) -> bool {
+        let is_recent = |contact: Option<Instant>| {
+            contact.is_some_and(|at| now.saturating_since(at) <= CONTACT_TIMEOUT)
         };
         let order = self.topology.order(self.identity.zone);
         if order.len() <= 1 {
             return true;
         }
-        if recent(self.zone_contact.max(self.detector.last_dated())) {
+        if is_recent(self.zone_contact.max(self.detector.last_dated())) {
             return true;
         }
-        let is_last = order
+        let is_last_live = order
             .iter()
             .all(|&node| node == self.identity.id || self.contacts.is_silent(now, node));
-        is_last && recent(self.other_contact)
+        is_last_live && is_recent(self.other_contact)
     }
 
     pub fn leave(&mut self, now: Instant) {
         if self.leaving_since.is_none() {
             self.leaving_since = Some(now);
-            self.joining.request_at_once(now);
+            self.joining.request_now(now);
         }
     }
 
     pub fn has_left(&self) -> bool {
         self.leaving_since.is_some_and(|since| {
-            !self.is_member() || self.last_poll.saturating_since(since) >= LEAVE_LIMIT
+            !self.is_member() || self.last_poll.saturating_since(since) >= LEAVE_TIMEOUT
         })
     }
 
-    /// Returns what this node itself has confirmed.
-    pub fn own_heard(&self, now: Instant) -> (NodeId, Heard) {
-        let heard = Heard {
+    /// Returns the entry of this node itself for the digest of its zone.
+    pub fn own_record(&self, now: Instant) -> (NodeId, HeartbeatRecord) {
+        let record = HeartbeatRecord {
             incarnation: self.identity.member.incarnation,
             at: now,
             sent: Some(now),
             view: self.view.version,
             policy: self.policy,
         };
-        (self.identity.id, heard)
+        (self.identity.id, record)
     }
 
-    /// Takes in that a node has a version of the policy.
-    pub fn note_policy(&mut self, now: Instant, version: PolicyVersion, holder: NodeId) {
-        let is_news = version > PolicyVersion::default()
+    /// Records the policy version of a node if it is the highest known one.
+    pub fn record_policy(&mut self, now: Instant, version: PolicyVersion, holder: NodeId) {
+        let is_newer = version > PolicyVersion::default()
             && self.best_policy.is_none_or(|best| version > best.version);
-        if is_news {
-            self.best_policy = Some(HeardPolicy {
+        if is_newer {
+            self.best_policy = Some(KnownPolicy {
                 version,
                 holder,
                 since: now,
@@ -346,28 +366,28 @@
         }
     }
 
-    /// Returns the highest policy version heard of and who has it, once the spread of the policy
-    /// has had its time: a heartbeat may well overtake the policy itself.
+    /// Returns the highest known policy version and a node that has it, once the version has been
+    /// known for [`POLICY_PROPAGATION_TIME`]. A heartbeat may arrive before the policy itself.
     pub fn best_known_policy(&self) -> Option<(PolicyVersion, NodeId)> {
         self.best_policy
-            .filter(|best| self.last_poll.saturating_since(best.since) >= SPREAD_TIME)
+            .filter(|best| self.last_poll.saturating_since(best.since) >= POLICY_PROPAGATION_TIME)
             .map(|best| (best.version, best.holder))
     }
 
-    /// Takes in how far joint majorities have confirmed views.
-    pub fn note_agreed(&mut self, now: Instant, agreed: ViewVersion) {
+    /// Records the latest view that joint majorities have confirmed.
+    pub fn record_agreed(&mut self, now: Instant, agreed: ViewVersion) {
         if agreed > self.agreed {
             self.agreed = agreed;
-            self.history.agreed(now, agreed);
+            self.history.mark_agreed(now, agreed);
         }
     }
 
-    /// Returns the time after an interval, with a jitter of a tenth.
+    /// Returns the time one interval after `now`, with a jitter of 10 %.
     pub fn after(&mut self, now: Instant, interval: Duration) -> Instant {
         now + interval.mul_f64(self.random.random_range(0.9..1.1))
     }
 
-    /// Sends a message to a member of the view or a seed.
+    /// Sends a message to a member of the view or to a seed; drops it for any other node.
     pub fn send(&self, to: NodeId, message: MembershipMessage, out: &mut Outbox) {
         let member = self.view.member(to).map(|member| member.mesh_address);
         let address = member.or_else(|| {
@@ -385,7 +405,7 @@
         }
     }
 
-    /// Sends a message to a node that need not be a member.
+    /// Sends a message to a node that may be outside the view.
     pub fn send_to(&self, member: &Member, message: MembershipMessage, out: &mut Outbox) {
         out.push(Action::Send {
             to: member.id(),
@@ -396,6 +416,7 @@
 }
 
 impl Protocol {
+    /// Handles a membership message of a peer.
     pub fn on_message(
         &mut self,
         now: Now,
@@ -404,7 +425,7 @@
         message: MembershipMessage,
         out: &mut Outbox,
     ) {
-        self.notice_freeze(now.instant);
+        self.detect_process_pause(now.instant);
         match message {
             MembershipMessage::Heartbeat(heartbeat) => {
                 self.on_heartbeat(now, from, incarnation, &heartbeat, out);
@@ -416,8 +437,8 @@
                 self.on_exchange(now, from, incarnation, *exchange, out);
             }
             MembershipMessage::ViewRequest { known } => {
-                let news = self.news_since(known);
-                self.send(from, news, out);
+                let update = self.updates_since(known);
+                self.send(from, update, out);
             }
             MembershipMessage::Changes(changes) => {
                 self.on_join_answered(now.instant);
@@ -428,12 +449,12 @@
                 self.on_full_view(now.instant, Some(from), *stored, out);
             }
             MembershipMessage::Join { member, known } => {
-                self.notice_later_run(now.instant, from, incarnation);
+                self.detect_restart(now.instant, from, incarnation);
                 self.on_join(now.instant, member, known, out);
             }
-            MembershipMessage::AlsoJoining { goes_ahead } => {
-                self.notice_later_run(now.instant, from, incarnation);
-                self.on_also_joining(now.instant, from, goes_ahead);
+            MembershipMessage::AlsoJoining { accesses_store } => {
+                self.detect_restart(now.instant, from, incarnation);
+                self.on_also_joining(now.instant, from, accesses_store);
             }
             MembershipMessage::Propose(proposal) => {
                 self.on_propose(now.instant, proposal, out);
@@ -441,11 +462,11 @@
         }
     }
 
-    /// A node that is joining has ended the run that the view names, which need not be waited
-    /// for.
-    fn notice_later_run(&mut self, now: Instant, node: NodeId, incarnation: Incarnation) {
-        if !self.is_current_run(node, incarnation) && self.view.member(node).is_some() {
-            self.contacts.ended(now, node);
+    /// Marks a member as silent when another incarnation of it is joining, as the one in the view
+    /// has ended.
+    fn detect_restart(&mut self, now: Instant, node: NodeId, incarnation: Incarnation) {
+        if !self.is_current_incarnation(node, incarnation) && self.view.member(node).is_some() {
+            self.contacts.mark_ended(now, node);
         }
     }
 }
--- a/crates/rillgap-core/tests/configuration_support/store.rs
+++ b/crates/rillgap-core/tests/configuration_support/store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's store.
+//! Simulates the platform's store, with the faults of [`StoreMode`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,28 +7,28 @@
     Machine, ModifyIndex, StoreKey, StoreObject, StoreReply, StoreRequest, StoreRequestId,
 };
 
-use super::Run;
+use super::NodeRun;
 
-/// What the store does with requests.
+/// How the store handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreMode {
-    /// Answers everything.
+    /// Replies to all requests.
     #[default]
     Up,
-    /// Answers nothing but failures.
+    /// Replies to all requests with a failure.
     Down,
-    /// Answers nothing at all.
+    /// Replies to no request.
     Silent,
-    /// Carries out writes and reports them as failed.
-    LosesAnswers,
-    /// Reports writes of the policy as failed and carries them out a while later.
+    /// Executes writes of the policy, but reports them as failed.
+    LosesReplies,
+    /// Reports writes of the policy as failed, but executes them later.
     WritesLate,
 }
 
-/// A reply and when it leaves the store.
+/// A reply and the delay after which the node receives it.
 #[derive(Debug)]
-pub struct StoreReplyAt {
-    pub run: Run,
+pub struct DelayedReply {
+    pub run: NodeRun,
     pub request: StoreRequestId,
     pub reply: StoreReply,
     pub delay: Duration,
@@ -36,26 +36,26 @@
 
 #[derive(Debug)]
 struct Watcher {
-    run: Run,
+    run: NodeRun,
     request: StoreRequestId,
     key: Option<StoreKey>,
     after: ModifyIndex,
 }
 
-/// The store.
+/// The simulated store: versioned objects and the blocking reads that wait for a change.
 #[derive(Debug)]
 pub struct Store {
     pub mode: StoreMode,
     pub delay: Duration,
     pub machines: Vec<Machine>,
-    /// Writes that took effect and changed the policy's object.
+    /// Number of writes that changed the value of the policy object.
     pub policy_changes: u64,
     objects: BTreeMap<StoreKey, StoreObject>,
     watchers: Vec<Watcher>,
     index: u64,
-    remembered: Option<StoreObject>,
+    snapshot: Option<StoreObject>,
     stale: Option<StoreObject>,
-    late: bool,
+    is_last_write_late: bool,
 }
 
 impl Default for Store {
@@ -68,39 +68,39 @@
             objects: BTreeMap::new(),
             watchers: Vec::new(),
             index: 1,
-            remembered: None,
+            snapshot: None,
             stale: None,
-            late: false,
+            is_last_write_late: false,
         }
     }
 }
 
 impl Store {
-    /// Remembers the policy as it is now, for [`Self::begin_stale_reads`].
-    pub fn remember_policy(&mut self) {
-        self.remembered = Some(self.object(&policy_key()));
+    /// Takes a snapshot of the policy object for [`Self::begin_stale_reads`].
+    pub fn snapshot_policy(&mut self) {
+        self.snapshot = Some(self.object(&policy_key()));
     }
 
-    /// From now on reads of the policy return the remembered object.
+    /// Makes reads of the policy return the snapshot.
     pub fn begin_stale_reads(&mut self) {
-        self.stale = self.remembered.clone();
+        self.stale = self.snapshot.clone();
     }
 
     pub fn end_stale_reads(&mut self) {
         self.stale = None;
     }
 
-    /// Returns whether the last request takes effect later.
+    /// Returns whether the last request is a write to execute later, and clears that mark.
     pub fn takes_effect_late(&mut self) -> bool {
-        std::mem::take(&mut self.late)
+        std::mem::take(&mut self.is_last_write_late)
     }
 
     pub fn request(
         &mut self,
-        run: Run,
+        run: NodeRun,
         request: StoreRequestId,
         body: StoreRequest,
-    ) -> Vec<StoreReplyAt> {
+    ) -> Vec<DelayedReply> {
         if self.mode == StoreMode::Silent {
             return Vec::new();
         }
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Carries out a write whose answer was lost.
-    pub fn write_late(&mut self, body: StoreRequest) -> Vec<StoreReplyAt> {
+    /// Executes a write that was reported as failed.
+    pub fn write_late(&mut self, body: StoreRequest) -> Vec<DelayedReply> {
         if let StoreRequest::CompareAndSet {
             key,
             expected,
@@ -133,11 +133,11 @@
 
     fn read(
         &mut self,
-        run: Run,
+        run: NodeRun,
         request: StoreRequestId,
         key: Option<StoreKey>,
         after: Option<ModifyIndex>,
-    ) -> Vec<StoreReplyAt> {
+    ) -> Vec<DelayedReply> {
         let after = after.unwrap_or_default();
         if after > ModifyIndex(0) && self.index_of(key.as_ref()) <= after {
             self.watchers.push(Watcher {
@@ -154,19 +154,19 @@
 
     fn compare_and_set(
         &mut self,
-        run: Run,
+        run: NodeRun,
         request: StoreRequestId,
         key: StoreKey,
         expected: ModifyIndex,
         value: Vec<u8>,
-    ) -> Vec<StoreReplyAt> {
+    ) -> Vec<DelayedReply> {
         let is_policy = key == policy_key();
         if is_policy && self.mode == StoreMode::WritesLate {
-            self.late = true;
+            self.is_last_write_late = true;
             return vec![self.reply(run, request, StoreReply::Failed)];
         }
         let mut reply = self.write(key, expected, value);
-        if is_policy && self.mode == StoreMode::LosesAnswers {
+        if is_policy && self.mode == StoreMode::LosesReplies {
             reply = StoreReply::Failed;
         }
         let mut replies = vec![self.reply(run, request, reply)];
@@ -188,7 +188,7 @@
         StoreReply::Written(index)
     }
 
-    fn answer_watchers(&mut self) -> Vec<StoreReplyAt> {
+    fn answer_watchers(&mut self) -> Vec<DelayedReply> {
         let watchers = std::mem::take(&mut self.watchers);
         let (due, waiting) = watchers
             .into_iter()
@@ -203,8 +203,8 @@
             .collect()
     }
 
-    fn reply(&self, run: Run, request: StoreRequestId, reply: StoreReply) -> StoreReplyAt {
-        StoreReplyAt {
+    fn reply(&self, run: NodeRun, request: StoreRequestId, reply: StoreReply) -> DelayedReply {
+        DelayedReply {
             run,
             request,
             reply,
@@ -242,5 +242,5 @@
 }
 
 fn policy_key() -> StoreKey {
-    StoreKey(rillgap_core::configuration::scope::POLICY_KEY.to_owned())
+    StoreKey(rillgap_core::configuration::context::POLICY_KEY.to_owned())
 }
--- a/crates/rillgap-core/tests/support/mod.rs
+++ b/crates/rillgap-core/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A few nodes joined in memory: messages arrive at once and in order, time moves by hand.
+//! Nodes connected in memory: messages are delivered immediately and in order, and tests advance
+//! the time.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -18,22 +19,22 @@
 use rillgap_core::time::{Instant, Now, WallTime};
 use rillgap_core::view::{Member, View};
 
-/// What a caller was told.
+/// Response that a caller has received.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct Response {
     pub refusal: Option<Refusal>,
     pub status: Option<u16>,
     pub body: Vec<u8>,
-    pub whole: bool,
-    pub broken: bool,
+    pub is_complete: bool,
+    pub is_aborted: bool,
 }
 
-/// Nodes `entry`, `node-front-1`, `node-front-2` and `node-deep-1`, with their back ends.
+/// The nodes `entry`, `node-front-1`, `node-front-2` and `node-deep-1` with their back ends.
 pub struct Cluster {
     pub now: Now,
     pub nodes: BTreeMap<NodeId, Node>,
     pub calls: Vec<(NodeId, BackEndRequest)>,
-    pub told: BTreeMap<InboundId, Told>,
+    pub responses: BTreeMap<InboundId, Response>,
     next_inbound: u64,
     queue: VecDeque<(NodeId, Event)>,
 }
@@ -110,7 +111,7 @@
             now,
             nodes: BTreeMap::new(),
             calls: Vec::new(),
-            told: BTreeMap::new(),
+            responses: BTreeMap::new(),
             next_inbound: 0,
             queue: VecDeque::new(),
         };
@@ -145,7 +146,7 @@
     }
 
     /// Sends a request of the back end beside `node` to the service `deep`.
-    pub fn child(&mut self, node: &str, token: Option<CallToken>, path: &str) -> InboundId {
+    pub fn child_call(&mut self, node: &str, token: Option<CallToken>, path: &str) -> InboundId {
         self.request(
             node,
             Origin::LocalBackEnd { token },
@@ -184,13 +185,13 @@
         inbound
     }
 
-    /// Feeds an event to a node and runs until nothing moves any more.
+    /// Passes an event to a node and processes all events that result from it.
     pub fn event(&mut self, node: &str, event: Event) {
         self.queue.push_back((NodeId::from_name(node), event));
         self.run();
     }
 
-    /// Moves time forward in steps of ten milliseconds, waking every node at each.
+    /// Advances the time in steps of ten milliseconds and wakes all nodes after each step.
     pub fn advance(&mut self, duration: Duration) {
         const STEP: Duration = Duration::from_millis(10);
         let end = self.now.instant + duration;
@@ -223,9 +224,11 @@
         self.run();
     }
 
-    /// Returns what the caller of a request was told.
-    pub fn told(&self, inbound: InboundId) -> &Told {
-        self.told.get(&inbound).unwrap_or(const { &Told::NOTHING })
+    /// Returns the response that the caller of a request has received.
+    pub fn response(&self, inbound: InboundId) -> &Response {
+        self.responses
+            .get(&inbound)
+            .unwrap_or(const { &Response::EMPTY })
     }
 
     fn run(&mut self) {
@@ -234,12 +237,12 @@
             let node = self.nodes.get_mut(&id).expect("a known node");
             node.handle(self.now, event, &mut actions);
             for action in actions {
-                self.carry_out(id, action);
+                self.apply_action(id, action);
             }
         }
     }
 
-    fn carry_out(&mut self, from: NodeId, action: Action) {
+    fn apply_action(&mut self, from: NodeId, action: Action) {
         match action {
             Action::Send { to, message, .. } => {
                 let incarnation = Incarnation(1);
@@ -257,31 +260,35 @@
                 self.calls.retain(|(_, request)| request.attempt != attempt);
             }
             Action::Refuse { inbound, refusal } => {
-                self.told.entry(inbound).or_default().refusal = Some(refusal);
+                self.responses.entry(inbound).or_default().refusal = Some(refusal);
             }
             Action::AnswerHead { inbound, head } => {
-                self.told.entry(inbound).or_default().status = Some(head.status);
+                self.responses.entry(inbound).or_default().status = Some(head.status);
             }
             Action::AnswerBody { inbound, chunk } => {
-                self.told
+                self.responses
                     .entry(inbound)
                     .or_default()
                     .body
                     .extend_from_slice(&chunk);
             }
-            Action::AnswerEnd { inbound } => self.told.entry(inbound).or_default().whole = true,
-            Action::AnswerAbort { inbound } => self.told.entry(inbound).or_default().broken = true,
+            Action::AnswerEnd { inbound } => {
+                self.responses.entry(inbound).or_default().is_complete = true
+            }
+            Action::AnswerAbort { inbound } => {
+                self.responses.entry(inbound).or_default().is_aborted = true
+            }
             _ => {}
         }
     }
 }
 
-impl Told {
-    const NOTHING: Self = Self {
+impl Response {
+    const EMPTY: Self = Self {
         refusal: None,
         status: None,
         body: Vec::new(),
-        whole: false,
-        broken: false,
+        is_complete: false,
+        is_aborted: false,
     };
 }
--- a/crates/rillgap-forward/src/crash/register.rs
+++ b/crates/rillgap-forward/src/crash/register.rs
@@ -1,4 +1,5 @@
-//! All evidence that a node knows.
+//! Collects evidence of which requests crash back ends. Requests are identified by the fingerprint
+//! of their content; see the [module documentation](super).
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,89 +8,99 @@
 use rillgap_core::id::Fingerprint;
 use rillgap_core::time::Instant;
 
-use super::answered::RecentAnswers;
-use super::evidence::{Evidence, Standing};
-use super::{ContentEvidence, CrashId, CrashRecord, Proof, Suspect};
+use super::evidence::{Evidence, Suspicion};
+use super::recent_answers::RecentAnswers;
+use super::{ContentEvidence, CrashId, CrashRecord, EvidenceStrength, Suspect};
 use crate::incarnation::Incarnation;
 
-/// Contents that evidence is kept of: a megabyte at most.
-const MOST_CONTENTS: usize = 4_096;
+/// Maximum number of contents with evidence. They take 1 MB at most.
+const MAX_CONTENTS: usize = 4_096;
 
-/// Time between two looks for evidence that is too old.
-const CLEANING_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which expired evidence is evicted.
+const EVICTION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Age up to which crashes are taken for one series.
-const SERIES: Duration = Duration::from_secs(10);
-/// Crashes without a request and without a known reason in one series from which the request may have been at others by
-/// chance. One or two may be the first crashes of another request of this kind.
-const SERIES_CRASHES: usize = 3;
+/// Maximum age of crashes that count as one series.
+const CRASH_SERIES_WINDOW: Duration = Duration::from_secs(10);
+/// Minimum number of unexplained crashes in one series for which the evidence against a request is
+/// weak. From the view of a request, a crash is unexplained if that request was not in flight and
+/// no other request was the only suspect. With so many unexplained crashes, the request may have
+/// been in flight at the others by chance. Fewer do not weaken the evidence: they may be the first
+/// crashes caused by another request.
+const MIN_UNEXPLAINED_CRASHES: usize = 3;
 
-/// A content whose standing has changed.
+/// A content whose suspicion has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StandingChange {
+pub struct SuspicionChange {
     /// The content.
     pub content: Fingerprint,
-    /// Its new standing.
-    pub standing: Standing,
-    /// Crashes at which such a request was under way.
+    /// The new suspicion.
+    pub suspicion: Suspicion,
+    /// Number of crashes at which a request with this content was in flight.
     pub crashes: usize,
-    /// Crashes among them at which it was the only suspect.
-    pub crashes_alone: usize,
+    /// Number of these crashes at which it was the only suspect.
+    pub crashes_as_only_suspect: usize,
 }
 
-/// All evidence that a node knows.
+/// Crash evidence held by a node, by content fingerprint.
 #[derive(Clone, Debug, Default)]
 pub struct CrashRegister {
     contents: BTreeMap<Fingerprint, Evidence>,
-    /// What the back end beside the node has answered lately.
-    answered: RecentAnswers,
-    /// Contents that are recurrent or quarantined: only these make a difference at an entry.
-    watched: BTreeSet<Fingerprint>,
-    /// Contents of which peers are to be told.
-    news: BTreeSet<Fingerprint>,
-    changes: Vec<StandingChange>,
-    next_cleaning: Instant,
+    /// Contents that the local back end has answered recently.
+    recent_answers: RecentAnswers,
+    /// Contents with suspicion [`Suspicion::Recurrent`] or higher. Entry nodes check requests for
+    /// these only.
+    recurrent_or_quarantined: BTreeSet<Fingerprint>,
+    /// Contents whose evidence must be sent to peers.
+    unsent: BTreeSet<Fingerprint>,
+    /// Changes of suspicion that were not yet taken to be logged.
+    suspicion_changes: Vec<SuspicionChange>,
+    next_eviction: Instant,
 }
 
 impl CrashRegister {
-    /// Returns whether nothing is known, so that no request need be looked up.
+    /// Returns whether there is no evidence, in which case requests do not have to be looked up.
     pub fn is_empty(&self) -> bool {
         self.contents.is_empty()
     }
 
-    /// Returns whether an entry treats some contents in another way than others.
-    pub fn is_watching(&self) -> bool {
-        !self.watched.is_empty()
+    /// Returns whether there are recurrent or quarantined contents, which entry nodes must check
+    /// for.
+    pub fn has_recurrent(&self) -> bool {
+        !self.recurrent_or_quarantined.is_empty()
     }
 
     /// Returns the number of quarantined contents.
     pub fn quarantined(&self, now: Instant) -> usize {
-        let watched = self.watched.iter();
-        watched
-            .filter(|content| self.standing(now, **content) == Standing::Quarantined)
+        let contents = self.recurrent_or_quarantined.iter();
+        contents
+            .filter(|content| self.suspicion(now, **content) == Suspicion::Quarantined)
             .count()
     }
 
-    /// Returns the standing of a content.
-    pub fn standing(&self, now: Instant, content: Fingerprint) -> Standing {
+    /// Returns the suspicion against a content.
+    pub fn suspicion(&self, now: Instant, content: Fingerprint) -> Suspicion {
         let evidence = self.contents.get(&content);
-        evidence.map_or(Standing::Clear, |evidence| evidence.standing(now))
+        evidence.map_or(Suspicion::Clear, |evidence| evidence.suspicion(now))
     }
 
-    /// Returns the time until the quarantine of a content ends, in milliseconds.
-    pub fn quarantine_millis(&self, now: Instant, content: Fingerprint) -> u32 {
+    /// Returns the time, in milliseconds, until a quarantine that began with the last crash of a
+    /// content ends; zero without evidence. The result does not show whether the content is
+    /// quarantined.
+    pub fn quarantine_remaining_millis(&self, now: Instant, content: Fingerprint) -> u32 {
         let evidence = self.contents.get(&content);
-        let left = evidence.map_or(Duration::ZERO, |known| known.quarantine_left(now));
+        let left = evidence.map_or(Duration::ZERO, |evidence| {
+            evidence.quarantine_remaining(now)
+        });
         u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
     }
 
-    /// Takes in that a back end has ended while these requests were under way.
+    /// Records that a back end has crashed while these requests were in flight.
     pub fn on_crash(&mut self, now: Instant, incarnation: &Incarnation, suspects: &[Suspect]) {
         let crash = CrashId::of(incarnation);
         for suspect in suspects {
             let record = CrashRecord {
                 crash,
-                proof: self.proof(now, crash, suspect),
+                strength: self.evidence_strength(now, crash, suspect),
                 age_micros: 0,
             };
             let evidence = ContentEvidence {
@@ -101,170 +112,192 @@
         }
     }
 
-    fn proof(&self, now: Instant, crash: CrashId, suspect: &Suspect) -> Proof {
-        if !suspect.was_alone {
-            return Proof::None;
+    fn evidence_strength(
+        &self,
+        now: Instant,
+        crash: CrashId,
+        suspect: &Suspect,
+    ) -> EvidenceStrength {
+        if !suspect.was_only_suspect {
+            return EvidenceStrength::Inconclusive;
         }
-        if self.unexplained_crashes(now, crash, suspect.content) >= SERIES_CRASHES {
-            Proof::Doubtful
+        if self.unexplained_crashes(now, crash, suspect.content) >= MIN_UNEXPLAINED_CRASHES {
+            EvidenceStrength::Weak
         } else {
-            Proof::Clear
+            EvidenceStrength::Strong
         }
     }
 
-    /// Returns at how many recent crashes, besides `this` one, a request was not under way and no other was the only suspect.
-    fn unexplained_crashes(&self, now: Instant, this: CrashId, content: Fingerprint) -> usize {
+    /// Returns the number of recent crashes, not counting `current`, at which a content was not in
+    /// flight and no other content was the only suspect.
+    fn unexplained_crashes(&self, now: Instant, current: CrashId, content: Fingerprint) -> usize {
         let mut explained: BTreeMap<CrashId, bool> = BTreeMap::new();
-        for known in self.contents.values() {
-            for (crash, was_alone) in known.recent(now, SERIES) {
-                *explained.entry(crash).or_default() |= was_alone;
+        for evidence in self.contents.values() {
+            for (crash, was_only_suspect) in evidence.recent(now, CRASH_SERIES_WINDOW) {
+                *explained.entry(crash).or_default() |= was_only_suspect;
             }
         }
         let own = self.contents.get(&content);
-        let was_there = |crash: CrashId| crash == this || own.is_some_and(|known| known.has(crash));
+        let was_in_flight = |crash: CrashId| {
+            crash == current || own.is_some_and(|evidence| evidence.was_in_flight_at(crash))
+        };
         let unexplained = explained.iter().filter(|(_, is_explained)| !**is_explained);
-        unexplained.filter(|(crash, _)| !was_there(**crash)).count()
+        unexplained
+            .filter(|(crash, _)| !was_in_flight(**crash))
+            .count()
     }
 
-    /// Takes in that a back end has answered a request whole.
+    /// Records that a back end has answered a request completely.
     pub fn on_answer(&mut self, now: Instant, content: Fingerprint) {
-        self.answered.record(now, content);
+        self.recent_answers.record(now, content);
         let Some(evidence) = self.contents.get_mut(&content) else {
             return;
         };
-        let before = evidence.standing(now);
+        let before = evidence.suspicion(now);
         if evidence.exonerate() {
-            self.note(now, content, before);
+            self.record_change(now, content, before);
         }
     }
 
-    /// Takes in what a peer knows; returns whether this node exonerates any of it, which the peer does not know.
+    /// Merges the evidence of a peer. Returns whether this node has exonerated any of these
+    /// contents because of an earlier answer. The exoneration must be sent to the peer too, which
+    /// does not have it.
     pub fn merge(&mut self, now: Instant, evidence: &[ContentEvidence]) -> bool {
         let mut exonerates = false;
-        for told in evidence {
-            exonerates |= self.merge_one(now, told);
+        for content_evidence in evidence {
+            exonerates |= self.merge_one(now, content_evidence);
         }
         exonerates
     }
 
-    /// Takes in what is known of one content; returns whether this node has exonerated it for an earlier answer.
-    fn merge_one(&mut self, now: Instant, told: &ContentEvidence) -> bool {
-        let is_new = !self.contents.contains_key(&told.content);
+    /// Merges the evidence against one content. Returns whether this node has exonerated the
+    /// content because of an earlier answer.
+    fn merge_one(&mut self, now: Instant, content_evidence: &ContentEvidence) -> bool {
+        let is_new = !self.contents.contains_key(&content_evidence.content);
         if is_new {
-            if Evidence::heard(now, told).is_over(now) {
+            if Evidence::from_message(now, content_evidence).is_expired(now) {
                 return false;
             }
-            self.make_room(now);
+            self.evict_if_full(now);
         }
-        let evidence = self.contents.entry(told.content).or_default();
-        let before = evidence.standing(now);
-        let is_news = evidence.merge(now, told);
-        let was_answered = is_new && self.answered.contains(now, told.content);
+        let evidence = self.contents.entry(content_evidence.content).or_default();
+        let before = evidence.suspicion(now);
+        let has_changed = evidence.merge(now, content_evidence);
+        let was_answered = is_new && self.recent_answers.contains(now, content_evidence.content);
         let exonerates = was_answered && evidence.exonerate();
-        if is_news || exonerates {
-            self.note(now, told.content, before);
+        if has_changed || exonerates {
+            self.record_change(now, content_evidence.content, before);
         }
         exonerates
     }
 
-    /// Notes that the evidence against a content has changed.
-    fn note(&mut self, now: Instant, content: Fingerprint, before: Standing) {
+    /// Records that the evidence against a content has changed.
+    fn record_change(&mut self, now: Instant, content: Fingerprint, before: Suspicion) {
         let Some(evidence) = self.contents.get(&content) else {
             return;
         };
-        self.news.insert(content);
-        let standing = evidence.standing(now);
-        if standing >= Standing::Recurrent {
-            self.watched.insert(content);
+        self.unsent.insert(content);
+        let suspicion = evidence.suspicion(now);
+        if suspicion >= Suspicion::Recurrent {
+            self.recurrent_or_quarantined.insert(content);
         } else {
-            self.watched.remove(&content);
+            self.recurrent_or_quarantined.remove(&content);
         }
-        let matters = standing.max(before) >= Standing::Recurrent;
-        if standing != before && matters {
-            self.changes.push(StandingChange {
+        let is_reported = suspicion.max(before) >= Suspicion::Recurrent;
+        if suspicion != before && is_reported {
+            self.suspicion_changes.push(SuspicionChange {
                 content,
-                standing,
+                suspicion,
                 crashes: evidence.crashes(),
-                crashes_alone: evidence.crashes_alone(),
+                crashes_as_only_suspect: evidence.crashes_as_only_suspect(),
             });
         }
     }
 
-    /// Forgets what weighs least if there is no room for another content: many contents at one crash must not
-    /// push out what is known of those that were under way at several.
-    fn make_room(&mut self, now: Instant) {
-        if self.contents.len() < MOST_CONTENTS {
+    /// Evicts the evidence with the lowest suspicion if the register is full; among equals, that
+    /// with the oldest last crash. Contents that were in flight at one crash, however many, must
+    /// not displace those that were in flight at several crashes.
+    fn evict_if_full(&mut self, now: Instant) {
+        if self.contents.len() < MAX_CONTENTS {
             return;
         }
-        let weight = |known: &Evidence| (known.standing(now), Reverse(known.age(now)));
-        let lightest = self.contents.iter().min_by_key(|(_, known)| weight(known));
-        if let Some(content) = lightest.map(|(content, _)| *content) {
-            self.forget(content);
+        let priority = |evidence: &Evidence| (evidence.suspicion(now), Reverse(evidence.age(now)));
+        let least_important = self
+            .contents
+            .iter()
+            .min_by_key(|(_, evidence)| priority(evidence));
+        if let Some(content) = least_important.map(|(content, _)| *content) {
+            self.remove(content);
         }
     }
 
-    fn forget(&mut self, content: Fingerprint) {
+    fn remove(&mut self, content: Fingerprint) {
         self.contents.remove(&content);
-        self.watched.remove(&content);
-        self.news.remove(&content);
+        self.recurrent_or_quarantined.remove(&content);
+        self.unsent.remove(&content);
     }
 
-    /// Forgets what is too old to matter.
-    pub fn forget_old(&mut self, now: Instant) {
-        if self.contents.is_empty() || now < self.next_cleaning {
+    /// Evicts expired evidence.
+    pub fn evict_expired(&mut self, now: Instant) {
+        if self.contents.is_empty() || now < self.next_eviction {
             return;
         }
-        self.next_cleaning = now + CLEANING_INTERVAL;
-        let over = self.contents.iter().filter(|(_, known)| known.is_over(now));
-        let over: Vec<Fingerprint> = over.map(|(content, _)| *content).collect();
-        for content in over {
-            self.forget(content);
+        self.next_eviction = now + EVICTION_INTERVAL;
+        let expired = self
+            .contents
+            .iter()
+            .filter(|(_, evidence)| evidence.is_expired(now));
+        let expired: Vec<Fingerprint> = expired.map(|(content, _)| *content).collect();
+        for content in expired {
+            self.remove(content);
         }
     }
 
-    /// Takes the evidence that has changed since the last time: what concerns all nodes, and what only those
-    /// beside back ends of the same service need, to see that a content comes up at a second crash.
-    pub fn take_news(&mut self, now: Instant) -> EvidenceNews {
-        let news = std::mem::take(&mut self.news);
-        let changed = news.iter().filter_map(|content| {
+    /// Takes the evidence that has changed since the last call. Evidence of several crashes is sent
+    /// to all nodes. The rest is sent only to nodes with a local back end of the same service,
+    /// which need it to detect the second crash of a content.
+    pub fn take_unsent_evidence(&mut self, now: Instant) -> EvidenceUpdate {
+        let contents = std::mem::take(&mut self.unsent);
+        let changed = contents.iter().filter_map(|content| {
             let evidence = self.contents.get(content)?;
             Some((content, evidence))
         });
         sort_evidence(now, changed)
     }
 
-    /// Returns all evidence, for a peer that may know nothing.
-    pub fn tell_all(&self, now: Instant) -> EvidenceNews {
+    /// Returns all evidence, for a peer that may have none.
+    pub fn all_evidence(&self, now: Instant) -> EvidenceUpdate {
         sort_evidence(now, self.contents.iter())
     }
 
-    /// Takes the changes of standings since the last time.
-    pub fn take_changes(&mut self) -> Vec<StandingChange> {
-        std::mem::take(&mut self.changes)
+    /// Takes the changes of suspicion since the last call, which are to be logged. Changes between
+    /// clear and suspected are not included.
+    pub fn take_suspicion_changes(&mut self) -> Vec<SuspicionChange> {
+        std::mem::take(&mut self.suspicion_changes)
     }
 }
 
-/// Evidence that peers are told.
+/// Evidence to be sent to peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EvidenceNews {
-    /// What concerns all nodes.
+pub struct EvidenceUpdate {
+    /// Evidence for all nodes.
     pub for_all: Vec<ContentEvidence>,
-    /// What concerns only nodes beside back ends of the service.
+    /// Evidence only for nodes with a local back end of the same service.
     pub for_service: Vec<ContentEvidence>,
 }
 
-/// Sorts evidence by whom it concerns.
+/// Sorts evidence by the nodes to which it is sent.
 fn sort_evidence<'a>(
     now: Instant,
     evidence: impl Iterator<Item = (&'a Fingerprint, &'a Evidence)>,
-) -> EvidenceNews {
-    let mut sorted = EvidenceNews::default();
-    for (content, known) in evidence {
-        let told = known.tell(now, *content);
-        if known.is_of_several_crashes() {
-            sorted.for_all.push(told);
+) -> EvidenceUpdate {
+    let mut sorted = EvidenceUpdate::default();
+    for (content, evidence) in evidence {
+        let message = evidence.to_message(now, *content);
+        if evidence.has_several_crashes() {
+            sorted.for_all.push(message);
         } else {
-            sorted.for_service.push(told);
+            sorted.for_service.push(message);
         }
     }
     sorted
--- a/crates/rillgap-forward/src/directory/followed.rs
+++ b/crates/rillgap-forward/src/directory/followed.rs
@@ -1,8 +1,10 @@
-//! Which peers a node follows for news of the store.
+//! Selection of the peers that a node follows for their contact with the store.
 //!
-//! Followed peers precede the node in the order of watchers, most of them by far, so that news reach all nodes over few
-//! links: a node that follows one with a sixteenth of its place is `log16` of the number of nodes away from the first.
-//! Nodes differ in their choice, so that none is followed by all.
+//! Nodes are ordered by the hashes of their names, and a node follows only peers with a lower hash,
+//! most of them with a much lower one, so that contact reports reach all nodes over few hops: if
+//! each followed hash is below a sixteenth of the follower's, a node is `log16(nodes)` hops away
+//! from the first. The order of preference differs between nodes, so that no peer is followed by
+//! all of them.
 
 use rillgap_core::time::Instant;
 
@@ -10,84 +12,89 @@
 use crate::id::LinkId;
 use crate::peer::{LinkState, Peer};
 use crate::store_sync::NodeList;
-use crate::watch_duty;
+use crate::watcher_election;
 
-/// Part of the own place below which peers are preferred.
-const FAR_BELOW: u64 = 16;
-/// Peers that are followed while they have fresh news.
-const FOLLOWED: usize = 2;
-/// Most peers that are followed while some of them have none.
-const MOST_FOLLOWED: usize = 6;
-/// Nodes with the lowest places that are learned from a list that does not hold all nodes, and others among
-/// those that this node may follow.
-const LOWEST_LEARNED: usize = 16;
+/// Peers with a hash below the own hash divided by this are preferred.
+const PREFERRED_HASH_DIVISOR: u64 = 16;
+/// Number of followed peers while all of them have a recent contact with the store.
+const TARGET_FOLLOWED: usize = 2;
+/// Maximum number of followed peers while some of them have no recent contact.
+const MAX_FOLLOWED: usize = 6;
+/// Number of nodes with the lowest hashes that are added from a partial list of nodes. At most as
+/// many more are added from those that this node prefers to follow.
+const MAX_ADDED_FROM_LIST: usize = 16;
 
-/// What changes in whom a node follows.
+/// A peer that the node begins or ceases to follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowChange {
     /// Link to the peer.
     pub link: LinkId,
-    /// Whether it is followed from now on.
+    /// Whether the node follows the peer from now on.
     pub follows: bool,
 }
 
 impl Directory {
-    /// Learns the peers of a list.
-    pub fn learn_list(&mut self, now: Instant, list: &NodeList) {
-        let own = watch_duty::place(&self.own_name);
-        self.estimated_nodes = list.estimated_nodes(own);
-        let Some(following) = &list.following else {
+    /// Adds the peers of a list of nodes that the store has returned.
+    pub fn apply_node_list(&mut self, now: Instant, list: &NodeList) {
+        let own_hash = watcher_election::name_hash(&self.own_name);
+        self.estimated_nodes = list.estimated_nodes(own_hash);
+        let Some(following) = &list.successors else {
             for record in &list.lowest {
-                self.learn(now, record);
+                self.add_or_update(now, record);
             }
             return;
         };
-        let far_below = list.lowest.iter().skip(LOWEST_LEARNED);
-        let far_below =
-            far_below.filter(|record| watch_duty::place(&record.name) < own / FAR_BELOW);
-        let mut to_follow: Vec<_> = far_below.collect();
+        let preferred = list.lowest.iter().skip(MAX_ADDED_FROM_LIST);
+        let preferred = preferred.filter(|record| {
+            watcher_election::name_hash(&record.name) < own_hash / PREFERRED_HASH_DIVISOR
+        });
+        let mut to_follow: Vec<_> = preferred.collect();
         to_follow
             .sort_unstable_by_key(|record| crate::subset::preference(&self.own_name, &record.name));
-        to_follow.truncate(LOWEST_LEARNED);
-        let lowest = list.lowest.iter().take(LOWEST_LEARNED);
+        to_follow.truncate(MAX_ADDED_FROM_LIST);
+        let lowest = list.lowest.iter().take(MAX_ADDED_FROM_LIST);
         for record in lowest.chain(to_follow).chain(following) {
-            self.learn(now, record);
+            self.add_or_update(now, record);
         }
     }
 
-    /// Returns about how many peers precede this node in the order of watchers, without those that cannot be
-    /// reached.
-    pub fn preceding(&self) -> u64 {
-        let own = watch_duty::place(&self.own_name);
-        let counts = |peer: &&Peer| peer.precedes(own) && !peer.has_failed();
-        let known = self.peers.iter().filter(counts).count();
-        let share = own as f64 / u64::MAX as f64;
+    /// Returns the approximate number of peers that precede this node in the order of watchers,
+    /// without known peers that cannot be reached.
+    pub fn count_preceding(&self) -> u64 {
+        let own_hash = watcher_election::name_hash(&self.own_name);
+        let is_counted = |peer: &&Peer| peer.precedes(own_hash) && !peer.last_link_failed();
+        let known = self.peers.iter().filter(is_counted).count();
+        let fraction = own_hash as f64 / u64::MAX as f64;
         let estimate = if self.is_partial() {
-            share * self.estimated_nodes as f64
+            fraction * self.estimated_nodes as f64
         } else {
             0.0
         };
         (known as u64).max(estimate as u64)
     }
 
-    /// Returns whether there are more nodes than are known here.
+    /// Returns whether there are nodes that are not in the directory.
     pub const fn is_partial(&self) -> bool {
         self.estimated_nodes > self.peers.len() + 1
     }
 
-    /// Chooses the peers that are followed and marks them as wanted. `has_news` tells whether the peer on a link has
-    /// fresh news of the store.
-    pub(super) fn choose_followed(&mut self, now: Instant, has_news: impl Fn(LinkId) -> bool) {
-        let own = watch_duty::place(&self.own_name);
+    /// Selects the peers that are followed, and marks them as selected for a link.
+    /// `has_store_contact` returns whether the peer on a link has a recent contact with the store.
+    pub(super) fn select_followed(
+        &mut self,
+        now: Instant,
+        has_store_contact: impl Fn(LinkId) -> bool,
+    ) {
+        let own_hash = watcher_election::name_hash(&self.own_name);
         let mut preceding: Vec<&mut Peer> = Vec::new();
         for peer in &mut self.peers {
             peer.is_followed = false;
-            if peer.precedes(own) {
+            if peer.precedes(own_hash) {
                 preceding.push(peer);
             }
         }
         preceding.sort_unstable_by_key(|peer| {
-            let is_near = peer.name_hash() >= own / FAR_BELOW;
+            let is_near = peer.name_hash() >= own_hash / PREFERRED_HASH_DIVISOR;
             let order = if is_near {
                 peer.name_hash()
             } else {
@@ -95,38 +102,40 @@
             };
             (is_near, order)
         });
-        let mut hopeful = 0;
-        for peer in preceding.into_iter().take(MOST_FOLLOWED) {
-            if hopeful >= FOLLOWED {
+        let mut with_contact = 0;
+        for peer in preceding.into_iter().take(MAX_FOLLOWED) {
+            if with_contact >= TARGET_FOLLOWED {
                 return;
             }
             peer.is_followed = true;
-            peer.is_wanted = true;
-            hopeful += usize::from(peer.may_have_news(now, &has_news));
+            peer.is_selected = true;
+            with_contact += usize::from(peer.may_have_store_contact(now, &has_store_contact));
         }
     }
 
-    /// Returns what has changed in whom this node follows, and forgets it.
+    /// Returns the peers that the node has begun or ceased to follow since the last call.
     pub fn take_follow_changes(&mut self) -> Vec<FollowChange> {
         let mut changes = Vec::new();
         for peer in &mut self.peers {
             let LinkState::Open(link) = peer.link else {
-                peer.followed_on = None;
+                peer.follow_sent_on = None;
                 continue;
             };
-            let wanted = peer.is_followed.then_some(link);
-            if peer.followed_on != wanted {
-                peer.followed_on = wanted;
-                let follows = wanted.is_some();
+            let expected = peer.is_followed.then_some(link);
+            if peer.follow_sent_on != expected {
+                peer.follow_sent_on = expected;
+                let follows = expected.is_some();
                 changes.push(FollowChange { link, follows });
             }
         }
         changes
     }
 
-    /// Returns whether the peer at the other end of a link precedes this node in the order of watchers.
+    /// Returns whether the peer at the other end of a link precedes this node in the order of
+    /// watchers.
     pub fn is_preceding(&mut self, link: LinkId) -> bool {
-        let own = watch_duty::place(&self.own_name);
-        self.by_link(link).is_some_and(|peer| peer.precedes(own))
+        let own_hash = watcher_election::name_hash(&self.own_name);
+        self.by_link(link)
+            .is_some_and(|peer| peer.precedes(own_hash))
     }
 }
--- a/crates/rillgap-forward/src/inbound/isolation.rs
+++ b/crates/rillgap-forward/src/inbound/isolation.rs
@@ -1,36 +1,36 @@
-//! What the node beside a back end does about requests under which back ends end.
+//! Isolates suspect requests and attributes crashes of the local back end to requests.
 
 use std::collections::BTreeSet;
 
 use rillgap_core::code::ResultCode;
 use rillgap_core::time::Instant;
 
-use super::ending::SERVER_ERROR;
-use super::losses::{Crash, Due, Held};
+use super::completion::INTERNAL_SERVER_ERROR;
+use super::lost_requests::{Crash, HeldRequest, LossAction};
 use super::{Arrival, Inbound, Running};
 use crate::action::{Action, Actions};
-use crate::crash::{Standing, Suspect};
+use crate::crash::{Suspect, Suspicion};
 use crate::event::{ExchangeResult, ProbeResult};
 use crate::incarnation::Incarnation;
+use crate::log_record::{LogRecord, LostRequest};
 use crate::message::{ForwardResult, ForwardedRequest};
-use crate::note::{LostWork, Note};
 
-/// Longest body with which an answered request is remembered although no back end has ended: the fingerprint of a long one
-/// costs more than it is worth.
-const LONGEST_REMEMBERED_BODY: usize = 4_096;
+/// Maximum body size, in bytes, of an answered request that is remembered while there is no crash
+/// evidence: the fingerprint of a longer one costs more than it is worth.
+const MAX_REMEMBERED_BODY_BYTES: usize = 4_096;
 
 impl Inbound {
-    /// Returns the standing of what a request asks for.
-    pub fn standing(&self, now: Instant, request: &ForwardedRequest) -> Standing {
+    /// Returns the suspicion against the content of a request.
+    pub fn suspicion(&self, now: Instant, request: &ForwardedRequest) -> Suspicion {
         if self.crashes.is_empty() {
-            return Standing::Clear;
+            return Suspicion::Clear;
         }
-        self.crashes.standing(now, request.content())
+        self.crashes.suspicion(now, request.content())
     }
 
-    /// Starts the next request that waits for isolation, if none runs.
+    /// Starts requests that wait for isolation while no isolated request runs.
     pub(super) fn start_isolated(&mut self, now: Instant, out: &mut Actions) {
-        while self.isolated.is_none() && self.has_room() {
+        while self.isolated.is_none() && self.has_capacity() {
             let Some(arrival) = self.isolated_queue.pop() else {
                 return;
             };
@@ -38,45 +38,47 @@
         }
     }
 
-    /// Starts a request that has waited for isolation long enough: it is not refused for what others may have done.
+    /// Starts a request whose wait for isolation has reached its cutoff. It is not refused for
+    /// crashes that other requests may have caused.
     pub(super) fn start_unisolated(&mut self, now: Instant, arrival: Arrival, out: &mut Actions) {
-        if self.has_room() {
+        if self.has_capacity() {
             self.start_or_refuse(now, arrival, out);
         } else {
             self.refuse(now, &arrival, ResultCode::QueueFull, out);
         }
     }
 
-    /// Starts a request that has waited, by what is known of it now.
+    /// Starts a queued request, or refuses it if it was quarantined meanwhile or cannot meet its
+    /// deadline any more.
     pub(super) fn start_or_refuse(
         &mut self,
         now: Instant,
         mut arrival: Arrival,
         out: &mut Actions,
     ) {
-        let standing = self.standing(now, &arrival.request);
-        if standing == Standing::Quarantined {
+        let suspicion = self.suspicion(now, &arrival.request);
+        if suspicion == Suspicion::Quarantined {
             self.refuse(now, &arrival, ResultCode::Quarantined, out);
-        } else if self.is_doomed(now, &arrival) {
+        } else if self.cannot_meet_deadline(now, &arrival) {
             self.refuse(now, &arrival, ResultCode::DeadlineUnmet, out);
         } else {
-            arrival.is_isolated = standing.is_isolated() && self.isolated.is_none();
+            arrival.is_isolated = suspicion.is_isolated() && self.isolated.is_none();
             self.start(now, arrival, out);
         }
     }
 
-    /// Keeps a request whose answer was lost until it is known whether the back end has ended.
-    pub(super) fn hold_lost(&mut self, now: Instant, running: Running) {
+    /// Holds a request whose answer was lost until it is known whether the back end has crashed.
+    pub(super) fn hold_lost_request(&mut self, now: Instant, running: Running) {
         let incarnation = running.incarnation.clone();
-        let lost = LostWork {
+        let lost = LostRequest {
             instance: incarnation.to_string(),
             content: running.request.content(),
         };
-        self.losses.push(now, incarnation, running, lost);
+        self.lost_requests.push(now, incarnation, running, lost);
     }
 
-    /// Answers a request that has ended otherwise.
-    pub(super) fn answer_ended(
+    /// Answers a request whose result does not depend on whether the back end has crashed.
+    pub(super) fn answer_completed(
         &mut self,
         now: Instant,
         running: Running,
@@ -84,54 +86,57 @@
         out: &mut Actions,
     ) {
         if let ExchangeResult::Answered(answer) = &result {
-            self.losses.on_answer(now, &running.incarnation);
-            if answer.status < SERVER_ERROR {
+            self.lost_requests.on_answer(now, &running.incarnation);
+            if answer.status < INTERNAL_SERVER_ERROR {
                 self.exonerate(now, &running.request);
             }
         }
         let result = self.forward_result(result);
         if running.is_awaited {
-            self.note_failure(now, &running, &result, out);
+            self.log_failure(now, &running, &result, out);
             self.respond_running(now, running, result, out);
         }
     }
 
-    /// Takes in that the back end has answered a request whole and without a failure of its own: one that fails a part of its
-    /// requests, or is out of time, may not have come to what ends it.
+    /// Exonerates the content of a request that the back end answered completely and without a
+    /// server error. A back end that fails some of its requests, or runs out of time, may have
+    /// answered before it reached the code that crashes it.
     fn exonerate(&mut self, now: Instant, request: &ForwardedRequest) {
-        let is_short = request.body.len() <= LONGEST_REMEMBERED_BODY;
+        let is_short = request.body.len() <= MAX_REMEMBERED_BODY_BYTES;
         if is_short || !self.crashes.is_empty() {
             self.crashes.on_answer(now, request.content());
         }
     }
 
-    /// Asks the health endpoint if losses may mean that the back end has ended.
-    pub(super) fn look_into_losses(&mut self, now: Instant) {
-        let Some(began_at) = self.losses.began_at() else {
+    /// Requests a health probe if the losses may mean that the back end has crashed.
+    pub(super) fn poll_lost_requests(&mut self, now: Instant) {
+        let Some(began_at) = self.lost_requests.began_at() else {
             return;
         };
         let others_run = self
             .running
             .values()
             .any(|running| running.started < began_at);
-        if self.losses.poll(now, others_run) == Due::Ask {
-            self.back_end.ask();
+        if self.lost_requests.poll(now, others_run) == LossAction::Probe {
+            self.back_end.request_probe();
         }
     }
 
-    /// Learns from an answer of the health endpoint what losses mean.
-    pub(super) fn explain_losses(&mut self, now: Instant, result: &ProbeResult, out: &mut Actions) {
+    /// Determines from the result of a health probe whether the back end has crashed.
+    pub(super) fn resolve_losses(&mut self, now: Instant, result: &ProbeResult, out: &mut Actions) {
         let crash = match result {
-            ProbeResult::Refused => self.losses.on_ended(None),
+            ProbeResult::Refused => self.lost_requests.on_process_ended(None),
             ProbeResult::Healthy { instance } => {
-                let named = self.back_end.meant(&Incarnation::without_start(instance));
-                let crash = self.losses.on_ended(Some(&named));
-                self.losses.on_alive(&named);
+                let named = self
+                    .back_end
+                    .resolve_incarnation(&Incarnation::without_start(instance));
+                let crash = self.lost_requests.on_process_ended(Some(&named));
+                self.lost_requests.on_alive(&named);
                 crash
             }
             ProbeResult::Unhealthy => {
                 if let Some(incarnation) = self.back_end.incarnation() {
-                    self.losses.on_alive(incarnation);
+                    self.lost_requests.on_alive(incarnation);
                 }
                 None
             }
@@ -147,34 +152,34 @@
             .suspects
             .iter()
             .map(|suspect| suspect.content)
-            .filter(|content| self.crashes.standing(now, *content) >= Standing::Suspected)
+            .filter(|content| self.crashes.suspicion(now, *content) >= Suspicion::Suspected)
             .collect();
         let is_only_one = known.len() == 1;
         let suspects: Vec<Suspect> = crash
             .suspects
             .iter()
             .map(|suspect| Suspect {
-                was_alone: suspect.was_alone && is_only_one,
+                was_only_suspect: suspect.was_only_suspect && is_only_one,
                 ..*suspect
             })
             .collect();
         self.crashes.on_crash(now, &crash.incarnation, &suspects);
-        out.push(Action::Note(Note::BackEndCrashed {
+        out.push(Action::Log(LogRecord::BackEndCrashed {
             instance: crash.incarnation.to_string(),
-            under_way: suspects.len(),
-            known: known.len(),
+            in_flight: suspects.len(),
+            previously_suspected: known.len(),
         }));
     }
 
-    /// Answers the lost requests of which it is known whether the back end has ended, or that have waited
-    /// for it long enough.
-    pub(crate) fn release_lost(&mut self, now: Instant, out: &mut Actions) {
-        let (code, released) = self.losses.take_released();
-        for Held { running, lost } in released {
+    /// Answers the lost requests for which it is known whether the back end has crashed, or whose
+    /// hold timeout has passed.
+    pub(crate) fn release_lost_requests(&mut self, now: Instant, out: &mut Actions) {
+        let (code, released) = self.lost_requests.take_released();
+        for HeldRequest { running, lost } in released {
             let Running {
                 request, arrived, ..
             } = &running;
-            self.note_not_answered(now, request, *arrived, code, Some(lost), out);
+            self.log_not_answered(now, request, *arrived, code, Some(lost), out);
             let result = ForwardResult::Unknown { code };
             self.respond_running(now, running, result, out);
         }
--- /dev/null
+++ b/crates/rillgap-forward/src/log_record.rs
@@ -0,0 +1,222 @@
+//! Log records: decisions on requests and changes of a node's state.
+
+use rillgap_core::code::ResultCode;
+use rillgap_core::id::Fingerprint;
+
+use crate::crash::SuspicionChange;
+use crate::message::Timing;
+use crate::store_epoch::StoreEpoch;
+use crate::store_sync::StoreFailure;
+
+/// A request that ended without an answer.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LostRequest {
+    /// Incarnation of the back end that the request was sent to.
+    pub instance: String,
+    /// Content of the request (route, method, target, tenant, body): shows whether several crashes
+    /// of back ends involve the same request.
+    pub content: Fingerprint,
+}
+
+/// A structured log record.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum LogRecord {
+    /// A caller's request was answered.
+    Answered {
+        /// The caller's identifier of the request.
+        request_id: String,
+        /// Name of the route, empty if there is none.
+        route: String,
+        /// HTTP status code of the answer.
+        status: u16,
+        /// Result code if the node itself produced the answer; `None` if a back end did.
+        code: Option<ResultCode>,
+        /// Node that the request was sent to last, empty if it was sent to none.
+        peer: String,
+        /// Number of attempts.
+        attempts: u32,
+        /// Time since the request was received, in microseconds.
+        elapsed_micros: u64,
+        /// Version of the configuration by which the route was chosen.
+        configuration: u64,
+        /// Timing of the last attempt, as reported by the node that received it.
+        timing: Timing,
+        /// Name of the tenant, empty if the request has no known key.
+        tenant: String,
+        /// Age of the proof that the configuration was the newest one, in milliseconds; `None` if
+        /// there was no proof.
+        proof_age_millis: Option<u64>,
+    },
+    /// A request was sent to another node after an attempt at a first one.
+    Retried {
+        /// The caller's identifier of the request.
+        request_id: String,
+        /// Node of the previous attempt.
+        from: String,
+        /// Reason for the retry.
+        code: ResultCode,
+        /// Whether the retry was paid for from the retry budget.
+        paid: bool,
+    },
+    /// The inbound side has ended a request without an answer.
+    NotAnswered {
+        /// The caller's identifier of the request.
+        request_id: String,
+        /// Reason.
+        code: ResultCode,
+        /// Time since the request reached the inbound side, in microseconds.
+        elapsed_micros: u64,
+        /// Number of requests that run.
+        running: u32,
+        /// Number of queued requests.
+        queued: u32,
+        /// Maximum number of requests that run at the same time.
+        limit: u32,
+        /// The lost request, if the back end may have run it.
+        lost: Option<LostRequest>,
+    },
+    /// The caller of a request has disconnected.
+    Cancelled {
+        /// The caller's identifier of the request.
+        request_id: String,
+    },
+    /// The health of the back end, as observed by its node, has changed.
+    BackEnd {
+        /// Identifier of the incarnation.
+        instance: String,
+        /// New health.
+        health: &'static str,
+        /// Cause of the change.
+        cause: &'static str,
+        /// Sequence number of the last heartbeat.
+        sequence: u64,
+    },
+    /// The back end has ended unexpectedly.
+    BackEndCrashed {
+        /// Identifier of the incarnation that has ended.
+        instance: String,
+        /// Number of requests that were in flight.
+        in_flight: usize,
+        /// Number of distinct contents among them that were already suspected because of earlier
+        /// crashes.
+        previously_suspected: usize,
+    },
+    /// The suspicion against a content has changed.
+    SuspicionChanged(SuspicionChange),
+    /// A caller's request was rejected because its content is quarantined: back ends have crashed
+    /// while such requests were in flight.
+    RequestQuarantined {
+        /// The caller's identifier of the request.
+        request_id: String,
+        /// Content of the request.
+        content: Fingerprint,
+    },
+    /// The admission of requests that lead to a service has changed.
+    Admission {
+        /// Service that the requests lead to, directly or through calls made for them.
+        service: String,
+        /// Lowest priority of which any requests are admitted; 0 is the highest.
+        priority: u8,
+        /// Percentage of the requests of that priority that are admitted.
+        admitted_percent: u32,
+    },
+    /// A peer has become reachable or unreachable.
+    Peer {
+        /// Name of the peer.
+        peer: String,
+        /// Whether the peer is reachable.
+        is_up: bool,
+        /// Cause of the change.
+        cause: &'static str,
+    },
+    /// A configuration was put in force.
+    Configuration {
+        /// Version of the configuration.
+        version: u64,
+        /// Number of routes.
+        routes: usize,
+        /// Number of tenants.
+        tenants: usize,
+        /// Where it was received from: `store` or `peer`.
+        source: &'static str,
+    },
+    /// A peer is known to have a newer configuration.
+    NewerConfiguration {
+        /// Version of the newer configuration.
+        version: u64,
+        /// Version in force at this node.
+        own_version: u64,
+        /// Name of the first peer that reported it; empty if its link has ended.
+        peer: String,
+    },
+    /// A peer is queried for a newer configuration.
+    ConfigurationQuery {
+        /// Version that is expected.
+        version: u64,
+        /// Version in force at this node.
+        own_version: u64,
+        /// Name of the peer; empty if its link has ended.
+        peer: String,
+    },
+    /// The store has become available or unavailable.
+    Store {
+        /// The call that failed, and the failure; `None` if the store is available again.
+        failure: Option<(&'static str, StoreFailure)>,
+    },
+    /// The list of nodes in the store contains entries that cannot be read as records of nodes.
+    UnreadableRecords {
+        /// Number of these entries.
+        unreadable: usize,
+    },
+    /// The store was restored from a backup.
+    StoreRestored {
+        /// Last epoch known before.
+        before: StoreEpoch,
+        /// Epoch that the store has reached.
+        epoch: StoreEpoch,
+        /// Version of the configuration in force here, which the store may have lost.
+        configuration: u64,
+        /// Peer that reported the epoch; `None` if it came from the store itself.
+        peer: Option<String>,
+    },
+    /// The node has started or stopped watching the store.
+    Watch {
+        /// Whether the node watches the store.
+        is_watching: bool,
+        /// Number of followed peers with a recent contact with the store.
+        fresh: usize,
+        /// Approximate number of nodes that precede this one in the order of watchers.
+        preceding: u64,
+    },
+    /// Requests with keys are served again, or rejected because the configuration is not known to
+    /// be the newest one.
+    Freshness {
+        /// Whether requests with keys are served.
+        is_proven: bool,
+        /// Age of the proof in milliseconds; `None` if there is no proof.
+        proof_age_millis: Option<u64>,
+    },
+    /// The node has begun or ceased to offer to own buckets of tenants' tokens.
+    BucketOffer {
+        /// Whether the node offers to own buckets.
+        offers: bool,
+        /// Number of known peers.
+        peers: usize,
+    },
+    /// A tenant's bucket does not hold all requested tokens.
+    TenantLimit {
+        /// Name of the tenant.
+        tenant: String,
+        /// Number of tokens that were granted.
+        granted: u32,
+        /// Time until more tokens are available, in milliseconds.
+        wait_millis: u32,
+    },
+    /// The lifecycle state of the node has changed.
+    Lifecycle {
+        /// `started`, `stopping` or `exiting`.
+        state: &'static str,
+        /// Number of requests in flight.
+        in_flight: usize,
+    },
+}
