--- a/crates/rillgap-forward/src/node/spread.rs
+++ b/crates/rillgap-forward/src/node/configuration_distribution.rs
@@ -1,4 +1,4 @@
-//! The configuration: put in force, offered to peers, asked from them.
+//! Distribution of the configuration: activation, offers to peers, queries to peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,15 +9,16 @@
 use crate::action::{Action, Actions};
 use crate::configuration::{Configuration, RouteTable};
 use crate::id::LinkId;
+use crate::log_record::LogRecord;
 use crate::message::LinkMessage;
-use crate::note::Note;
 
-/// Time after a newer version was heard of in which the node waits for the store to bring it.
-const OFFER_PATIENCE: Duration = Duration::from_millis(200);
+/// Time for which the node waits for the store to deliver a newer version before it queries a peer
+/// that has offered it.
+const STORE_DELIVERY_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Node {
-    /// Puts a configuration in force unless it is not newer.
-    pub(super) fn adopt(
+    /// Puts a configuration in force unless the current one is the same version or newer.
+    pub(super) fn apply_configuration(
         &mut self,
         now: Instant,
         configuration: Configuration,
@@ -27,7 +28,7 @@
         if self.table.is_some() && configuration.version <= self.configuration_version() {
             return;
         }
-        out.push(Action::Note(Note::Configuration {
+        out.push(Action::Log(LogRecord::Configuration {
             version: configuration.version,
             routes: configuration.routes.len(),
             tenants: configuration.tenants.len(),
@@ -35,51 +36,51 @@
         }));
         let version = configuration.version;
         let table = RouteTable::new(configuration);
-        self.freshness.adopted(version);
-        self.limit_tenants(now, &table);
+        self.freshness.on_configuration_in_force(version);
+        self.apply_tenant_limits(now, &table);
         self.table = Some(Arc::new(table));
         self.configured_at = Some(now);
-        self.offers.in_force(version);
-        self.store.configuration_in_force();
+        self.offers.on_configuration_in_force(version);
+        self.store.on_configuration_in_force();
         self.broadcast(&LinkMessage::ConfigurationOffer(version), out);
-        // The health endpoint's path may be known now.
+        // The new configuration may define the path of the health endpoint.
         let table = self.table.clone();
         self.inbound.poll(now, table.as_deref(), out);
     }
 
     pub(super) fn on_offer(&mut self, now: Instant, link: LinkId, version: u64, out: &mut Actions) {
-        let own = self.configuration_version();
-        if version < own {
+        let own_version = self.configuration_version();
+        if version < own_version {
             out.push(Action::SendOnLink {
                 link,
-                message: LinkMessage::ConfigurationOffer(own),
+                message: LinkMessage::ConfigurationOffer(own_version),
             });
         }
-        self.learn_version(now, link, version, out);
+        self.observe_version(now, link, version, out);
     }
 
-    /// Takes in which version the peer on a link has.
-    pub(super) fn learn_version(
+    /// Records the version of the configuration that the peer on a link has.
+    pub(super) fn observe_version(
         &mut self,
         now: Instant,
         link: LinkId,
         version: u64,
         out: &mut Actions,
     ) {
-        let own = self.configuration_version();
-        if version <= own {
+        let own_version = self.configuration_version();
+        if version <= own_version {
             return;
         }
-        let patience = if self.store.expects_configuration() {
-            OFFER_PATIENCE
+        let delay = if self.store.has_configuration_call_in_flight() {
+            STORE_DELIVERY_TIMEOUT
         } else {
             Duration::ZERO
         };
-        if self.offers.offered(now, link, version, now + patience) {
+        if self.offers.on_offer(now, link, version, now + delay) {
             let peer = self.peer_name(link);
-            out.push(Action::Note(Note::NewerConfiguration {
+            out.push(Action::Log(LogRecord::NewerConfiguration {
                 version,
-                own,
+                own_version,
                 peer,
             }));
         }
@@ -99,20 +100,20 @@
         });
     }
 
-    /// Asks a peer for the newer configuration that it has told of.
-    pub(super) fn ask_for_configuration(&mut self, now: Instant, out: &mut Actions) {
+    /// Sends a query for a newer configuration to a peer that has offered it.
+    pub(super) fn query_configuration(&mut self, now: Instant, out: &mut Actions) {
         let Some(query) = self.offers.take_due(now) else {
             return;
         };
-        let own = self.configuration_version();
-        out.push(Action::Note(Note::ConfigurationQuery {
+        let own_version = self.configuration_version();
+        out.push(Action::Log(LogRecord::ConfigurationQuery {
             version: query.version,
-            own,
+            own_version,
             peer: self.peer_name(query.link),
         }));
         out.push(Action::SendOnLink {
             link: query.link,
-            message: LinkMessage::ConfigurationQuery(own),
+            message: LinkMessage::ConfigurationQuery(own_version),
         });
     }
 
--- a/crates/rillgap-forward/src/node/mod.rs
+++ b/crates/rillgap-forward/src/node/mod.rs
@@ -1,10 +1,11 @@
-//! One node: its two sides, the directory of peers, the configuration and the store.
+//! State machine of one node: inbound and outbound side, directory of peers, configuration and
+//! store.
 
+mod configuration_distribution;
 mod evidence;
 mod follow;
 mod freshness;
 mod links;
-mod spread;
 mod stop;
 mod store;
 mod tokens;
@@ -20,7 +21,7 @@
 use crate::directory::Directory;
 use crate::event::{CallerRequest, Event, Heartbeat};
 use crate::freshness::Freshness;
-use crate::id::{AnnouncementId, ConnectionId, LinkId, Turn};
+use crate::id::{AnnouncementId, ConnectionId, LinkId, PipelineIndex};
 use crate::inbound::Inbound;
 use crate::message::{Hello, LinkMessage, Status};
 use crate::outbound::{Origin, Outbound, OutboundContext};
@@ -28,61 +29,63 @@
 use crate::settings::ForwardSettings;
 use crate::store_epoch::StoreEpoch;
 use crate::store_sync::StoreSync;
-use crate::watch_duty::WatchDuty;
 use crate::watch_relay::WatchRelay;
+use crate::watcher_election::WatcherElection;
 
-/// Version of the protocol between nodes.
+/// Version of the protocol between nodes. Links to nodes with another version are closed.
 pub const PROTOCOL_VERSION: u32 = 6;
 
-/// Time between two looks at links.
-const HOUSEKEEPING: Duration = Duration::from_millis(100);
-/// Gap between two steps after which the node takes it that it stood still itself.
-const STOOD_STILL: Duration = Duration::from_millis(700);
-/// Time after a stand-still in which no peer is given up: what has arrived is read first.
-const READ_FIRST: Duration = Duration::from_millis(400);
+/// Interval at which links are checked, opened and closed.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two events after which the node's own process counts as having been paused.
+const PROCESS_PAUSE_THRESHOLD: Duration = Duration::from_millis(700);
+/// Time after a process pause during which no link times out: the messages that arrived during the
+/// pause are read first.
+const PROCESS_PAUSE_GRACE: Duration = Duration::from_millis(400);
 
-/// One node.
+/// One node. The driver passes it events through [`Node::handle`] and executes the resulting
+/// actions.
 #[derive(Debug)]
 pub struct Node {
     settings: ForwardSettings,
     table: Option<Arc<RouteTable>>,
-    /// Since when it is in force.
+    /// When the configuration was put in force.
     configured_at: Option<Instant>,
     directory: Directory,
     inbound: Inbound,
     outbound: Outbound,
     store: StoreSync,
     store_is_up: bool,
-    watch_duty: WatchDuty,
+    watcher_election: WatcherElection,
     watch_relay: WatchRelay,
     freshness: Freshness,
-    /// Whether the last record of the log said that requests with keys are served.
-    told_proven: bool,
+    /// Whether the last log record on freshness said that requests with keys are served.
+    logged_as_fresh: bool,
     buckets: Buckets,
     /// Whether the records of all nodes have been read.
-    knows_members: bool,
-    /// Since when the node offers to own buckets of tenants' tokens.
-    owns_buckets_since: Option<Instant>,
-    /// Whether the last report said that the node watches the store.
-    told_watching: bool,
-    /// When the last report was sent.
-    status_told_at: Instant,
+    has_full_membership: bool,
+    /// Since when the node offers to own buckets of tenants' tokens; `None` if it does not.
+    can_own_buckets_since: Option<Instant>,
+    /// Whether the last periodic report said that the node watches the store.
+    reported_watching: bool,
+    /// When the last status was sent.
+    status_sent_at: Instant,
     offers: ConfigurationOffers,
-    /// Link on which the evidence came that peers are to be told next.
+    /// Link on which the evidence arrived that is to be forwarded next; the peer there is left out.
     evidence_source: Option<LinkId>,
     started_at: Instant,
     next_link: u64,
     next_housekeeping: Instant,
     next_status: Instant,
-    last_step: Instant,
-    judge_after: Instant,
+    last_event_at: Instant,
+    peer_timeouts_after: Instant,
     stopping_since: Option<Instant>,
     inbound_stops_at: Option<Instant>,
     exited: bool,
 }
 
 impl Node {
-    /// Creates a fresh node, which remembers nothing.
+    /// Creates the state of a newly started node. Nothing is kept from earlier runs.
     pub fn new(now: Instant, settings: ForwardSettings) -> Self {
         Self {
             table: None,
@@ -96,15 +99,15 @@
                 settings.is_first_start,
                 settings.store_writes_per_second,
             ),
-            watch_duty: WatchDuty::new(&settings.record.name),
+            watcher_election: WatcherElection::new(&settings.record.name),
             watch_relay: WatchRelay::default(),
             freshness: Freshness::new(settings.revocation),
-            told_proven: true,
+            logged_as_fresh: true,
             buckets: Buckets::default(),
-            knows_members: false,
-            owns_buckets_since: None,
-            told_watching: false,
-            status_told_at: now,
+            has_full_membership: false,
+            can_own_buckets_since: None,
+            reported_watching: false,
+            status_sent_at: now,
             store_is_up: true,
             offers: ConfigurationOffers::default(),
             evidence_source: None,
@@ -112,8 +115,8 @@
             next_link: 0,
             next_housekeeping: now,
             next_status: now,
-            last_step: now,
-            judge_after: now,
+            last_event_at: now,
+            peer_timeouts_after: now,
             stopping_since: None,
             inbound_stops_at: None,
             exited: false,
@@ -121,24 +124,24 @@
         }
     }
 
-    /// Returns a number for a new link.
+    /// Returns an unused link identifier.
     pub fn new_link(&mut self) -> LinkId {
         self.next_link += 1;
         LinkId(self.next_link)
     }
 
-    /// Returns whether new callers are welcome.
+    /// Returns whether the node accepts new callers: it has a configuration and is not stopping.
     pub fn is_ready(&self) -> bool {
         self.table.is_some() && self.stopping_since.is_none()
     }
 
-    /// Returns for how long the configuration has been in force; `None` if there is none.
+    /// Returns the time for which the configuration has been in force; `None` if there is none.
     pub fn configuration_age(&self, now: Instant) -> Option<Duration> {
         let since = self.configured_at?;
         Some(now.saturating_since(since))
     }
 
-    /// Returns the bounds on what callers send.
+    /// Returns the limits on requests and connections of callers.
     pub fn limits(&self) -> CallerLimits {
         self.table
             .as_ref()
@@ -147,15 +150,16 @@
             })
     }
 
-    /// Returns whether credentials of callers are the node's own matter, and are kept from back ends: a
-    /// configuration has tenants, or none is known.
+    /// Returns whether the credentials of callers are checked here and removed before requests
+    /// reach back ends: the configuration has tenants, or there is no configuration yet.
     pub fn withholds_credentials(&self) -> bool {
         self.table.as_ref().is_none_or(|table| table.has_tenants())
     }
 
-    /// Returns the age of the proof that the configuration is the newest one, if there is one.
+    /// Returns the age of the proof that the configuration is the newest one; `None` if there is no
+    /// proof.
     pub fn proof_age(&self, now: Instant) -> Option<Duration> {
-        self.freshness.age(now)
+        self.freshness.proof_age(now)
     }
 
     /// Returns the version of the configuration in force; 0 for none.
@@ -163,14 +167,14 @@
         self.table.as_ref().map_or(0, |table| table.version())
     }
 
-    /// Returns the introduction for peers.
+    /// Returns the first message for a new link.
     pub fn hello(&self) -> Hello {
         Hello {
             protocol: PROTOCOL_VERSION,
             node: self.settings.record.clone(),
             incarnation: self.settings.incarnation,
             status: Status {
-                owns_buckets: self.owns_buckets_since.is_some(),
+                can_own_buckets: self.can_own_buckets_since.is_some(),
                 ..self.inbound.status()
             },
             configuration_version: self.configuration_version(),
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Returns the epoch of the store, as far as the node has heard of it.
+    /// Returns the last known epoch of the store; `None` if none is known yet.
     pub const fn store_epoch(&self) -> Option<StoreEpoch> {
         self.store.epoch()
     }
@@ -193,23 +197,23 @@
         &self.outbound
     }
 
-    /// Returns the directory.
+    /// Returns the directory of peers.
     pub const fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Handles an event; actions are appended to `out`.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Actions) {
-        self.note_time(now);
+        self.detect_process_pause(now);
         match event {
             Event::Request {
                 connection,
-                turn,
+                pipeline_index,
                 request,
-            } => self.on_request(now, connection, turn, request, out),
-            Event::CallerGone(connection) => {
-                let (outbound, mut context) = self.split(out);
-                outbound.on_caller_gone(connection, &mut context);
+            } => self.on_request(now, connection, pipeline_index, request, out),
+            Event::CallerDisconnected(connection) => {
+                let (outbound, mut context) = self.split_outbound(out);
+                outbound.on_caller_disconnected(connection, &mut context);
             }
             Event::LinkOpened { link, hello } => self.on_link_opened(now, link, &hello, out),
             Event::LinkAccepted { link, hello } => self.on_link_accepted(now, link, &hello, out),
@@ -224,7 +228,7 @@
                 announcement,
                 heartbeat,
             } => self.on_heartbeat(now, announcement, &heartbeat, out),
-            Event::BackEndLeaves {
+            Event::BackEndLeft {
                 announcement,
                 incarnation,
             } => {
@@ -239,7 +243,7 @@
             Event::Wake => {}
         }
         self.deliver_local(now, out);
-        self.settle(now, out);
+        self.run_due_work(now, out);
     }
 
     /// Returns when [`Event::Wake`] is due next.
@@ -256,14 +260,17 @@
         .fold(self.next_housekeeping, Instant::min)
     }
 
-    fn split<'a>(&'a mut self, out: &'a mut Actions) -> (&'a mut Outbound, OutboundContext<'a>) {
-        let refuses_callers = self.notice_is_over(self.last_step);
-        let now = self.last_step;
+    fn split_outbound<'a>(
+        &'a mut self,
+        out: &'a mut Actions,
+    ) -> (&'a mut Outbound, OutboundContext<'a>) {
+        let refuses_callers = self.stop_notice_elapsed(self.last_event_at);
+        let now = self.last_event_at;
         let context = OutboundContext {
             table: self.table.as_deref(),
-            own: &self.inbound,
+            inbound: &self.inbound,
             directory: &mut self.directory,
-            is_proven: self.freshness.is_proven(now),
+            is_configuration_fresh: self.freshness.is_proven(now),
             proof_age_millis: freshness::age_millis(&self.freshness, now),
             is_stopping: self.stopping_since.is_some(),
             refuses_callers,
@@ -273,26 +280,33 @@
         (&mut self.outbound, context)
     }
 
-    /// Notices that the process stood still: then no peer is judged before what it has sent
-    /// meanwhile is read.
-    fn note_time(&mut self, now: Instant) {
-        if now.saturating_since(self.last_step) >= STOOD_STILL {
-            self.judge_after = now + READ_FIRST;
+    /// Detects that the process was paused. Peers are then not timed out before the messages that
+    /// they sent during the pause are read.
+    fn detect_process_pause(&mut self, now: Instant) {
+        if now.saturating_since(self.last_event_at) >= PROCESS_PAUSE_THRESHOLD {
+            self.peer_timeouts_after = now + PROCESS_PAUSE_GRACE;
         }
-        self.last_step = now;
+        self.last_event_at = now;
     }
 
     fn on_request(
         &mut self,
         now: Instant,
         connection: ConnectionId,
-        turn: Turn,
+        pipeline_index: PipelineIndex,
         request: CallerRequest,
         out: &mut Actions,
     ) {
         let origin = self.origin(&request);
-        let (outbound, mut context) = self.split(out);
-        outbound.on_request(now, connection, turn, request, origin, &mut context);
+        let (outbound, mut context) = self.split_outbound(out);
+        outbound.on_request(
+            now,
+            connection,
+            pipeline_index,
+            request,
+            origin,
+            &mut context,
+        );
     }
 
     fn on_heartbeat(
@@ -309,14 +323,14 @@
         acknowledge(announcement, is_accepted, out);
     }
 
-    /// Tells a call of the back end from a caller's request: its identifier must lead to a request
-    /// that the back end works on.
+    /// Distinguishes a call of the back end from a caller's request: a call carries the identifier
+    /// of a request that runs at the back end.
     fn origin(&self, request: &CallerRequest) -> Origin {
         let parent_id = request.parent_id.as_deref();
         let parent = parent_id.and_then(|parent_id| self.inbound.running_request(parent_id));
         parent.map_or(Origin::Caller, |parent| Origin::BackEnd {
             level: parent.level,
-            is_repeat: parent.is_repeat,
+            is_retry: parent.is_retry,
         })
     }
 
@@ -327,15 +341,15 @@
         message: LinkMessage,
         out: &mut Actions,
     ) {
-        self.directory.heard(now, link);
-        self.offers.heard(now, link);
+        self.directory.record_received(now, link);
+        self.offers.on_message(now, link);
         match message {
             LinkMessage::Request { sequence, request } => {
                 self.inbound.on_request(now, link, sequence, request, out);
             }
             LinkMessage::Cancel(sequence) => self.inbound.on_cancel(now, link, sequence, out),
             LinkMessage::Response(response) => {
-                let (outbound, mut context) = self.split(out);
+                let (outbound, mut context) = self.split_outbound(out);
                 outbound.on_response(now, link, response, &mut context);
             }
             LinkMessage::Status(status) => self.on_status(now, link, status),
@@ -348,18 +362,18 @@
             LinkMessage::ConfigurationQuery(version) => self.on_query(link, version, out),
             LinkMessage::FreshnessQuery(number) => self.on_freshness_query(now, link, number, out),
             LinkMessage::Follow(follows) => self.on_follow(now, link, follows, out),
-            LinkMessage::StoreNews(age_micros) => self.on_store_news(now, link, age_micros),
-            LinkMessage::StoreEpoch(epoch) => self.learn_epoch(now, epoch, Some(link), out),
+            LinkMessage::StoreContact(age_micros) => self.on_store_contact(now, link, age_micros),
+            LinkMessage::StoreEpoch(epoch) => self.observe_epoch(now, epoch, Some(link), out),
             LinkMessage::FreshnessAnswer(answer) => {
-                self.learn_epoch(now, answer.epoch, Some(link), out);
+                self.observe_epoch(now, answer.epoch, Some(link), out);
                 self.on_freshness_answer(answer);
-                self.learn_version(now, link, answer.version, out);
+                self.observe_version(now, link, answer.version, out);
             }
             LinkMessage::TokenQuery(query) => self.on_token_query(now, link, query, out),
             LinkMessage::TokenAnswer(answer) => self.on_token_answer(now, answer, out),
             LinkMessage::CrashEvidence(evidence) => self.on_evidence(now, link, &evidence),
             LinkMessage::Configuration(configuration) => {
-                self.adopt(now, Arc::unwrap_or_clone(configuration), "peer", out);
+                self.apply_configuration(now, Arc::unwrap_or_clone(configuration), "peer", out);
             }
         }
     }
@@ -371,36 +385,37 @@
         self.directory.on_status(now, link, status);
     }
 
-    /// Does what is due and passes on what one part has for another.
-    fn settle(&mut self, now: Instant, out: &mut Actions) {
+    /// Does the work that is due and passes the results of one component to the others.
+    fn run_due_work(&mut self, now: Instant, out: &mut Actions) {
         let table = self.table.clone();
         self.inbound.poll(now, table.as_deref(), out);
-        // Peers learn of a crash before they hear what became of its requests, and decide by it.
-        self.tell_evidence(now, out);
-        self.inbound.release_lost(now, out);
-        let (outbound, mut context) = self.split(out);
+        // Evidence of a crash is sent before the results of its requests: peers use it to decide on
+        // retries.
+        self.send_new_evidence(now, out);
+        self.inbound.release_lost_requests(now, out);
+        let (outbound, mut context) = self.split_outbound(out);
         outbound.poll(now, &mut context);
         self.deliver_local(now, out);
-        self.ask_for_tokens(now, out);
+        self.query_tokens(now, out);
         self.deliver_local(now, out);
-        for call in self.outbound.take_call_news() {
+        for call in self.outbound.take_call_updates() {
             self.inbound.on_call(call);
         }
         for (id, request) in self.store.poll(now) {
             out.push(Action::CallStore { id, request });
         }
-        self.ask_for_configuration(now, out);
-        self.tell_followers(now, out);
+        self.query_configuration(now, out);
+        self.notify_followers(now, out);
         self.stop_inbound_when_due(now);
         self.report_changes(now, out);
         if now >= self.next_housekeeping {
-            self.next_housekeeping = now + HOUSEKEEPING;
-            self.keep_links(now, out);
+            self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
+            self.maintain_links(now, out);
         }
         self.exit_when_done(now, out);
     }
 
-    /// Hands what one side has for the other across, without a link.
+    /// Delivers messages between the two sides of this node, which use no link.
     fn deliver_local(&mut self, now: Instant, out: &mut Actions) {
         let is_local = |action: &Action| matches!(action, Action::SendOnLink { link, .. } if *link == LinkId::LOCAL);
         while let Some(position) = out.iter().position(is_local) {
--- a/crates/rillgap-forward/src/node/tokens.rs
+++ b/crates/rillgap-forward/src/node/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens of tenants' buckets: asked from their owners, given out of the own buckets.
+//! Tokens of tenants' buckets: queries to the owners, grants from the buckets that this node owns.
 
 use rillgap_core::time::Instant;
 
@@ -7,66 +7,72 @@
 use crate::configuration::RouteTable;
 use crate::directory::PeerIndex;
 use crate::id::LinkId;
+use crate::log_record::LogRecord;
 use crate::message::{LinkMessage, NodeRecord, TokenAnswer, TokenQuery, TokenResult};
-use crate::note::Note;
 use crate::rate_limit::bucket::Grant;
-use crate::rate_limit::entry::Wanted;
+use crate::rate_limit::entry::TokenDemand;
 use crate::rate_limit::ownership::{Owner, TenantHash};
 
 impl Node {
-    /// Takes in which tenants have a limit.
-    pub(super) fn limit_tenants(&mut self, now: Instant, table: &RouteTable) {
+    /// Applies the set of tenants with a rate limit.
+    pub(super) fn apply_tenant_limits(&mut self, now: Instant, table: &RouteTable) {
         let tenants = &table.configuration().tenants;
         let limited = tenants.iter().filter(|tenant| tenant.limit.is_some());
         let hashes: Vec<TenantHash> = limited.map(|tenant| TenantHash::of(&tenant.name)).collect();
-        // Nodes agree on the owners of buckets only if all know the same nodes.
+        // Nodes agree on the owners of buckets only if all of them have the same list of nodes.
         if !hashes.is_empty() && (!self.store.has_listed() || self.directory.is_partial()) {
-            self.knows_members = false;
-            self.store.list_all(now);
+            self.has_full_membership = false;
+            self.store.request_full_list(now);
         }
-        self.directory.set_limited(hashes);
+        self.directory.set_limited_tenants(hashes);
         self.buckets.retain(|tenant| table.tenant(tenant).is_some());
     }
 
-    /// Offers to own buckets once all nodes are known, while most of them are heard.
+    /// Offers to own buckets once all nodes are known, while the node is in contact with most of
+    /// its peers.
     pub(super) fn offer_buckets(&mut self, now: Instant, out: &mut Actions) {
         let offers = self.table.is_some()
-            && self.knows_members
+            && self.has_full_membership
             && self.stopping_since.is_none()
-            && self.directory.hears_most(now);
-        if offers == self.owns_buckets_since.is_some() {
+            && self.directory.is_in_contact_with_majority(now);
+        if offers == self.can_own_buckets_since.is_some() {
             return;
         }
-        self.owns_buckets_since = offers.then_some(now);
-        out.push(Action::Note(Note::BucketOffer {
+        self.can_own_buckets_since = offers.then_some(now);
+        out.push(Action::Log(LogRecord::BucketOffer {
             offers,
             peers: self.directory.len(),
         }));
         self.broadcast_status(now, out);
     }
 
-    /// Asks the owners of buckets for the tokens that are needed.
-    pub(super) fn ask_for_tokens(&mut self, now: Instant, out: &mut Actions) {
-        for wanted in self.outbound.token_queries_due(now) {
-            let hash = TenantHash::of(&wanted.tenant);
-            self.directory.use_tenant(hash);
-            match self.directory.bucket_owner(hash, self.owns_buckets_since) {
-                Owner::Own { since } => self.grant_here(now, wanted, since, out),
+    /// Queries the owners of buckets for the tokens that are needed.
+    pub(super) fn query_tokens(&mut self, now: Instant, out: &mut Actions) {
+        for demand in self.outbound.token_queries_due(now) {
+            let hash = TenantHash::of(&demand.tenant);
+            self.directory.mark_tenant_in_use(hash);
+            match self
+                .directory
+                .bucket_owner(hash, self.can_own_buckets_since)
+            {
+                Owner::Local { since } => self.grant_locally(now, demand, since, out),
                 Owner::Peer(index, link) => {
                     self.directory.query_sent(now, index);
-                    // An owner that is silent may be lost: its successor looks after it, too.
+                    // An owner that does not answer may be down: the repeated query goes to its
+                    // successor too, which then probes the owner.
                     let next = self.directory.next_owner_link(hash, index);
-                    let next = next.filter(|_| wanted.is_repeated);
-                    send_query(wanted, next.into_iter().chain([link]), out);
+                    let next = next.filter(|_| demand.is_repeated);
+                    send_query(demand, next.into_iter().chain([link]), out);
                 }
-                // A link is opened soon, if the owner lives. If it does not, its successor may know.
+                // A link to the owner is opened soon if the owner is up. If it is down, its
+                // successor may already have noticed.
                 Owner::Unlinked(index) => {
                     let next = self.directory.next_owner_link(hash, index);
-                    send_query(wanted, next, out);
+                    send_query(demand, next, out);
                 }
-                Owner::Nobody => {
-                    let (outbound, mut context) = self.split(out);
-                    outbound.on_no_owner(now, &wanted.tenant, &mut context);
+                Owner::Unavailable => {
+                    let (outbound, mut context) = self.split_outbound(out);
+                    outbound.on_no_owner(now, &demand.tenant, &mut context);
                 }
             }
         }
@@ -80,8 +86,11 @@
         out: &mut Actions,
     ) {
         let hash = TenantHash::of(&query.tenant);
-        let result = match self.directory.bucket_owner(hash, self.owns_buckets_since) {
-            Owner::Own { since } => {
+        let result = match self
+            .directory
+            .bucket_owner(hash, self.can_own_buckets_since)
+        {
+            Owner::Local { since } => {
                 let grant = self.grant(now, &query.tenant, since, query.wanted);
                 grant.map(|grant| TokenResult::Granted {
                     tokens: grant.tokens,
@@ -89,15 +98,16 @@
                 })
             }
             Owner::Peer(index, link) => {
-                self.look_after(now, index, link, out);
+                self.probe_owner(now, index, link, out);
                 Some(TokenResult::OwnedBy(self.record_of(index)))
             }
             Owner::Unlinked(index) => {
-                // Whoever asks may know that this owner is lost: a link to it shows.
-                self.directory.use_tenant(hash);
+                // The querying node may have found that this owner is down. Opening a link to it
+                // shows.
+                self.directory.mark_tenant_in_use(hash);
                 Some(TokenResult::OwnedBy(self.record_of(index)))
             }
-            Owner::Nobody => None,
+            Owner::Unavailable => None,
         };
         if let Some(result) = result {
             out.push(Action::SendOnLink {
@@ -111,8 +121,8 @@
         }
     }
 
-    /// Makes sure that the loss of an owner is noticed: whoever asks this node has no word of it.
-    fn look_after(&mut self, now: Instant, owner: PeerIndex, link: LinkId, out: &mut Actions) {
+    /// Probes the owner, so that its loss is noticed: the querying node may not have a link to it.
+    fn probe_owner(&mut self, now: Instant, owner: PeerIndex, link: LinkId, out: &mut Actions) {
         self.directory.query_sent(now, owner);
         out.push(Action::SendOnLink {
             link,
@@ -134,20 +144,26 @@
                     tokens,
                     wait_millis,
                 };
-                self.take_tokens(now, &answer.tenant, answer.number, grant, out);
+                self.deliver_tokens(now, &answer.tenant, answer.number, grant, out);
             }
-            // The query is made again soon, then to the owner.
-            TokenResult::OwnedBy(record) => self.directory.learn(now, &record),
+            // The query is repeated soon, then to this owner.
+            TokenResult::OwnedBy(record) => self.directory.add_or_update(now, &record),
         }
     }
 
-    fn grant_here(&mut self, now: Instant, wanted: Wanted, since: Instant, out: &mut Actions) {
-        if let Some(grant) = self.grant(now, &wanted.tenant, since, wanted.tokens) {
-            self.take_tokens(now, &wanted.tenant, wanted.number, grant, out);
+    fn grant_locally(
+        &mut self,
+        now: Instant,
+        demand: TokenDemand,
+        since: Instant,
+        out: &mut Actions,
+    ) {
+        if let Some(grant) = self.grant(now, &demand.tenant, since, demand.tokens) {
+            self.deliver_tokens(now, &demand.tenant, demand.number, grant, out);
         }
     }
 
-    fn take_tokens(
+    fn deliver_tokens(
         &mut self,
         now: Instant,
         tenant: &str,
@@ -156,13 +172,13 @@
         out: &mut Actions,
     ) {
         if grant.wait_millis > 0 {
-            out.push(Action::Note(Note::TenantLimit {
+            out.push(Action::Log(LogRecord::TenantLimit {
                 tenant: tenant.to_owned(),
                 granted: grant.tokens,
                 wait_millis: grant.wait_millis,
             }));
         }
-        let (outbound, mut context) = self.split(out);
+        let (outbound, mut context) = self.split_outbound(out);
         outbound.on_tokens(
             now,
             tenant,
@@ -173,25 +189,34 @@
         );
     }
 
-    /// Takes tokens out of an own bucket; `None` if this node's configuration does not know the tenant
-    /// yet. A tenant whose limit has been lifted here gets what it wants.
-    fn grant(&mut self, now: Instant, tenant: &str, since: Instant, wanted: u32) -> Option<Grant> {
+    /// Takes tokens out of a bucket that this node owns. Returns `None` if this node's
+    /// configuration does not contain the tenant yet; a tenant without a limit here is granted all
+    /// requested tokens.
+    fn grant(
+        &mut self,
+        now: Instant,
+        tenant: &str,
+        since: Instant,
+        requested: u32,
+    ) -> Option<Grant> {
         let tenant = self.table.as_ref()?.tenant(tenant)?.clone();
         Some(match tenant.limit {
-            Some(limit) => self.buckets.grant(now, &tenant.name, limit, since, wanted),
+            Some(limit) => self
+                .buckets
+                .grant(now, &tenant.name, limit, since, requested),
             None => Grant {
-                tokens: wanted,
+                tokens: requested,
                 wait_millis: 0,
             },
         })
     }
 }
 
-fn send_query(wanted: Wanted, links: impl IntoIterator<Item = LinkId>, out: &mut Actions) {
+fn send_query(demand: TokenDemand, links: impl IntoIterator<Item = LinkId>, out: &mut Actions) {
     let query = TokenQuery {
-        number: wanted.number,
-        tenant: wanted.tenant,
-        wanted: wanted.tokens,
+        number: demand.number,
+        tenant: demand.tenant,
+        wanted: demand.tokens,
     };
     for link in links {
         out.push(Action::SendOnLink {
--- a/crates/rillgap-forward/src/outbound/ending.rs
+++ b/crates/rillgap-forward/src/outbound/completion.rs
@@ -1,19 +1,19 @@
-//! How requests end: with an answer of a back end, or of the node's own.
+//! Completion of requests, with the answer of a back end or with one that the node itself makes.
 
 use rillgap_core::code::ResultCode;
 use rillgap_core::time::Instant;
 
 use super::request::{Request, RequestKey};
-use super::{NO_BACK_END_MILLIS, Outbound, OutboundContext, answer};
+use super::{NO_BACK_END_RETRY_AFTER_MILLIS, Outbound, OutboundContext, answer};
 use crate::action::{Action, CallerAnswer};
 use crate::configuration::RouteTable;
 use crate::event::CallerRequest;
-use crate::inbound::{CallNews, CallProgress};
+use crate::inbound::{CallProgress, CallUpdate};
+use crate::log_record::LogRecord;
 use crate::message::{ForwardedAnswer, Timing};
-use crate::note::Note;
 
 impl Outbound {
-    /// Answers with what a back end has answered.
+    /// Completes a request with the answer of a back end.
     pub(super) fn finish_forwarded(
         &mut self,
         now: Instant,
@@ -39,12 +39,14 @@
         let Some(request) = self.requests.get(&key) else {
             return;
         };
-        let retry_after = request.retry_after_millis.unwrap_or(NO_BACK_END_MILLIS);
-        self.answer_own(now, key, ResultCode::NoBackEnd, retry_after, context);
+        let retry_after = request
+            .retry_after_millis
+            .unwrap_or(NO_BACK_END_RETRY_AFTER_MILLIS);
+        self.answer_with_code(now, key, ResultCode::NoBackEnd, retry_after, context);
     }
 
-    /// Answers a request whose time is over.
-    pub(super) fn give_up(
+    /// Completes a request whose deadline has passed.
+    pub(super) fn on_deadline(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -55,17 +57,17 @@
             return;
         };
         let was_sent = request.current().is_some();
-        self.withdraw_attempt(key, context);
+        self.cancel_attempt_by_key(key, context);
         let code = if was_sent {
             ResultCode::AnswerTimeout
         } else {
             ResultCode::DeadlineUnmet
         };
-        self.answer_own(now, key, code, 0, context);
+        self.answer_with_code(now, key, code, 0, context);
     }
 
-    /// Answers with a result of the node's own.
-    pub(super) fn answer_own(
+    /// Completes a request with a result code, or with the failure of a back end if one was kept.
+    pub(super) fn answer_with_code(
         &mut self,
         now: Instant,
         key: RequestKey,
@@ -76,12 +78,12 @@
         let Some(request) = self.requests.get_mut(&key) else {
             return;
         };
-        // A back end's own failure says more than that a second try came to nothing.
+        // The failure that a back end answered says more than the result of an unsuccessful retry.
         if let Some(forwarded) = request.failed_answer.take() {
             self.finish_forwarded(now, key, forwarded, context);
             return;
         }
-        let answer = answer::own(
+        let answer = answer::for_code(
             code,
             retry_after_millis,
             request.may_have_run,
@@ -98,15 +100,15 @@
         code: Option<ResultCode>,
         context: &mut OutboundContext<'_>,
     ) {
-        let Some(request) = self.take(key) else {
+        let Some(request) = self.remove_request(key) else {
             return;
         };
-        let has_not_run = request.arrivals == 0 && !request.may_have_run;
+        let has_not_run = request.possible_arrivals == 0 && !request.may_have_run;
         if let Some(tenant) = request.limited_tenant.as_ref().filter(|_| has_not_run) {
-            self.tokens.give_back(now, tenant);
+            self.tokens.return_token(now, tenant);
         }
         let elapsed = now.saturating_since(request.arrived).as_micros();
-        context.out.push(Action::Note(Note::Answered {
+        context.out.push(Action::Log(LogRecord::Answered {
             request_id: request.forwarded.request_id.clone(),
             route: request.route.name.clone(),
             status: answer.status,
@@ -119,16 +121,16 @@
             tenant: request.forwarded.tenant.clone().unwrap_or_default(),
             proof_age_millis: context.proof_age_millis,
         }));
-        self.count_outcome(request, answer.status);
+        self.record_call_outcome(request, answer.status);
         context.out.push(Action::Answer {
             connection: key.connection,
-            turn: key.turn,
+            pipeline_index: key.pipeline_index,
             answer,
         });
     }
 
-    /// Tells the inbound side how a call of the back end has ended.
-    fn count_outcome(&mut self, request: Request, status: u16) {
+    /// Queues the outcome of a call of the local back end for the inbound side.
+    fn record_call_outcome(&mut self, request: Request, status: u16) {
         let Some(parent_id) = request.parent_id else {
             return;
         };
@@ -136,7 +138,7 @@
             500.. => CallProgress::Failed,
             _ => CallProgress::Succeeded,
         };
-        self.call_news.push(CallNews {
+        self.call_updates.push(CallUpdate {
             parent_id,
             progress,
             involved: request.involved,
@@ -151,7 +153,7 @@
         answer: CallerAnswer,
         context: &mut OutboundContext<'_>,
     ) {
-        context.out.push(Action::Note(Note::Answered {
+        context.out.push(Action::Log(LogRecord::Answered {
             request_id: caller.request_id,
             route: String::new(),
             status: answer.status,
@@ -166,13 +168,13 @@
         }));
         context.out.push(Action::Answer {
             connection: key.connection,
-            turn: key.turn,
+            pipeline_index: key.pipeline_index,
             answer,
         });
     }
 
-    /// Forgets a request.
-    pub(super) fn take(&mut self, key: RequestKey) -> Option<Request> {
+    /// Removes a request together with its deadline.
+    pub(super) fn remove_request(&mut self, key: RequestKey) -> Option<Request> {
         let request = self.requests.remove(&key)?;
         self.deadlines.remove(&(request.deadline, key));
         Some(request)
--- a/crates/rillgap-forward/src/outbound/intake.rs
+++ b/crates/rillgap-forward/src/outbound/intake.rs
@@ -1,4 +1,4 @@
-//! What is checked before a request is sent anywhere.
+//! Checks of a request before its first attempt.
 
 use std::sync::Arc;
 
@@ -9,23 +9,25 @@
 
 use super::request::Request;
 use super::tenancy::{self, Refusal};
-use super::{NO_BACK_END_MILLIS, Origin, Outbound, OutboundContext, THROTTLED_MILLIS};
+use super::{
+    NO_BACK_END_RETRY_AFTER_MILLIS, Origin, Outbound, OutboundContext, THROTTLED_RETRY_AFTER_MILLIS,
+};
 use crate::action::Action;
 use crate::configuration::{Route, RouteTable, Tenant};
-use crate::crash::Standing;
+use crate::crash::Suspicion;
 use crate::event::CallerRequest;
-use crate::message::{ForwardedRequest, content, level_for_tenant};
-use crate::note::Note;
+use crate::log_record::LogRecord;
+use crate::message::{ForwardedRequest, content_fingerprint, level_for_tenant};
 
-/// What the configuration says of a request.
-struct Known<'a> {
+/// Configuration entries that apply to a request.
+struct Resolved<'a> {
     table: &'a RouteTable,
     route: Arc<Route>,
     tenant: Option<Arc<Tenant>>,
 }
 
 impl Outbound {
-    /// Checks a request and finds its tenant, route and service.
+    /// Checks a request, resolves its tenant, route and service, and builds its state.
     pub(super) fn prepare(
         &mut self,
         now: Instant,
@@ -33,27 +35,30 @@
         origin: Origin,
         context: &mut OutboundContext<'_>,
     ) -> Result<Request, (Box<CallerRequest>, Refusal)> {
-        let known = match look_up(&caller, origin, context) {
-            Ok(known) => known,
+        let resolved = match resolve(&caller, origin, context) {
+            Ok(resolved) => resolved,
             Err(refusal) => return Err((Box::new(caller), refusal)),
         };
-        let Known {
+        let Resolved {
             table,
             route,
             tenant,
-        } = known;
+        } = resolved;
         let service = self.weights.choose(&route).to_owned();
         self.budget.count_request(now, &service);
-        let (level, is_repeat) = match origin {
-            Origin::Caller => (level_of_caller(&caller, &route, tenant.as_deref()), false),
-            Origin::BackEnd { level, is_repeat } => (level, is_repeat),
+        let (level, is_retry) = match origin {
+            Origin::Caller => (caller_level(&caller, &route, tenant.as_deref()), false),
+            Origin::BackEnd { level, is_retry } => (level, is_retry),
         };
-        let content = watched_content(&caller, &route, tenant.as_deref(), context);
-        let guilty = content.filter(|content| is_quarantined(now, *content, context));
-        if let Some(content) = guilty {
-            let retry_after = context.own.crashes().quarantine_millis(now, content);
+        let content = tracked_fingerprint(&caller, &route, tenant.as_deref(), context);
+        let quarantined = content.filter(|content| is_quarantined(now, *content, context));
+        if let Some(content) = quarantined {
+            let retry_after = context
+                .inbound
+                .crashes()
+                .quarantine_remaining_millis(now, content);
             let refusal = Refusal::after(ResultCode::Quarantined, retry_after);
-            context.out.push(Action::Note(Note::HeldBack {
+            context.out.push(Action::Log(LogRecord::RequestQuarantined {
                 request_id: caller.request_id.clone(),
                 content,
             }));
@@ -61,10 +66,10 @@
         }
         let is_call = origin != Origin::Caller;
         if !is_call && !self.admission.admits(now, &route.name, &service, level) {
-            let refusal = Refusal::after(ResultCode::Overloaded, THROTTLED_MILLIS);
+            let refusal = Refusal::after(ResultCode::Overloaded, THROTTLED_RETRY_AFTER_MILLIS);
             return Err((Box::new(caller), refusal));
         }
-        if is_repeat {
+        if is_retry {
             self.budget.spend(now, &service);
         }
         let timeout = caller
@@ -84,7 +89,7 @@
             tenant: tenant.as_ref().map(|tenant| tenant.name.clone()),
             level,
             is_call,
-            is_repeat,
+            is_retry,
             remaining_micros: 0,
             queue_limit_micros: 0,
         };
@@ -102,18 +107,21 @@
     }
 }
 
-/// Finds what the configuration says of a request.
-fn look_up<'a>(
+/// Resolves the configuration entries for a request and authenticates its tenant.
+fn resolve<'a>(
     caller: &CallerRequest,
     origin: Origin,
     context: &OutboundContext<'a>,
-) -> Result<Known<'a>, Refusal> {
+) -> Result<Resolved<'a>, Refusal> {
     let is_refused = context.refuses_callers && origin == Origin::Caller;
     if context.is_exiting || is_refused {
         return Err(Refusal::new(ResultCode::NodeStopping));
     }
     let Some(table) = context.table else {
-        return Err(Refusal::after(ResultCode::NotReady, NO_BACK_END_MILLIS));
+        return Err(Refusal::after(
+            ResultCode::NotReady,
+            NO_BACK_END_RETRY_AFTER_MILLIS,
+        ));
     };
     let Some(route) = table.lookup(&caller.host, &caller.target) else {
         return Err(Refusal::new(ResultCode::UnknownRoute));
@@ -121,22 +129,24 @@
     if caller.request_id.is_empty() {
         return Err(Refusal::new(ResultCode::MalformedRequest));
     }
-    let tenant = tenancy::authenticate(table, route, caller, origin, context.is_proven)?;
-    Ok(Known {
+    let tenant =
+        tenancy::authenticate(table, route, caller, origin, context.is_configuration_fresh)?;
+    Ok(Resolved {
         table,
         route: route.clone(),
         tenant: tenant.cloned(),
     })
 }
 
-/// Returns the fingerprint of what a request asks for, if any requests are treated in another way than others.
-fn watched_content(
+/// Returns the fingerprint of a request's content (route, method, target, tenant and body), or
+/// `None` while no content is recurrent or quarantined, so that none needs to be computed.
+fn tracked_fingerprint(
     caller: &CallerRequest,
     route: &Route,
     tenant: Option<&Tenant>,
     context: &OutboundContext<'_>,
 ) -> Option<Fingerprint> {
-    if !context.own.crashes().is_watching() {
+    if !context.inbound.crashes().has_recurrent() {
         return None;
     }
     let tenant = tenant.map(|tenant| tenant.name.as_str());
@@ -146,15 +156,22 @@
         body,
         ..
     } = caller;
-    Some(content(&route.name, method, target, tenant, body))
+    Some(content_fingerprint(
+        &route.name,
+        method,
+        target,
+        tenant,
+        body,
+    ))
 }
 
 fn is_quarantined(now: Instant, content: Fingerprint, context: &OutboundContext<'_>) -> bool {
-    context.own.crashes().standing(now, content) == Standing::Quarantined
+    context.inbound.crashes().suspicion(now, content) == Suspicion::Quarantined
 }
 
-/// Returns the admission level of a caller's request.
-fn level_of_caller(caller: &CallerRequest, route: &Route, tenant: Option<&Tenant>) -> Level {
+/// Returns the admission level of a caller's request: by the priority of its tenant, if that has
+/// one, else by the priority of the route.
+fn caller_level(caller: &CallerRequest, route: &Route, tenant: Option<&Tenant>) -> Level {
     let priority = tenant
         .and_then(|tenant| tenant.priority)
         .unwrap_or(route.priority);
--- a/crates/rillgap-forward/src/outbound/request.rs
+++ b/crates/rillgap-forward/src/outbound/request.rs
@@ -1,4 +1,4 @@
-//! State of one request at the node that took it in.
+//! State of one request at the node that received it.
 
 use std::sync::Arc;
 
@@ -6,73 +6,75 @@
 
 use super::queue_limit;
 use crate::configuration::Route;
-use crate::id::{ConnectionId, LinkId, Sequence, Turn};
-use crate::message::{ForwardedAnswer, ForwardedRequest, ServiceLevel, Timing};
+use crate::id::{ConnectionId, LinkId, PipelineIndex, Sequence};
+use crate::message::{ForwardedAnswer, ForwardedRequest, ServiceAdmissionLevel, Timing};
 
-/// A request by its place on a connection.
+/// Identifies a request by its connection and its position in the connection's pipeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RequestKey {
     pub connection: ConnectionId,
-    pub turn: Turn,
+    pub pipeline_index: PipelineIndex,
 }
 
 impl RequestKey {
-    /// Returns the key before all others of a connection.
+    /// Returns the lowest key of a connection.
     pub const fn first(connection: ConnectionId) -> Self {
         Self {
             connection,
-            turn: Turn(0),
+            pipeline_index: PipelineIndex(0),
         }
     }
 
-    /// Returns the key after all others of a connection.
+    /// Returns the highest key of a connection.
     pub const fn last(connection: ConnectionId) -> Self {
         Self {
             connection,
-            turn: Turn(u64::MAX),
+            pipeline_index: PipelineIndex(u64::MAX),
         }
     }
 }
 
-/// An attempt that is under way.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     link: LinkId,
     sequence: Sequence,
 }
 
-/// State of one request.
+/// State of a request that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     pub arrived: Instant,
     pub deadline: Instant,
     pub route: Arc<Route>,
+    /// Whether the request is a call that the local back end makes for another request.
     pub is_call: bool,
     /// Identifier of the request that a call is made for.
     pub parent_id: Option<String>,
+    /// Version of the configuration by which the request was routed.
     pub configuration: u64,
     pub forwarded: Arc<ForwardedRequest>,
-    /// Tenant whose limit the request counts for.
+    /// Tenant whose rate limit the request counts towards; `None` if it needs no token.
     pub limited_tenant: Option<String>,
-    /// Nodes that the request was sent to.
-    tried: Vec<String>,
-    /// Back ends that the request may have reached.
-    pub arrivals: u32,
-    /// Back ends among them that have refused to run the request.
+    /// Names of the nodes that the request was sent to, in order.
+    tried_nodes: Vec<String>,
+    /// Number of back ends that the request may have reached.
+    pub possible_arrivals: u32,
+    /// Number of these back ends that have refused to run the request.
     pub refusals: u32,
-    /// Sends after the first.
-    pub moves: u32,
+    /// Number of attempts after the first.
+    pub retries: u32,
     /// Whether a back end may have worked on the request.
     pub may_have_run: bool,
-    /// Longest time after which a node that refused asked to come back.
+    /// Longest `Retry-After` among the refusals so far, in milliseconds; `None` without a refusal.
     pub retry_after_millis: Option<u32>,
-    /// Where the time of the last attempt went.
+    /// Time in the queue and at the back end of the last attempt.
     pub timing: Timing,
-    /// Whether the last attempt came to nothing because a call made for it has failed.
+    /// Whether the last attempt failed because a call made for it has failed.
     pub has_failed_call: bool,
-    /// Levels of the services that the last answer to a call involved.
-    pub involved: Vec<ServiceLevel>,
-    /// Failure that a back end has answered, while another one is tried.
+    /// Levels of the services that the last answer involved; empty unless the request is a call.
+    pub involved: Vec<ServiceAdmissionLevel>,
+    /// Failure that a back end answered, kept while another back end is tried.
     pub failed_answer: Option<ForwardedAnswer>,
     current: Option<Attempt>,
 }
@@ -95,10 +97,10 @@
             configuration,
             forwarded,
             limited_tenant: None,
-            tried: Vec::new(),
-            arrivals: 0,
+            tried_nodes: Vec::new(),
+            possible_arrivals: 0,
             refusals: 0,
-            moves: 0,
+            retries: 0,
             may_have_run: false,
             retry_after_millis: None,
             timing: Timing::default(),
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Begins an attempt; returns the request as it is sent.
+    /// Begins an attempt at a node and returns the request as it is to be sent.
     pub fn begin_attempt(
         &mut self,
         now: Instant,
@@ -120,54 +122,54 @@
         let remaining = self.deadline.saturating_since(now);
         let elapsed = now.saturating_since(self.arrived);
         let limit = queue_limit(&self.route, self.is_call, elapsed);
-        self.tried.push(node.to_owned());
-        self.arrivals += 1;
+        self.tried_nodes.push(node.to_owned());
+        self.possible_arrivals += 1;
         self.current = Some(Attempt { link, sequence });
         let forwarded = Arc::make_mut(&mut self.forwarded);
-        forwarded.is_repeat |= self.arrivals > 1;
+        forwarded.is_retry |= self.possible_arrivals > 1;
         forwarded.remaining_micros = u64::try_from(remaining.as_micros()).unwrap_or(u64::MAX);
         forwarded.queue_limit_micros = u64::try_from(limit.as_micros()).unwrap_or(u64::MAX);
         self.forwarded.clone()
     }
 
-    /// Ends the attempt that is under way.
+    /// Ends the attempt in flight.
     pub fn end_attempt(&mut self) {
         self.current = None;
     }
 
-    /// Takes in that the last attempt did not run.
-    pub fn not_run(&mut self, arrived: bool, retry_after_millis: u32) {
+    /// Records that the last attempt did not run; `arrived` states whether it reached the back end.
+    pub fn record_not_run(&mut self, arrived: bool, retry_after_millis: u32) {
         if arrived {
             self.refusals += 1;
         } else {
-            self.arrivals = self.arrivals.saturating_sub(1);
+            self.possible_arrivals = self.possible_arrivals.saturating_sub(1);
         }
         let longest = self.retry_after_millis.unwrap_or(0).max(retry_after_millis);
         self.retry_after_millis = Some(longest);
     }
 
-    /// Returns the back ends that may have run the request.
-    pub const fn runs(&self) -> u32 {
-        self.arrivals - self.refusals
+    /// Returns the number of back ends that may have run the request.
+    pub const fn possible_runs(&self) -> u32 {
+        self.possible_arrivals - self.refusals
     }
 
     pub fn current(&self) -> Option<(LinkId, Sequence)> {
         self.current.map(|attempt| (attempt.link, attempt.sequence))
     }
 
-    pub fn is_at(&self, link: LinkId) -> bool {
+    pub fn is_on_link(&self, link: LinkId) -> bool {
         self.current.is_some_and(|attempt| attempt.link == link)
     }
 
     pub fn was_tried(&self, node: &str) -> bool {
-        self.tried.iter().any(|tried| tried == node)
+        self.tried_nodes.iter().any(|tried_node| tried_node == node)
     }
 
     pub fn last_target(&self) -> &str {
-        self.tried.last().map_or("", String::as_str)
+        self.tried_nodes.last().map_or("", String::as_str)
     }
 
     pub fn attempts(&self) -> u32 {
-        u32::try_from(self.tried.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.tried_nodes.len()).unwrap_or(u32::MAX)
     }
 }
--- a/crates/rillgap-forward/src/rate_limit/bucket.rs
+++ b/crates/rillgap-forward/src/rate_limit/bucket.rs
@@ -1,4 +1,4 @@
-//! Buckets of the tenants that this node owns.
+//! Token buckets of the tenants that this node owns.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,57 +7,59 @@
 
 use crate::configuration::RateLimit;
 
-/// Time over which demand is averaged.
-const DEMAND_MEMORY: Duration = Duration::from_secs(1);
-/// Least and longest time after which a node that got too little asks again, in milliseconds.
-const WAIT_MILLIS: (f64, f64) = (20.0, 1_000.0);
+/// Time constant of the decaying average of the demand.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(1);
+/// Minimum and maximum time after which a node that received too few tokens queries again, in
+/// milliseconds.
+const WAIT_RANGE_MILLIS: (f64, f64) = (20.0, 1_000.0);
 
-/// What an owner gives to a node that asked for tokens.
+/// Reply of an owner to a query for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Tokens.
+    /// Number of tokens granted.
     pub tokens: u32,
-    /// Time before which it need not ask again, in milliseconds; 0 if it got what it wanted.
+    /// Time before which the node need not query again, in milliseconds; 0 if it received all
+    /// tokens that it requested.
     pub wait_millis: u32,
 }
 
-/// Tokens of one tenant.
+/// Token bucket of one tenant.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     tokens: f64,
-    filled_at: Instant,
+    refilled_at: Instant,
     owned_since: Instant,
-    /// Tokens that are asked for, a second.
+    /// Tokens requested per second, a decaying average.
     demand: f64,
 }
 
 impl Bucket {
-    /// A bucket whose owner cannot know what was spent before it owned it starts empty.
+    /// Creates an empty bucket: a new owner has no record of the tokens that were spent before.
     fn new(owned_since: Instant) -> Self {
         Self {
             tokens: 0.0,
-            filled_at: owned_since,
+            refilled_at: owned_since,
             owned_since,
             demand: 0.0,
         }
     }
 
-    fn fill(&mut self, now: Instant, limit: RateLimit) {
-        let elapsed = now.saturating_since(self.filled_at).as_secs_f64();
-        self.filled_at = self.filled_at.max(now);
+    fn refill(&mut self, now: Instant, limit: RateLimit) {
+        let elapsed = now.saturating_since(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
         self.tokens = (self.tokens + elapsed * limit.per_second).min(limit.burst);
-        self.demand *= (-elapsed / DEMAND_MEMORY.as_secs_f64()).exp();
+        self.demand *= (-elapsed / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
     }
 }
 
-/// Buckets of the tenants that this node owns.
+/// Token buckets of the tenants that this node owns.
 #[derive(Clone, Debug, Default)]
 pub struct Buckets {
     buckets: BTreeMap<String, Bucket>,
 }
 
 impl Buckets {
-    /// Takes tokens out of a tenant's bucket, which the node has owned without a break since
+    /// Takes tokens from a tenant's bucket, which this node has owned without interruption since
     /// `owned_since`.
     pub fn grant(
         &mut self,
@@ -68,8 +70,8 @@
         wanted: u32,
     ) -> Grant {
         let bucket = self.bucket(tenant, owned_since);
-        bucket.fill(now, limit);
-        bucket.demand += f64::from(wanted) / DEMAND_MEMORY.as_secs_f64();
+        bucket.refill(now, limit);
+        bucket.demand += f64::from(wanted) / DEMAND_TIME_CONSTANT.as_secs_f64();
         let tokens = (bucket.tokens as u32).min(wanted);
         bucket.tokens -= f64::from(tokens);
         let missing = wanted - tokens;
@@ -79,18 +81,19 @@
                 wait_millis: 0,
             };
         }
-        // Where more is asked for than comes in, each of the nodes that ask gets its turn more rarely.
+        // If more tokens are requested than are refilled, the wait grows by the same ratio, so that
+        // each requesting node queries less often.
         let excess = (bucket.demand / limit.per_second).max(1.0);
-        let lacking = f64::from(missing) - bucket.tokens;
-        let millis = lacking.max(0.0) / limit.per_second * excess * 1_000.0;
-        let (least, longest) = WAIT_MILLIS;
+        let shortfall = f64::from(missing) - bucket.tokens;
+        let millis = shortfall.max(0.0) / limit.per_second * excess * 1_000.0;
+        let (min_wait, max_wait) = WAIT_RANGE_MILLIS;
         Grant {
             tokens,
-            wait_millis: millis.clamp(least, longest) as u32,
+            wait_millis: millis.clamp(min_wait, max_wait) as u32,
         }
     }
 
-    /// Forgets tenants that are gone.
+    /// Drops the buckets of tenants that no longer exist.
     pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
         self.buckets.retain(|tenant, _| exists(tenant));
     }
--- a/crates/rillgap-forward/src/rate_limit/entry.rs
+++ b/crates/rillgap-forward/src/rate_limit/entry.rs
@@ -1,48 +1,51 @@
-//! Tokens at the node where requests come in.
+//! Admission of tenants' requests on the entry node, by tokens.
 //!
-//! A request of a tenant with a limit needs a token. Tokens are asked for ahead of need, by the rate at
-//! which the tenant's requests have come in here; a request that finds none waits for the answer of
-//! the bucket's owner, which takes a round trip.
+//! A request of a tenant with a limit needs a token. Tokens are prefetched from the owner of the
+//! tenant's bucket, based on the rate at which this node receives the tenant's requests. A request
+//! that finds no token waits for a reply of the owner, which takes a round trip.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 use rillgap_core::time::Instant;
 
-use super::TOKEN_LIFE;
+use super::TOKEN_LIFETIME;
 
-/// Longest time for which a request waits for tokens: several round trips between zones and the
-/// opening of a link.
-const LONGEST_HOLD: Duration = Duration::from_millis(250);
-/// Time after which a query without an answer is made again.
-const QUERY_PATIENCE: Duration = Duration::from_millis(80);
-/// Time of demand for which tokens are asked ahead; below their life, so that few are void.
-const AHEAD: Duration = Duration::from_millis(200);
-/// Time over which the rate of a tenant's requests is averaged.
-const RATE_MEMORY: Duration = Duration::from_secs(1);
-/// Time without requests after which a tenant is forgotten.
-const IDLE: Duration = Duration::from_secs(30);
-/// Shortest time after which a refused caller is asked back, in milliseconds.
-const LEAST_RETRY_MILLIS: u64 = 200;
+/// Maximum time for which a request waits for tokens: several round trips between zones and the
+/// time to open a link.
+const MAX_HOLD: Duration = Duration::from_millis(250);
+/// Time after which an unanswered query is sent again.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(80);
+/// Period of expected demand for which tokens are prefetched; shorter than their lifetime, so that
+/// few expire unused.
+const PREFETCH_HORIZON: Duration = Duration::from_millis(200);
+/// Time constant of the decaying average of a tenant's request rate.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(1);
+/// Time without requests after which the account of a tenant is dropped.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Minimum retry delay that is returned to a rejected caller, in milliseconds.
+const MIN_RETRY_AFTER_MILLIS: u64 = 200;
 
-/// Tokens of one grant that are left.
+/// Unused tokens of one grant.
 #[derive(Clone, Copy, Debug)]
-struct Tokens {
-    void_at: Instant,
-    left: u32,
+struct TokenBatch {
+    expires_at: Instant,
+    remaining: u32,
 }
 
-/// What a node knows of one tenant.
+/// State of one tenant on this node.
 #[derive(Clone, Debug)]
 struct Account<K> {
-    tokens: VecDeque<Tokens>,
+    tokens: VecDeque<TokenBatch>,
     waiting: VecDeque<(K, Instant)>,
-    /// Queries without an answer, by their numbers; those older than the life of a token are dropped.
+    /// When each unanswered query was sent, by number. Queries older than the lifetime of a token
+    /// are dropped.
     queries: BTreeMap<u64, Instant>,
-    /// Since when queries have to be repeated.
-    silent_since: Option<Instant>,
-    /// The owner has nothing before this time.
-    empty_until: Instant,
+    /// When a query was first repeated because its predecessors had no answer; `None` once an
+    /// answer has arrived.
+    unanswered_since: Option<Instant>,
+    /// Time before which the owner has no tokens to grant.
+    exhausted_until: Instant,
     rate: f64,
     requested_at: Instant,
 }
@@ -53,132 +56,136 @@
             tokens: VecDeque::new(),
             waiting: VecDeque::new(),
             queries: BTreeMap::new(),
-            silent_since: None,
-            empty_until: now,
+            unanswered_since: None,
+            exhausted_until: now,
             rate: 0.0,
             requested_at: now,
         }
     }
 
     fn count_request(&mut self, now: Instant) {
-        let memory = RATE_MEMORY.as_secs_f64();
+        let time_constant = RATE_TIME_CONSTANT.as_secs_f64();
         let elapsed = now.saturating_since(self.requested_at).as_secs_f64();
-        self.rate = self.rate * (-elapsed / memory).exp() + 1.0 / memory;
+        self.rate = self.rate * (-elapsed / time_constant).exp() + 1.0 / time_constant;
         self.requested_at = now;
     }
 
-    /// Grants may come out of the order in which they were asked for.
-    fn drop_void(&mut self, now: Instant) {
-        self.tokens.retain(|tokens| tokens.void_at > now);
+    /// Drops expired tokens wherever they are in the queue: grants may arrive in another order than
+    /// their queries were sent.
+    fn drop_expired(&mut self, now: Instant) {
+        self.tokens.retain(|tokens| tokens.expires_at > now);
     }
 
     fn take(&mut self, now: Instant) -> bool {
-        self.drop_void(now);
-        // Grants that are used up stay until they are void: a token may be given back.
-        let Some(tokens) = self.tokens.iter_mut().find(|tokens| tokens.left > 0) else {
+        self.drop_expired(now);
+        // Used-up grants are kept until they expire, since a token may be returned to them.
+        let Some(tokens) = self.tokens.iter_mut().find(|tokens| tokens.remaining > 0) else {
             return false;
         };
-        tokens.left -= 1;
+        tokens.remaining -= 1;
         true
     }
 
-    /// Notes that the owner is asked; returns whether an earlier query has no answer yet.
-    fn ask(&mut self, now: Instant, number: u64) -> bool {
+    /// Records a query to the owner; returns whether an earlier query is still unanswered.
+    fn record_query(&mut self, now: Instant, number: u64) -> bool {
         let is_repeated = !self.queries.is_empty();
         if is_repeated {
-            self.silent_since.get_or_insert(now);
+            self.unanswered_since.get_or_insert(now);
         }
         self.queries
-            .retain(|_, at| now.saturating_since(*at) < TOKEN_LIFE);
+            .retain(|_, at| now.saturating_since(*at) < TOKEN_LIFETIME);
         self.queries.insert(number, now);
         is_repeated
     }
 
-    /// Returns how long a request may wait for tokens: once the owner has been silent for a while,
-    /// only as long as it takes to hear of another one.
-    fn longest_hold(&self, now: Instant) -> Duration {
-        let silence = self.silent_since.map(|since| now.saturating_since(since));
-        match silence {
-            Some(silence) if silence >= LONGEST_HOLD => QUERY_PATIENCE,
-            _ => LONGEST_HOLD,
+    /// Returns how long a request may wait for tokens. If the owner has not answered for a while,
+    /// it is just long enough for an answer that names another owner.
+    fn max_hold(&self, now: Instant) -> Duration {
+        let unanswered_for = self
+            .unanswered_since
+            .map(|since| now.saturating_since(since));
+        match unanswered_for {
+            Some(unanswered_for) if unanswered_for >= MAX_HOLD => QUERY_TIMEOUT,
+            _ => MAX_HOLD,
         }
     }
 
-    fn left(&self) -> u32 {
-        self.tokens.iter().map(|tokens| tokens.left).sum()
+    fn remaining(&self) -> u32 {
+        self.tokens.iter().map(|tokens| tokens.remaining).sum()
     }
 
-    /// Returns how many tokens to ask for now, if any.
-    fn wanted(&mut self, now: Instant) -> Option<u32> {
-        let last = self.queries.values().next_back();
-        let is_asked = last.is_some_and(|at| now.saturating_since(*at) < QUERY_PATIENCE);
-        if is_asked || now < self.empty_until {
+    /// Returns how many tokens to query now; `None` if no query is due.
+    fn tokens_to_query(&mut self, now: Instant) -> Option<u32> {
+        let latest_query = self.queries.values().next_back();
+        let is_query_outstanding =
+            latest_query.is_some_and(|at| now.saturating_since(*at) < QUERY_TIMEOUT);
+        if is_query_outstanding || now < self.exhausted_until {
             return None;
         }
-        self.drop_void(now);
+        self.drop_expired(now);
         let waiting = u32::try_from(self.waiting.len()).unwrap_or(u32::MAX);
-        let ahead = (self.rate * AHEAD.as_secs_f64()) as u32;
-        let left = self.left();
-        let is_due = waiting > 0 || left * 2 < ahead;
-        is_due.then(|| (waiting + ahead).saturating_sub(left).max(1))
+        let prefetch_target = (self.rate * PREFETCH_HORIZON.as_secs_f64()) as u32;
+        let remaining = self.remaining();
+        let is_due = waiting > 0 || remaining * 2 < prefetch_target;
+        is_due.then(|| (waiting + prefetch_target).saturating_sub(remaining).max(1))
     }
 }
 
-/// Whether a request may go on.
+/// Admission decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It has its token.
+    /// The request has its token.
     Granted,
-    /// It waits for the owner's answer.
+    /// The request waits for the owner's answer.
     Waiting,
-    /// The limit is reached.
+    /// The tenant is at its limit.
     Refused {
-        /// Time after which there may be room, in milliseconds.
+        /// Time after which tokens may be available again, in milliseconds.
         retry_after_millis: u32,
     },
 }
 
-/// Tokens to ask the owner for.
+/// A demand for tokens, to be sent to the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
-    /// Number of the query, used once.
+pub struct TokenDemand {
+    /// Number of the query; never reused.
     pub number: u64,
-    /// Tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Tokens.
+    /// Number of tokens requested.
     pub tokens: u32,
-    /// Whether an earlier query has no answer yet.
+    /// Whether an earlier query for this tenant is still unanswered.
     pub is_repeated: bool,
 }
 
-/// Requests that have waited and may go on, or are refused.
+/// Waiting requests for which an answer of the owner has decided the admission.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Released<K> {
-    /// May go on.
+pub struct ReleasedRequests<K> {
+    /// Requests that have their token.
     pub granted: Vec<K>,
-    /// Are refused: the limit is reached.
+    /// Requests that are rejected: the tenant is at its limit.
     pub refused: Vec<K>,
-    /// Time after which there may be room for those, in milliseconds.
+    /// Time after which tokens may be available again for the rejected requests, in milliseconds.
     pub retry_after_millis: u32,
 }
 
-/// Tokens of a node, by tenant. `K` identifies a request.
+/// Admits requests on an entry node by their tenants' tokens. `K` identifies a request.
 #[derive(Clone, Debug)]
-pub struct EntryTokens<K> {
+pub struct EntryLimiter<K> {
     accounts: BTreeMap<String, Account<K>>,
-    /// Tenants whose account has changed since the last look.
-    touched: BTreeSet<String>,
-    /// Tenants with requests that wait.
+    /// Tenants whose account has changed since the last call of [`Self::queries_due`].
+    changed: BTreeSet<String>,
+    /// Tenants with waiting requests.
     waiting: BTreeSet<String>,
     next_query: u64,
     next_sweep: Instant,
 }
 
-impl<K> Default for EntryTokens<K> {
+impl<K> Default for EntryLimiter<K> {
     fn default() -> Self {
         Self {
             accounts: BTreeMap::new(),
-            touched: BTreeSet::new(),
+            changed: BTreeSet::new(),
             waiting: BTreeSet::new(),
             next_query: 0,
             next_sweep: Instant::default(),
@@ -186,8 +193,9 @@
     }
 }
 
-impl<K: Copy> EntryTokens<K> {
-    /// Takes a token for a request of a tenant.
+impl<K: Copy> EntryLimiter<K> {
+    /// Takes a token for a request of a tenant. A request without a token waits, or is rejected
+    /// while the owner has none to grant.
     pub fn admit(&mut self, now: Instant, tenant: &str, key: K) -> Admission {
         if !self.accounts.contains_key(tenant) {
             self.accounts.insert(tenant.to_owned(), Account::new(now));
@@ -197,17 +205,17 @@
         };
         account.count_request(now);
         let is_granted = account.waiting.is_empty() && account.take(now);
-        if !is_granted && now < account.empty_until {
+        if !is_granted && now < account.exhausted_until {
             return Admission::Refused {
-                retry_after_millis: retry_after(now, account.empty_until),
+                retry_after_millis: retry_after(now, account.exhausted_until),
             };
         }
         if !is_granted {
-            let until = now + account.longest_hold(now);
+            let until = now + account.max_hold(now);
             account.waiting.push_back((key, until));
             insert(&mut self.waiting, tenant);
         }
-        insert(&mut self.touched, tenant);
+        insert(&mut self.changed, tenant);
         if is_granted {
             Admission::Granted
         } else {
@@ -215,34 +223,35 @@
         }
     }
 
-    /// Gives back the token of a request that has not run and never will.
-    pub fn give_back(&mut self, now: Instant, tenant: &str) {
+    /// Returns the token of a request that was not executed and never will be.
+    pub fn return_token(&mut self, now: Instant, tenant: &str) {
         if let Some(account) = self.accounts.get_mut(tenant) {
-            // It was taken out of the youngest grant or an older one; its life is not made longer.
+            // The token belonged to the latest grant or an earlier one. The expiry of the latest
+            // grant, to which it is added, does not change.
             if let Some(tokens) = account
                 .tokens
                 .back_mut()
-                .filter(|tokens| tokens.void_at > now)
+                .filter(|tokens| tokens.expires_at > now)
             {
-                tokens.left += 1;
+                tokens.remaining += 1;
             }
         }
     }
 
-    /// Returns what to ask the owners for.
-    pub fn queries_due(&mut self, now: Instant) -> Vec<Wanted> {
-        let mut due: BTreeSet<String> = std::mem::take(&mut self.touched);
+    /// Returns the demands for tokens to send to the owners.
+    pub fn queries_due(&mut self, now: Instant) -> Vec<TokenDemand> {
+        let mut due: BTreeSet<String> = std::mem::take(&mut self.changed);
         due.extend(self.waiting.iter().cloned());
-        let mut wanted = Vec::new();
+        let mut demands = Vec::new();
         for tenant in due {
             let Some(account) = self.accounts.get_mut(&tenant) else {
                 continue;
             };
-            if let Some(tokens) = account.wanted(now) {
+            if let Some(tokens) = account.tokens_to_query(now) {
                 self.next_query += 1;
                 let number = self.next_query;
-                let is_repeated = account.ask(now, number);
-                wanted.push(Wanted {
+                let is_repeated = account.record_query(now, number);
+                demands.push(TokenDemand {
                     number,
                     tenant,
                     tokens,
@@ -250,10 +259,10 @@
                 });
             }
         }
-        wanted
+        demands
     }
 
-    /// Takes in the owner's answer; returns the requests that need not wait any more.
+    /// Handles the owner's answer; returns the waiting requests for which it decides the admission.
     pub fn on_grant(
         &mut self,
         now: Instant,
@@ -261,24 +270,24 @@
         number: u64,
         tokens: u32,
         wait_millis: u32,
-    ) -> Option<Released<K>> {
+    ) -> Option<ReleasedRequests<K>> {
         let account = self.accounts.get_mut(tenant)?;
-        // Of an answer that took longer than a token lives, the query is forgotten.
-        let asked_at = account.queries.remove(&number)?;
-        account.silent_since = None;
+        // The query is no longer recorded if its answer took longer than the lifetime of a token.
+        let queried_at = account.queries.remove(&number)?;
+        account.unanswered_since = None;
         if tokens > 0 {
-            account.tokens.push_back(Tokens {
-                void_at: asked_at + TOKEN_LIFE,
-                left: tokens,
+            account.tokens.push_back(TokenBatch {
+                expires_at: queried_at + TOKEN_LIFETIME,
+                remaining: tokens,
             });
         }
         if wait_millis > 0 {
-            account.empty_until = now + Duration::from_millis(u64::from(wait_millis));
+            account.exhausted_until = now + Duration::from_millis(u64::from(wait_millis));
         }
-        let mut released = Released {
+        let mut released = ReleasedRequests {
             granted: Vec::new(),
             refused: Vec::new(),
-            retry_after_millis: retry_after(now, account.empty_until),
+            retry_after_millis: retry_after(now, account.exhausted_until),
         };
         while !account.waiting.is_empty() && account.take(now) {
             released
@@ -292,11 +301,11 @@
         if account.waiting.is_empty() {
             self.waiting.remove(tenant);
         }
-        insert(&mut self.touched, tenant);
+        insert(&mut self.changed, tenant);
         Some(released)
     }
 
-    /// Returns the requests of a tenant that wait, and lets them go: there is no owner.
+    /// Removes and returns the waiting requests of a tenant: there is no owner.
     pub fn release_all(&mut self, tenant: &str) -> Vec<K> {
         self.waiting.remove(tenant);
         let Some(account) = self.accounts.get_mut(tenant) else {
@@ -306,7 +315,7 @@
         account.waiting.drain(..).map(|(key, _)| key).collect()
     }
 
-    /// Returns the requests that have waited for too long.
+    /// Removes and returns the requests that have waited for the maximum time.
     pub fn take_overdue(&mut self, now: Instant) -> Vec<K> {
         let mut overdue = Vec::new();
         let accounts = &mut self.accounts;
@@ -319,7 +328,7 @@
             }
             !account.waiting.is_empty()
         });
-        self.forget_idle(now);
+        self.drop_idle_accounts(now);
         overdue
     }
 
@@ -328,20 +337,20 @@
         let wakes = self.waiting.iter().filter_map(|tenant| {
             let account = self.accounts.get(tenant)?;
             let overdue = account.waiting.front().map(|(_, until)| *until);
-            let last = account.queries.values().next_back();
-            let again = last.map(|at| *at + QUERY_PATIENCE);
-            overdue.into_iter().chain(again).min()
+            let latest_query = account.queries.values().next_back();
+            let query_again_at = latest_query.map(|at| *at + QUERY_TIMEOUT);
+            overdue.into_iter().chain(query_again_at).min()
         });
         wakes.min()
     }
 
-    fn forget_idle(&mut self, now: Instant) {
+    fn drop_idle_accounts(&mut self, now: Instant) {
         if now < self.next_sweep {
             return;
         }
-        self.next_sweep = now + IDLE;
+        self.next_sweep = now + IDLE_TIMEOUT;
         self.accounts.retain(|_, account| {
-            !account.waiting.is_empty() || now.saturating_since(account.requested_at) < IDLE
+            !account.waiting.is_empty() || now.saturating_since(account.requested_at) < IDLE_TIMEOUT
         });
     }
 }
@@ -352,8 +361,8 @@
     }
 }
 
-fn retry_after(now: Instant, empty_until: Instant) -> u32 {
-    let millis = empty_until.saturating_since(now).as_millis();
+fn retry_after(now: Instant, exhausted_until: Instant) -> u32 {
+    let millis = exhausted_until.saturating_since(now).as_millis();
     let millis = u64::try_from(millis).unwrap_or(u64::MAX);
-    u32::try_from(millis.max(LEAST_RETRY_MILLIS)).unwrap_or(u32::MAX)
+    u32::try_from(millis.max(MIN_RETRY_AFTER_MILLIS)).unwrap_or(u32::MAX)
 }
--- a/crates/rillgap-forward/tests/control.rs
+++ b/crates/rillgap-forward/tests/control.rs
@@ -1,4 +1,4 @@
-//! Configuration, store, peers and planned stops.
+//! Tests of the configuration, the store, peers and planned stops.
 
 mod support;
 
@@ -13,14 +13,19 @@
     ListExtent, NodeList, StoreReply, StoreRequest, StoreRequestId, StoreSync,
 };
 use support::{
-    INSTANCE, SERVICE, TestNode, WRITES, address, answer, at, configuration, failed, forwarded,
-    settings,
+    INSTANCE, SERVICE, STORE_WRITES_PER_SECOND, TestNode, address, answer, at, configuration,
+    forwarded_request, settings, store_failure,
 };
 
-const WAIT: Duration = Duration::from_secs(1);
+const WATCH_WAIT: Duration = Duration::from_secs(1);
 
 fn store() -> StoreSync {
-    StoreSync::new(at(0), settings("own", SERVICE).record, false, WRITES)
+    StoreSync::new(
+        at(0),
+        settings("own", SERVICE).record,
+        false,
+        STORE_WRITES_PER_SECOND,
+    )
 }
 
 fn requests(calls: &[(StoreRequestId, StoreRequest)]) -> Vec<StoreRequest> {
@@ -49,17 +54,17 @@
 }
 
 #[gtest]
-fn list_that_is_planned_or_under_way_becomes_one_of_all_nodes() {
+fn full_list_request_replaces_a_pending_partial_list() {
     let own = settings("own", SERVICE).record;
     let part = StoreReply::Nodes {
         epoch: StoreEpoch::default(),
         list: NodeList {
             lowest: vec![own.clone()],
-            following: Some(vec![own]),
+            successors: Some(vec![own]),
             unreadable: 0,
         },
     };
-    for is_under_way in [false, true] {
+    for is_in_flight in [false, true] {
         let mut store = store();
         let register = store.poll(at(0))[0].0;
         let reply = StoreReply::Registered {
@@ -67,30 +72,30 @@
             is_new: false,
         };
         store.on_reply(at(2), register, reply);
-        if is_under_way {
+        if is_in_flight {
             let list = store.poll(at(2))[0].0;
-            store.list_all(at(3));
+            store.request_full_list(at(3));
             store.on_reply(at(4), list, part.clone());
             expect_that!(store.has_listed(), eq(false));
         } else {
-            store.list_all(at(2));
+            store.request_full_list(at(2));
         }
-        let whole = store.poll(at(600)).pop().map(|(_, request)| request);
-        let is_whole = matches!(
-            whole,
+        let full = store.poll(at(600)).pop().map(|(_, request)| request);
+        let is_full = matches!(
+            full,
             Some(StoreRequest::ListNodes {
                 extent: ListExtent::Whole,
                 ..
             })
         );
-        expect_that!(is_whole, eq(true), "under way: {is_under_way}");
+        expect_that!(is_full, eq(true), "in flight: {is_in_flight}");
     }
 }
 
 #[gtest]
-fn watch_goes_on_from_its_position_and_reads_anew_when_history_is_gone() {
+fn watch_resumes_from_its_position_and_rereads_when_that_has_expired() {
     let mut store = store();
-    store.set_watch(at(0), Some(WAIT));
+    store.set_watch(at(0), Some(WATCH_WAIT));
     let read = store.poll(at(0))[0].0;
     let reply = StoreReply::Configuration {
         position: StorePosition::new(StoreEpoch::default(), 40),
@@ -100,17 +105,17 @@
     let watch = store.poll(at(1));
     let expected = StoreRequest::WatchConfiguration {
         after: StorePosition::new(StoreEpoch::default(), 40),
-        wait: WAIT,
+        wait: WATCH_WAIT,
     };
     expect_that!(requests(&watch), elements_are![eq(&expected)]);
-    store.on_reply(at(2), watch[0].0, failed("cut"));
+    store.on_reply(at(2), watch[0].0, store_failure("cut"));
     expect_that!(store.poll(at(2)), is_empty());
     let again = store.poll(at(500));
     expect_that!(requests(&again), elements_are![eq(&expected)]);
     store.on_reply(
         at(501),
         again[0].0,
-        StoreReply::HistoryGone(StoreEpoch::default()),
+        StoreReply::PositionExpired(StoreEpoch::default()),
     );
     let read = store.poll(at(501));
     let expected = StoreRequest::ReadConfiguration;
@@ -118,16 +123,16 @@
 }
 
 #[gtest]
-fn calls_to_a_store_that_fails_are_spaced_out() {
+fn calls_to_a_failing_store_back_off() {
     let mut store = store();
     let mut calls = 0;
     for now in 0..10_000 {
         for (id, _) in store.poll(at(now)) {
             calls += 1;
-            store.on_reply(at(now), id, failed("down"));
+            store.on_reply(at(now), id, store_failure("down"));
         }
     }
-    // Two chains, at most one call a second each once the pause has grown.
+    // Two chains of calls, each at most one call a second once the backoff has reached its maximum.
     expect_that!(calls, all!(ge(16), le(30)));
 }
 
@@ -150,16 +155,16 @@
 }
 
 #[gtest]
-fn node_that_the_store_does_not_reach_gets_the_configuration_from_a_peer() {
-    let mut test = TestNode::fresh("logbok");
-    // Its own read of the configuration is under way.
-    test.pass(3_100);
+fn node_without_store_contact_obtains_the_configuration_from_a_peer() {
+    let mut test = TestNode::unconfigured("logbok");
+    // The node's own read of the configuration is in flight.
+    test.advance(3_100);
     let link = test.accept(50);
     test.event(Event::Link {
         link,
         message: LinkMessage::ConfigurationOffer(7),
     });
-    let asked = |test: &TestNode| {
+    let is_queried = |test: &TestNode| {
         test.actions.iter().any(|action| {
             matches!(
                 action,
@@ -170,18 +175,18 @@
             )
         })
     };
-    expect_that!(asked(&test), eq(false));
-    test.pass(201);
-    expect_that!(asked(&test), eq(true));
+    expect_that!(is_queried(&test), eq(false));
+    test.advance(201);
+    expect_that!(is_queried(&test), eq(true));
 }
 
 #[gtest]
-fn lost_link_is_opened_again() {
+fn lost_link_is_reopened() {
     let mut test = TestNode::configured("logbok");
     let link = test.connect("peer-a", 2, SERVICE);
     test.event(Event::LinkClosed(link));
     test.actions.clear();
-    test.pass(1_500);
+    test.advance(1_500);
     let opened = test
         .actions
         .iter()
@@ -190,11 +195,11 @@
 }
 
 #[gtest]
-fn node_that_stood_still_reads_what_has_arrived_before_it_judges_its_peers() {
+fn paused_process_reads_pending_messages_before_it_times_out_peers() {
     let mut test = TestNode::configured("logbok");
     test.connect("peer-a", 2, SERVICE);
     test.actions.clear();
-    // Frozen for eight seconds.
+    // The process is paused for eight seconds.
     test.now += 8_000;
     test.event(Event::Wake);
     let closed = |test: &TestNode| {
@@ -202,15 +207,15 @@
         test.actions.iter().any(is_close)
     };
     expect_that!(closed(&test), eq(false));
-    test.pass(700);
+    test.advance(700);
     expect_that!(closed(&test), eq(true));
 }
 
 #[gtest]
-fn planned_stop_waits_for_what_is_in_flight() {
+fn planned_stop_waits_for_requests_in_flight() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    let mut slow = forwarded("a", false);
+    let mut slow = forwarded_request("a", false);
     slow.remaining_micros = 10_000_000;
     test.forward(link, 1, slow);
     test.event(Event::Stop);
@@ -218,7 +223,7 @@
         let is_exit = |action: &Action| matches!(action, Action::Exit);
         test.actions.iter().any(is_exit)
     };
-    test.pass(4_000);
+    test.advance(4_000);
     expect_that!(exits(&test), eq(false));
     let exchange = test.exchanges()[0].id;
     test.end_exchange(exchange, ExchangeResult::Answered(answer(200)));
@@ -227,14 +232,14 @@
 }
 
 #[gtest]
-fn planned_stop_ends_within_the_grace() {
+fn planned_stop_ends_within_the_grace_period() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
-    let mut endless = forwarded("a", false);
+    let mut endless = forwarded_request("a", false);
     endless.remaining_micros = 60_000_000;
     test.forward(link, 1, endless);
     test.event(Event::Stop);
-    test.pass(5_900);
+    test.advance(5_900);
     let exits = test
         .actions
         .iter()
@@ -243,21 +248,21 @@
 }
 
 #[gtest]
-fn stopping_node_takes_no_callers_after_its_notice_but_finishes_the_chains_that_run() {
+fn stopping_node_rejects_callers_after_the_notice_period_but_finishes_running_chains() {
     let mut test = TestNode::serving();
     let link = test.accept(50);
     let peer = test.connect("peer-a", 2, SERVICE);
-    let mut running = forwarded("parent", false);
+    let mut running = forwarded_request("parent", false);
     running.remaining_micros = 5_000_000;
     test.forward(link, 1, running);
     test.event(Event::Stop);
-    test.pass(2_000);
+    test.advance(2_000);
     test.request(0, support::caller_request("early", "/safe/1"));
     test.respond(ForwardResult::Answered(answer(200)));
     expect_that!(test.statuses(), elements_are![eq(&200)]);
-    test.pass(600);
+    test.advance(600);
     test.actions.clear();
-    // A request taken now might still be under way when the grace ends.
+    // A request accepted now might still be in flight when the grace period ends.
     test.request(1, support::caller_request("late", "/safe/1"));
     expect_that!(test.statuses(), elements_are![eq(&503)]);
     expect_that!(test.answers()[0].close, eq(true));
@@ -268,7 +273,7 @@
 }
 
 #[gtest]
-fn record_is_removed_only_if_the_back_end_has_left() {
+fn node_record_is_removed_only_if_the_back_end_has_left() {
     for has_left in [false, true] {
         let mut test = TestNode::serving();
         if has_left {
@@ -276,7 +281,7 @@
             test.leave(INSTANCE);
         }
         test.event(Event::Stop);
-        test.pass(10);
+        test.advance(10);
         let removed = test.actions.iter().any(|action| {
             matches!(
                 action,
@@ -291,11 +296,11 @@
 }
 
 #[gtest]
-fn request_that_arrives_after_the_decision_to_exit_is_refused_and_not_taken() {
+fn request_that_arrives_after_the_decision_to_exit_is_rejected() {
     let mut test = TestNode::configured("logbok");
     test.connect("peer-a", 2, SERVICE);
     test.event(Event::Stop);
-    test.pass(2_600);
+    test.advance(2_600);
     let is_exit = |action: &Action| matches!(action, Action::Exit);
     expect_that!(test.actions.iter().any(is_exit), eq(true));
     test.actions.clear();
--- a/crates/rillgap-forward/tests/links.rs
+++ b/crates/rillgap-forward/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between nodes: which are opened, which of two is used, how they end.
+//! Tests of links between nodes: which are opened, which of two is used, how they end.
 
 mod support;
 
@@ -14,15 +14,16 @@
 use rillgap_forward::store_sync::{StoreReply, StoreRequest};
 use rillgap_forward::subset::preference;
 use support::{
-    INSTANCE, SERVICE, TestNode, caller_request, configuration, forwarded, hello, nodes, serving,
+    INSTANCE, SERVICE, TestNode, caller_request, configuration, forwarded_request, hello, nodes,
+    serving,
 };
 
 const SERVICES: [&str; 4] = ["logbok", "bestilling", "oppgjor", SERVICE];
 const ZONES: usize = 5;
-/// Peers of a large deployment.
+/// Number of peers in a large deployment.
 const PEERS: usize = 294;
-/// Peers of that deployment that run each service in each zone, at least.
-const AT_LEAST_LOCAL: usize = 6;
+/// Minimum number of peers for each service in each zone of that deployment.
+const MIN_LOCAL_PEERS: usize = 6;
 
 fn record(number: usize) -> NodeRecord {
     let [high, low] = (number as u16).to_be_bytes();
@@ -34,16 +35,16 @@
     }
 }
 
-/// A node of zone `hall-a` that has listed these peers.
+/// Returns a node of zone `hall-a` that has listed these peers.
 fn node_that_lists(records: Vec<NodeRecord>) -> TestNode {
-    let mut test = TestNode::fresh("logbok");
+    let mut test = TestNode::unconfigured("logbok");
     list(&mut test, records);
     test.configure(configuration(1));
-    test.pass(200);
+    test.advance(200);
     test
 }
 
-/// Lets a fresh node list these peers.
+/// Answers the registration and the list request of a new node with these peers.
 fn list(test: &mut TestNode, records: Vec<NodeRecord>) {
     test.answer_store(
         |request| matches!(request, StoreRequest::Register(_)),
@@ -59,7 +60,7 @@
     );
 }
 
-/// Peers of `zone-0`, renamed to the zone of the node itself.
+/// Returns the peers of a large deployment; those of `zone-0` are in the zone of the node itself.
 fn deployment() -> Vec<NodeRecord> {
     let rename = |mut record: NodeRecord| {
         if record.zone == "zone-0" {
@@ -70,7 +71,7 @@
     (0..PEERS).map(record).map(rename).collect()
 }
 
-/// Returns the links that the node opens, by address.
+/// Returns the links that the node has opened, with their addresses.
 fn opened(test: &TestNode) -> Vec<(LinkId, SocketAddr)> {
     let open = |action: &Action| match action {
         Action::OpenLink { link, address } => Some((*link, *address)),
@@ -80,28 +81,28 @@
 }
 
 #[gtest]
-fn links_are_opened_to_a_part_of_a_large_deployment_only() {
+fn links_are_opened_to_a_subset_of_a_large_deployment() {
     let test = node_that_lists(deployment());
     let links = opened(&test).len();
     expect_that!(links, le(PEERS / 4));
-    expect_that!(links, ge(SERVICES.len() * AT_LEAST_LOCAL));
+    expect_that!(links, ge(SERVICES.len() * MIN_LOCAL_PEERS));
 }
 
 #[gtest]
-fn links_are_opened_to_everybody_in_a_small_deployment() {
+fn links_are_opened_to_all_nodes_of_a_small_deployment() {
     const SMALL_ZONES: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
     let peer = |number: usize| NodeRecord {
         zone: SMALL_ZONES[number % SMALL_ZONES.len()].to_owned(),
         service: SERVICES[number / SMALL_ZONES.len()].to_owned(),
         ..record(number)
     };
-    // The first would be the node itself.
+    // Number 0 stands for the node itself.
     let test = node_that_lists((1..12).map(peer).collect());
     expect_that!(opened(&test).len(), eq(11));
 }
 
 #[gtest]
-fn subset_holds_peers_of_every_service_and_more_of_the_own_zone() {
+fn subset_contains_every_service_and_more_peers_of_the_own_zone() {
     let records = deployment();
     let by_address: BTreeMap<SocketAddr, NodeRecord> = records
         .iter()
@@ -125,42 +126,42 @@
     }
 }
 
-/// Every back end must have about as many callers as any other.
+/// The subsets must distribute callers evenly over the back ends.
 #[gtest]
-fn preferences_spread_evenly_over_the_peers() {
+fn preferences_are_distributed_evenly_over_the_peers() {
     let names: Vec<String> = (0..PEERS).map(|number| record(number).name).collect();
     let mut chosen: BTreeMap<&str, usize> = BTreeMap::new();
-    const WANTED: usize = 30;
+    const SUBSET_SIZE: usize = 30;
     for own in &names {
         let mut others: Vec<&String> = names.iter().filter(|name| *name != own).collect();
         others.sort_by_key(|name| preference(own, name));
-        for name in others.into_iter().take(WANTED) {
+        for name in others.into_iter().take(SUBSET_SIZE) {
             *chosen.entry(name).or_default() += 1;
         }
     }
     expect_that!(chosen.len(), eq(PEERS));
     let least = chosen.values().min().copied().unwrap_or(0);
     let most = chosen.values().max().copied().unwrap_or(0);
-    expect_that!(least, ge(WANTED / 3));
-    expect_that!(most, le(WANTED * 2));
+    expect_that!(least, ge(SUBSET_SIZE / 3));
+    expect_that!(most, le(SUBSET_SIZE * 2));
 }
 
 #[gtest]
-fn peers_that_cannot_be_reached_are_replaced_and_tried_on() {
+fn unreachable_peers_are_replaced_and_retried() {
     let mut test = node_that_lists(deployment());
     let first = opened(&test);
     for (link, _) in &first {
         test.event(Event::LinkClosed(*link));
     }
     test.actions.clear();
-    test.pass(1_200);
+    test.advance(1_200);
     let before: BTreeSet<SocketAddr> = first.iter().map(|(_, address)| *address).collect();
     let after: BTreeSet<SocketAddr> = opened(&test).into_iter().map(|link| link.1).collect();
     expect_that!(after.difference(&before).count(), ge(first.len() / 2));
     expect_that!(before.difference(&after).count(), eq(0));
 }
 
-/// A node whose subset is linked to it; `is_serving` is what the peers say of their back ends first.
+/// Returns a node with open links to its subset. `is_serving` is what the peers report first.
 fn node_with_subset(is_serving: bool) -> (TestNode, Vec<(LinkId, NodeRecord)>) {
     let records = deployment();
     let by_address: BTreeMap<SocketAddr, NodeRecord> = records
@@ -195,10 +196,10 @@
             link: *link,
             message,
         });
-        // The peers hear of the store as well.
+        // The peers report a recent contact with the store as well.
         test.event(Event::Link {
             link: *link,
-            message: LinkMessage::StoreNews(Some(0)),
+            message: LinkMessage::StoreContact(Some(0)),
         });
     }
 }
@@ -206,24 +207,24 @@
 #[gtest]
 fn peers_that_cease_to_serve_are_replaced() {
     let (mut test, links) = node_with_subset(true);
-    test.pass(200);
+    test.advance(200);
     expect_that!(opened(&test), is_empty());
     report_serving(&mut test, &links, false);
-    test.pass(200);
+    test.advance(200);
     expect_that!(opened(&test).len(), ge(links.len() / 2));
 }
 
 /// When a whole deployment starts, no back end serves before the first configuration.
 #[gtest]
-fn peers_that_have_not_served_yet_are_waited_for() {
+fn starting_peers_are_replaced_only_after_the_grace_period() {
     let (mut test, links) = node_with_subset(false);
     for _ in 0..10 {
-        test.pass(1_000);
+        test.advance(1_000);
         report_serving(&mut test, &links, false);
     }
     expect_that!(opened(&test), is_empty());
     for _ in 0..6 {
-        test.pass(1_000);
+        test.advance(1_000);
         report_serving(&mut test, &links, false);
     }
     expect_that!(opened(&test).len(), ge(links.len() / 2));
@@ -240,74 +241,74 @@
 
 #[gtest]
 fn link_that_the_node_has_opened_carries_requests_of_the_peer() {
-    let mut test = TestNode::fresh(SERVICE);
+    let mut test = TestNode::unconfigured(SERVICE);
     list(
         &mut test,
         vec![hello("peer-a", 2, serving("logbok"), 0).node],
     );
     test.configure(configuration(1));
-    test.pass(200);
+    test.advance(200);
     let (link, _) = opened(&test)[0];
     test.heartbeat(1, AnnouncedState::Ready);
     test.confirm(INSTANCE);
     let hello = hello("peer-a", 2, serving("logbok"), 0);
     test.event(Event::LinkOpened { link, hello });
-    test.forward(link, 1, forwarded("a", true));
+    test.forward(link, 1, forwarded_request("a", true));
     expect_that!(test.exchanges().len(), eq(1));
 }
 
-/// Opens a link to `name`, which opens one to the node before the first is up; returns both and
-/// whether the node gives up its own.
-fn open_both(name: &str) -> (TestNode, LinkId, LinkId, bool) {
+/// Lets the node and the peer `name` open links to each other at the same time. Returns both links,
+/// the node's own first, and whether the node closes its own.
+fn open_simultaneously(name: &str) -> (TestNode, LinkId, LinkId, bool) {
     let mut test = node_that_lists(vec![hello(name, 2, serving(SERVICE), 0).node]);
     let (own, _) = opened(&test)[0];
     let theirs = LinkId(900);
-    let greeting = hello(name, 2, serving(SERVICE), 0);
+    let their_hello = hello(name, 2, serving(SERVICE), 0);
     test.event(Event::LinkAccepted {
         link: theirs,
-        hello: greeting.clone(),
+        hello: their_hello.clone(),
     });
     test.event(Event::LinkOpened {
         link: own,
-        hello: greeting,
+        hello: their_hello,
     });
     let closes = |action: &Action| matches!(action, Action::CloseLink(link) if *link == own);
-    let is_given_up = test.actions.iter().any(closes);
-    (test, own, theirs, is_given_up)
+    let closes_own = test.actions.iter().any(closes);
+    (test, own, theirs, closes_own)
 }
 
 #[gtest]
-fn of_two_links_opened_at_once_both_ends_use_that_of_the_lower_name() {
-    // The node's own name is `own`.
-    let (mut test, _, theirs, is_given_up) = open_both("alpha");
-    expect_that!(is_given_up, eq(true));
+fn of_two_simultaneous_links_both_ends_use_that_of_the_lower_name() {
+    // The node under test is named `own`.
+    let (mut test, _, theirs, closes_own) = open_simultaneously("alpha");
+    expect_that!(closes_own, eq(true));
     test.request(0, caller_request("a", "/safe/1"));
     expect_that!(test.sent()[0].0, eq(theirs));
 
-    let (mut test, own, _, is_given_up) = open_both("zeta");
-    expect_that!(is_given_up, eq(false));
+    let (mut test, own, _, closes_own) = open_simultaneously("zeta");
+    expect_that!(closes_own, eq(false));
     test.request(0, caller_request("a", "/safe/1"));
     expect_that!(test.sent()[0].0, eq(own));
 }
 
 #[gtest]
 fn spare_link_takes_over_when_the_one_in_use_ends() {
-    let (mut test, own, theirs, _) = open_both("zeta");
+    let (mut test, own, theirs, _) = open_simultaneously("zeta");
     test.event(Event::LinkClosed(own));
     test.request(0, caller_request("a", "/safe/1"));
     expect_that!(test.sent()[0].0, eq(theirs));
 }
 
 #[gtest]
-fn link_of_a_new_run_of_a_peer_replaces_that_of_the_earlier_one() {
+fn link_of_a_restarted_peer_replaces_the_earlier_link() {
     let mut test = TestNode::configured("logbok");
     let first = test.connect("peer-a", 2, SERVICE);
-    let mut greeting = hello("peer-a", 2, serving(SERVICE), 0);
-    greeting.incarnation += 1;
+    let mut their_hello = hello("peer-a", 2, serving(SERVICE), 0);
+    their_hello.incarnation += 1;
     let second = LinkId(901);
     test.event(Event::LinkAccepted {
         link: second,
-        hello: greeting,
+        hello: their_hello,
     });
     let closes = |action: &Action| matches!(action, Action::CloseLink(link) if *link == first);
     expect_that!(test.actions.iter().any(closes), eq(true));
@@ -316,13 +317,13 @@
 }
 
 #[gtest]
-fn status_goes_to_every_open_link() {
+fn status_is_sent_on_every_open_link() {
     let mut test = TestNode::configured("logbok");
     let first = test.connect("peer-a", 2, SERVICE);
     let second = test.connect("peer-b", 3, SERVICE);
     test.actions.clear();
-    test.pass(3_100);
-    let told: BTreeSet<LinkId> = test
+    test.advance(3_100);
+    let receivers: BTreeSet<LinkId> = test
         .actions
         .iter()
         .filter_map(|action| match action {
@@ -333,20 +334,21 @@
             _ => None,
         })
         .collect();
-    expect_that!(told, eq(&BTreeSet::from([first, second])));
+    expect_that!(receivers, eq(&BTreeSet::from([first, second])));
 }
 
-/// Reports are rare: a link may have been silent for longer than one with requests under way may be.
+/// Status reports are rare: an idle link may have been silent for longer than the timeout of a busy
+/// one.
 #[gtest]
-fn silence_before_a_request_does_not_count_against_the_peer() {
+fn silence_before_a_request_does_not_count_towards_the_timeout() {
     let mut test = TestNode::configured("logbok");
     let link = test.connect("peer-a", 2, SERVICE);
-    test.pass(1_900);
-    let mut patient = caller_request("a", "/once/1");
-    patient.deadline = None;
-    test.request(0, patient);
+    test.advance(1_900);
+    let mut request = caller_request("a", "/once/1");
+    request.deadline = None;
+    test.request(0, request);
     test.actions.clear();
-    test.pass(200);
+    test.advance(200);
     let closes = |action: &Action| matches!(action, Action::CloseLink(closed) if *closed == link);
     expect_that!(test.actions.iter().any(closes), eq(false));
     let pings = |action: &Action| {
--- a/crates/rillgap-forward/tests/simulation/world/object_store.rs
+++ b/crates/rillgap-forward/tests/simulation/world/object_store.rs
@@ -1,18 +1,19 @@
-//! What the store holds: configuration and records, its revisions, and copies of them.
+//! State of the simulated store: configuration, node records and revisions, with its history for
+//! restores from a backup.
 
 use std::collections::BTreeMap;
 
 use rillgap_forward::message::NodeRecord;
 use rillgap_forward::store_epoch::{StoreEpoch, StorePosition};
 use rillgap_forward::store_sync::{ListExtent, NodeList};
-use rillgap_forward::watch_duty::place;
+use rillgap_forward::watcher_election::name_hash;
 
-/// Records that one answer holds.
-const PAGE: usize = 100;
-/// Version of the configuration at the start.
+/// Number of records in one page of a list.
+const PAGE_RECORDS: usize = 100;
+/// Version of the configuration that the store holds at first.
 const FIRST_VERSION: u64 = 1;
 
-/// A state of the store.
+/// State of the store at one revision.
 #[derive(Clone, Debug)]
 struct State {
     revision: u64,
@@ -21,13 +22,13 @@
     records: BTreeMap<String, NodeRecord>,
 }
 
-/// The store's content, with all its earlier states.
+/// The store with all its earlier states.
 #[derive(Clone, Debug)]
 pub(super) struct ObjectStore {
     epoch: u64,
     state: State,
-    /// Earlier states, with the time at which each was written.
-    states: Vec<(u64, State)>,
+    /// All states of this history, each with the time at which it was written.
+    history: Vec<(u64, State)>,
 }
 
 impl Default for ObjectStore {
@@ -39,7 +40,7 @@
         };
         Self {
             epoch: 1,
-            states: vec![(0, state.clone())],
+            history: vec![(0, state.clone())],
             state,
         }
     }
@@ -54,7 +55,7 @@
         StorePosition::new(self.epoch(), self.state.revision)
     }
 
-    /// Returns the version of the configuration that it holds.
+    /// Returns the version of the stored configuration.
     pub fn version(&self) -> u64 {
         self.state.configuration.0
     }
@@ -64,26 +65,28 @@
         self.state.configuration.1 > revision
     }
 
-    /// Returns whether it has given out a revision in this epoch, or in the copy that it came from.
-    pub fn knows(&self, revision: u64) -> bool {
+    /// Returns whether a revision has been issued in this epoch or in the backup that the store was
+    /// restored from.
+    pub fn has_issued(&self, revision: u64) -> bool {
         revision <= self.state.revision
     }
 
-    /// Returns records in the order of places: all, or two pages.
+    /// Returns records in the order of their name hashes: all, or the first page and a page
+    /// from `from` on.
     pub fn list(&self, from: u64, extent: ListExtent) -> NodeList {
         let mut records: Vec<NodeRecord> = self.state.records.values().cloned().collect();
-        records.sort_by_key(|record| place(&record.name));
-        if extent == ListExtent::Whole || records.len() <= PAGE {
+        records.sort_by_key(|record| name_hash(&record.name));
+        if extent == ListExtent::Whole || records.len() <= PAGE_RECORDS {
             return NodeList {
                 lowest: records,
                 ..NodeList::default()
             };
         }
-        let first = records.partition_point(|record| place(&record.name) < from);
+        let first = records.partition_point(|record| name_hash(&record.name) < from);
         let following = records[first..].iter().chain(&records[..first]);
         NodeList {
-            following: Some(following.take(PAGE).cloned().collect()),
-            lowest: records[..PAGE].to_vec(),
+            successors: Some(following.take(PAGE_RECORDS).cloned().collect()),
+            lowest: records[..PAGE_RECORDS].to_vec(),
             unreadable: 0,
         }
     }
@@ -95,33 +98,33 @@
     pub fn configure(&mut self, now: u64, version: u64) {
         self.state.revision += 1;
         self.state.configuration = (version, self.state.revision);
-        self.keep(now);
+        self.record_state(now);
     }
 
-    /// Stores a record; returns whether there was none.
+    /// Stores a record and returns whether the name had none before.
     pub fn register(&mut self, now: u64, record: NodeRecord) -> bool {
         self.state.revision += 1;
         let before = self.state.records.insert(record.name.clone(), record);
-        self.keep(now);
+        self.record_state(now);
         before.is_none()
     }
 
     pub fn unregister(&mut self, now: u64, name: &str) {
         self.state.revision += 1;
         self.state.records.remove(name);
-        self.keep(now);
+        self.record_state(now);
     }
 
-    /// Goes back to its state of an earlier time.
-    pub fn return_to(&mut self, time: u64) {
+    /// Restores the state of an earlier time and raises the epoch.
+    pub fn restore_to(&mut self, time: u64) {
         self.epoch += 1;
-        self.states.retain(|(at, _)| *at <= time);
-        if let Some((_, state)) = self.states.last() {
+        self.history.retain(|(at, _)| *at <= time);
+        if let Some((_, state)) = self.history.last() {
             self.state = state.clone();
         }
     }
 
-    fn keep(&mut self, now: u64) {
-        self.states.push((now, self.state.clone()));
+    fn record_state(&mut self, now: u64) {
+        self.history.push((now, self.state.clone()));
     }
 }
--- a/crates/rillgap-forward/tests/support/mod.rs
+++ b/crates/rillgap-forward/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders that the tests of this crate share.
+//! Builders and a test node that the tests of this crate share.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -16,15 +16,15 @@
     AnnouncedState, CallerRequest, Event, ExchangeResult, Heartbeat, ProbeResult,
 };
 use rillgap_forward::id::{
-    AnnouncementId, ConnectionId, ExchangeId, LinkId, ProbeId, Sequence, Turn,
+    AnnouncementId, ConnectionId, ExchangeId, LinkId, PipelineIndex, ProbeId, Sequence,
 };
 use rillgap_forward::incarnation::Incarnation;
+use rillgap_forward::log_record::LogRecord;
 use rillgap_forward::message::{
     ForwardResponse, ForwardResult, ForwardedAnswer, ForwardedRequest, Hello, LinkMessage, Load,
-    NodeRecord, ServiceLevel, Status, Timing, level_of,
+    NodeRecord, ServiceAdmissionLevel, Status, Timing, level_of,
 };
 use rillgap_forward::node::{Node, PROTOCOL_VERSION};
-use rillgap_forward::note::Note;
 use rillgap_forward::settings::{ForwardSettings, RetryBound};
 use rillgap_forward::store_epoch::{StoreEpoch, StorePosition};
 use rillgap_forward::store_sync::{
@@ -33,11 +33,11 @@
 
 pub const SERVICE: &str = "takst";
 pub const INSTANCE: &str = "i-1";
-/// Writing calls a second that a store takes.
-pub const WRITES: f64 = 400.0;
+/// Write calls per second that the store accepts.
+pub const STORE_WRITES_PER_SECOND: f64 = 400.0;
 
-/// Longest time after which a node without a configuration reads it, in milliseconds.
-const LONGEST_READ_MILLIS: u64 = 4_000;
+/// Milliseconds within which a node without a configuration must read it from the store.
+const MAX_READ_DELAY_MILLIS: u64 = 4_000;
 
 pub const HOST: &str = "fares.example";
 
@@ -62,7 +62,7 @@
             service: service.to_owned(),
         },
         is_first_start: false,
-        store_writes_per_second: WRITES,
+        store_writes_per_second: STORE_WRITES_PER_SECOND,
         incarnation: 1,
         random_seed: 7,
         back_end_address: back_end_address(),
@@ -95,13 +95,14 @@
     }
 }
 
-/// Service that back ends of [`SERVICE`] call.
+/// Service that the back ends of [`SERVICE`] call.
 pub const DEEP_SERVICE: &str = "sone";
 
-/// Service that calls [`DEEP_SERVICE`] as well.
+/// Another service whose back ends call [`DEEP_SERVICE`].
 pub const OTHER_SERVICE: &str = "oppgjor";
 
-/// Routes `/safe/` and `/once/` to [`SERVICE`], `/deep/` and `/settlement/` to services of that name.
+/// Returns a configuration that routes `/safe/` and `/once/` to [`SERVICE`], `/deep/` to
+/// [`DEEP_SERVICE`] and `/settlement/` to [`OTHER_SERVICE`].
 pub fn configuration(version: u64) -> Configuration {
     Configuration {
         version,
@@ -146,7 +147,7 @@
     }
 }
 
-pub fn forwarded(id: &str, is_idempotent: bool) -> ForwardedRequest {
+pub fn forwarded_request(id: &str, is_idempotent: bool) -> ForwardedRequest {
     ForwardedRequest {
         request_id: id.to_owned(),
         method: "GET".to_owned(),
@@ -160,13 +161,13 @@
         tenant: None,
         level: level_of(1, id),
         is_call: false,
-        is_repeat: false,
+        is_retry: false,
         remaining_micros: 800_000,
         queue_limit_micros: 100_000,
     }
 }
 
-/// Returns a list of a node itself and these others.
+/// Returns a list reply with the record of the node itself and those of others.
 pub fn nodes(own: NodeRecord, mut lowest: Vec<NodeRecord>) -> StoreReply {
     lowest.push(own);
     StoreReply::Nodes {
@@ -178,15 +179,15 @@
     }
 }
 
-/// Returns the reply of a store that cannot be reached.
-pub fn failed(detail: &str) -> StoreReply {
+/// Returns the reply that stands for a store that cannot be reached.
+pub fn store_failure(detail: &str) -> StoreReply {
     StoreReply::Failed(StoreFailure {
         code: ResultCode::StoreUnavailable,
         detail: detail.to_owned(),
     })
 }
 
-/// Returns the code of a result that is no answer of a back end.
+/// Returns the code of a result, or `None` if a back end has answered.
 pub fn code_of(result: &ForwardResult) -> Option<ResultCode> {
     match result {
         ForwardResult::Answered(_) => None,
@@ -208,7 +209,7 @@
         is_serving: true,
         is_stopping: false,
         is_watching: false,
-        owns_buckets: false,
+        can_own_buckets: false,
         load: Load {
             limit: 10,
             ..Load::default()
@@ -232,20 +233,21 @@
     }
 }
 
-/// A node with what it has asked for.
+/// A node under test, with the actions that it has returned.
 pub struct TestNode {
     pub node: Node,
+    /// Current time in milliseconds.
     pub now: u64,
     pub actions: Actions,
 }
 
 impl TestNode {
-    /// Creates a node that knows nothing.
-    pub fn fresh(service: &str) -> Self {
+    /// Creates a node without a configuration and without contact with other nodes or the store.
+    pub fn unconfigured(service: &str) -> Self {
         Self::with_settings(settings("own", service))
     }
 
-    /// Creates a node that knows nothing but its settings.
+    /// Creates a node with the given settings and without a configuration.
     pub fn with_settings(settings: ForwardSettings) -> Self {
         let mut test = Self {
             node: Node::new(at(0), settings),
@@ -256,9 +258,9 @@
         test
     }
 
-    /// Creates a node with a configuration and no back end in service.
+    /// Creates a node with a configuration whose back end is not serving yet.
     pub fn configured(service: &str) -> Self {
-        let mut test = Self::fresh(service);
+        let mut test = Self::unconfigured(service);
         test.configure(configuration(1));
         test
     }
@@ -276,7 +278,7 @@
         self.node.handle(at(self.now), event, &mut self.actions);
     }
 
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis {
             self.now += 1;
             if self.node.next_wake() <= at(self.now) {
@@ -285,7 +287,8 @@
         }
     }
 
-    /// Answers the read of the configuration that the node asks for once it has listed the others.
+    /// Answers the read of the configuration, which the node makes after it has listed the other
+    /// nodes.
     pub fn configure(&mut self, configuration: Configuration) {
         let position = StorePosition::new(StoreEpoch::default(), configuration.version);
         self.join();
@@ -301,12 +304,13 @@
         });
     }
 
-    /// Returns the record of the node.
+    /// Returns the node record that the node sends to peers.
     pub fn record(&self) -> NodeRecord {
         self.node.hello().node
     }
 
-    /// Answers the registration and the list, if they wait for it: nobody else is there.
+    /// Answers a pending registration and a pending list of nodes; the list holds only the node
+    /// itself.
     fn join(&mut self) {
         if let Some(request) = self.store_call(|call| matches!(call, StoreRequest::Register(_))) {
             let reply = StoreReply::Registered {
@@ -323,7 +327,7 @@
         }
     }
 
-    /// Returns the call by which the node reads or watches the configuration, and lets time pass until it is made.
+    /// Advances the time until the node reads or watches the configuration, and returns this call.
     fn read_of_configuration(&mut self) -> StoreRequestId {
         let is_read = |call: &StoreRequest| {
             matches!(
@@ -331,16 +335,16 @@
                 StoreRequest::ReadConfiguration | StoreRequest::WatchConfiguration { .. }
             )
         };
-        for _ in 0..LONGEST_READ_MILLIS {
+        for _ in 0..MAX_READ_DELAY_MILLIS {
             if let Some(request) = self.store_call(is_read) {
                 return request;
             }
-            self.pass(1);
+            self.advance(1);
         }
-        panic!("no read of the configuration");
+        panic!("the node has not read the configuration in {MAX_READ_DELAY_MILLIS} ms");
     }
 
-    /// Returns the last call to the store that fits.
+    /// Returns the latest call to the store that matches `fits`.
     fn store_call(&self, fits: impl Fn(&StoreRequest) -> bool) -> Option<StoreRequestId> {
         self.actions.iter().rev().find_map(|action| match action {
             Action::CallStore { id, request } if fits(request) => Some(*id),
@@ -348,9 +352,9 @@
         })
     }
 
-    /// Answers the call to the store that fits and was made last.
+    /// Answers the latest call to the store that matches `fits`.
     pub fn answer_store(&mut self, fits: impl Fn(&StoreRequest) -> bool, reply: StoreReply) {
-        let request = self.store_call(fits).expect("a call to the store");
+        let request = self.store_call(fits).expect("a matching call to the store");
         self.event(Event::Store { request, reply });
     }
 
@@ -362,7 +366,7 @@
         self.announce(heartbeat(instance, sequence, state))
     }
 
-    /// Hands in a heartbeat; returns whether it is acknowledged.
+    /// Passes a heartbeat to the node and returns whether the node accepts it.
     pub fn announce(&mut self, heartbeat: Heartbeat) -> bool {
         let announcement = AnnouncementId(heartbeat.sequence);
         self.event(Event::Heartbeat {
@@ -376,17 +380,17 @@
             } if *answered == announcement => Some(*is_accepted),
             _ => None,
         });
-        acknowledged.expect("an answer to the heartbeat")
+        acknowledged.expect("an acknowledgement or rejection of the heartbeat")
     }
 
     pub fn leave(&mut self, instance: &str) {
-        self.event(Event::BackEndLeaves {
+        self.event(Event::BackEndLeft {
             announcement: AnnouncementId(0),
             incarnation: Incarnation::without_start(instance),
         });
     }
 
-    /// Returns the probe that is asked for last.
+    /// Returns the latest probe that the node has requested.
     pub fn probe(&self) -> Option<ProbeId> {
         self.actions.iter().rev().find_map(|action| match action {
             Action::Probe { probe, .. } => Some(*probe),
@@ -394,9 +398,9 @@
         })
     }
 
-    /// Lets the health endpoint name an incarnation as healthy.
+    /// Ends the latest probe: the health endpoint reports an instance as healthy.
     pub fn confirm(&mut self, instance: &str) {
-        let probe = self.probe().expect("a probe");
+        let probe = self.probe().expect("a requested probe");
         let instance = instance.to_owned();
         self.end_probe(probe, ProbeResult::Healthy { instance });
     }
@@ -405,7 +409,7 @@
         self.event(Event::ProbeEnded { probe, result });
     }
 
-    /// Lets a peer open a link to the node.
+    /// Accepts a link from a peer without a back end.
     pub fn accept(&mut self, link: u64) -> LinkId {
         let link = LinkId(link);
         let hello = hello("caller-side", 9, Status::default(), 0);
@@ -413,16 +417,17 @@
         link
     }
 
-    /// Lets a peer whose back end serves `service` open a link to the node, which serves both ends.
+    /// Accepts a link from a peer whose back end serves `service`, 250 ms later; both ends can send
+    /// requests on it.
     pub fn connect(&mut self, name: &str, last: u8, service: &str) -> LinkId {
         let link = LinkId(1_000 + u64::from(last));
         let hello = hello(name, last, serving(service), 0);
-        self.pass(250);
+        self.advance(250);
         self.event(Event::LinkAccepted { link, hello });
         link
     }
 
-    /// Sends a request to the node's inbound side.
+    /// Passes a request of a peer to the inbound side of the node.
     pub fn forward(&mut self, link: LinkId, sequence: u64, request: ForwardedRequest) {
         self.event(Event::Link {
             link,
@@ -433,15 +438,15 @@
         });
     }
 
-    pub fn request(&mut self, turn: u64, request: CallerRequest) {
+    pub fn request(&mut self, pipeline_index: u64, request: CallerRequest) {
         self.event(Event::Request {
             connection: ConnectionId(1),
-            turn: Turn(turn),
+            pipeline_index: PipelineIndex(pipeline_index),
             request,
         });
     }
 
-    /// Returns the requests that were handed to the back end, in order.
+    /// Returns the exchanges that the node has started with its back end, in order.
     pub fn exchanges(&self) -> Vec<Exchange> {
         let exchange = |action: &Action| match action {
             Action::StartExchange(exchange) => Some(exchange.clone()),
@@ -454,7 +459,7 @@
         self.event(Event::ExchangeEnded { exchange, result });
     }
 
-    /// Returns what the inbound side has answered to requests on links.
+    /// Returns the results that the inbound side has sent on links, with their sequence numbers.
     pub fn results(&self) -> Vec<(u64, ForwardResult)> {
         let result = |action: &Action| match action {
             Action::SendOnLink {
@@ -466,28 +471,29 @@
         self.actions.iter().filter_map(result).collect()
     }
 
-    /// Returns the levels of other services that the last answer of the inbound side told.
-    pub fn involved(&self) -> Vec<ServiceLevel> {
-        let told = self.actions.iter().rev().find_map(|action| match action {
+    /// Returns the admission levels of downstream services in the latest response of the inbound
+    /// side.
+    pub fn downstream_levels(&self) -> Vec<ServiceAdmissionLevel> {
+        let levels = self.actions.iter().rev().find_map(|action| match action {
             Action::SendOnLink {
                 message: LinkMessage::Response(response),
                 ..
-            } => Some(response.involved.clone()),
+            } => Some(response.downstream_levels.clone()),
             _ => None,
         });
-        told.unwrap_or_default()
+        levels.unwrap_or_default()
     }
 
-    /// Returns the records for the log.
-    pub fn notes(&self) -> Vec<Note> {
-        let note = |action: &Action| match action {
-            Action::Note(note) => Some(note.clone()),
+    /// Returns the log records that the node has emitted.
+    pub fn log_records(&self) -> Vec<LogRecord> {
+        let record = |action: &Action| match action {
+            Action::Log(record) => Some(record.clone()),
             _ => None,
         };
-        self.actions.iter().filter_map(note).collect()
+        self.actions.iter().filter_map(record).collect()
     }
 
-    /// Returns the requests that were sent to peers, with their links.
+    /// Returns the requests that were sent to peers, with their links and sequence numbers.
     pub fn sent(&self) -> Vec<(LinkId, Sequence, ForwardedRequest)> {
         let sent = |action: &Action| match action {
             Action::SendOnLink {
@@ -499,21 +505,26 @@
         self.actions.iter().filter_map(sent).collect()
     }
 
-    /// Lets a peer answer the request that was sent last.
+    /// Passes a response of a peer to the latest request sent.
     pub fn respond(&mut self, result: ForwardResult) {
         self.respond_with(serving(SERVICE).load, Vec::new(), result);
     }
 
-    /// Lets a peer answer the request that was sent last, with its load and the levels of the services
-    /// that its calls went to.
-    pub fn respond_with(&mut self, load: Load, involved: Vec<ServiceLevel>, result: ForwardResult) {
-        let (link, sequence, _) = self.sent().pop().expect("a request that was sent");
+    /// Passes a response of a peer to the latest request sent, with the load of the peer and the
+    /// admission levels of the services that its calls went to.
+    pub fn respond_with(
+        &mut self,
+        load: Load,
+        downstream_levels: Vec<ServiceAdmissionLevel>,
+        result: ForwardResult,
+    ) {
+        let (link, sequence, _) = self.sent().pop().expect("a request sent to a peer");
         self.event(Event::Link {
             link,
             message: LinkMessage::Response(ForwardResponse {
                 sequence,
                 load,
-                involved,
+                downstream_levels,
                 has_failed_call: false,
                 timing: Timing::default(),
                 result,
@@ -521,7 +532,7 @@
         });
     }
 
-    /// Returns the answers for callers.
+    /// Returns the answers that the node has sent to callers.
     pub fn answers(&self) -> Vec<CallerAnswer> {
         let answer = |action: &Action| match action {
             Action::Answer { answer, .. } => Some(answer.clone()),
--- a/crates/rillgap-operator/src/client.rs
+++ b/crates/rillgap-operator/src/client.rs
@@ -1,4 +1,4 @@
-//! Typed client of the operators' interface.
+//! Typed client of the operator service.
 
 use std::time::Duration;
 
@@ -12,25 +12,25 @@
 use crate::convert;
 use crate::error::{MessageError, OperatorError};
 use crate::schema;
-use crate::schema::operator_client::OperatorClient as Calls;
+use crate::schema::operator_client::OperatorClient as GeneratedClient;
 use crate::status;
 
-/// Longest answer that is read, in bytes.
-const LONGEST_MESSAGE: usize = 16 * 1024 * 1024;
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A stored change of the policy.
+/// Stored change of the policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Version that the change made.
+    /// Policy version that the change created.
     pub version: PolicyVersion,
-    /// How far it has come.
+    /// Whether all nodes of the membership view have confirmed the change.
     pub state: ChangeState,
 }
 
-/// Status of the deployment as one node sees it.
+/// Status of the deployment, as reported by one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeploymentStatus {
-    /// Policy version in force at the node; zero for none.
+    /// Policy version in force at the node; zero if there is none.
     pub policy: PolicyVersion,
     /// Membership view in force at the node.
     pub view: ViewVersion,
@@ -40,17 +40,17 @@
     pub members: Vec<MemberStatus>,
 }
 
-/// Client of one node. Calls fail with [`OperatorError`]; none is repeated by the client itself.
+/// Client of the operator service of one node. It does not retry failed calls.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
-    calls: Calls<Channel>,
+    generated: GeneratedClient<Channel>,
     timeout: Duration,
 }
 
 impl OperatorClient {
-    /// Creates a client of the node at `address` (`IP:PORT`); it connects with the first call.
+    /// Creates a client of the node at `address` (`IP:PORT`). The first call opens the connection.
     ///
-    /// A call without an answer after `timeout` fails as unreachable.
+    /// A call that is not answered within `timeout` fails with [`OperatorError::Unreachable`].
     pub fn new(address: &str, timeout: Duration) -> Result<Self, OperatorError> {
         let endpoint = Endpoint::from_shared(format!("http://{address}"))
             .map_err(|error| unreachable(&error))?
@@ -58,26 +58,30 @@
         Ok(Self::from_channel(endpoint.connect_lazy(), timeout))
     }
 
-    /// Creates a client on a channel that exists already.
+    /// Creates a client that uses an existing channel.
     pub fn from_channel(channel: Channel, timeout: Duration) -> Self {
-        let calls = Calls::new(channel).max_decoding_message_size(LONGEST_MESSAGE);
-        Self { calls, timeout }
+        let generated = GeneratedClient::new(channel).max_decoding_message_size(MAX_RESPONSE_BYTES);
+        Self { generated, timeout }
     }
 
     /// Returns the policy in force at the node.
     pub async fn get_policy(&mut self) -> Result<Policy, OperatorError> {
         let request = self.request(schema::GetPolicyRequest {});
-        let response = self.calls.get_policy(request).await.map_err(read)?;
+        let response = self
+            .generated
+            .get_policy(request)
+            .await
+            .map_err(error_from_status)?;
         let policy = response
             .into_inner()
             .policy
-            .ok_or_else(|| missing("policy"))?;
+            .ok_or_else(|| missing_field("policy"))?;
         Ok(convert::policy_from_schema(policy)?)
     }
 
-    /// Replaces the policy if its version is `expected`, or whichever it is.
+    /// Replaces the policy if its version is `expected`; with `None`, whatever its version.
     ///
-    /// After [`OperatorError::Unreachable`] the call can be repeated with the same `change`.
+    /// After [`OperatorError::Unreachable`] the call can be retried with the same `change`.
     pub async fn apply_policy(
         &mut self,
         policy: Policy,
@@ -87,15 +91,19 @@
         let request = self.request(schema::ApplyPolicyRequest {
             policy: Some(convert::policy_to_schema(policy)),
             expected_version: expected.map(|version| version.0),
-            change_id: change_text(change),
+            change_id: format_change_id(change),
         });
-        let response = self.calls.apply_policy(request).await.map_err(read)?;
+        let response = self
+            .generated
+            .apply_policy(request)
+            .await
+            .map_err(error_from_status)?;
         Ok(convert::change_from_schema(response.into_inner().change)?)
     }
 
-    /// Moves a back end into or out of service.
+    /// Sets the state of a back end, to take it out of service or to restore it.
     ///
-    /// After [`OperatorError::Unreachable`] the call can be repeated with the same `change`.
+    /// After [`OperatorError::Unreachable`] the call can be retried with the same `change`.
     pub async fn set_back_end_state(
         &mut self,
         back_end: BackEndName,
@@ -104,39 +112,54 @@
     ) -> Result<Change, OperatorError> {
         let request = self.request(schema::SetBackEndStateRequest {
             back_end: back_end.0,
-            state: convert::state_to_schema(state).into(),
-            change_id: change_text(change),
+            state: convert::back_end_state_to_schema(state).into(),
+            change_id: format_change_id(change),
         });
-        let response = self.calls.set_back_end_state(request).await.map_err(read)?;
+        let response = self
+            .generated
+            .set_back_end_state(request)
+            .await
+            .map_err(error_from_status)?;
         Ok(convert::change_from_schema(response.into_inner().change)?)
     }
 
-    /// Tells how far a change has spread.
+    /// Returns the version and state of a change.
     pub async fn get_change(&mut self, change: ChangeId) -> Result<Change, OperatorError> {
         let request = self.request(schema::GetChangeRequest {
-            change_id: change_text(change),
+            change_id: format_change_id(change),
         });
-        let response = self.calls.get_change(request).await.map_err(read)?;
+        let response = self
+            .generated
+            .get_change(request)
+            .await
+            .map_err(error_from_status)?;
         Ok(convert::change_from_schema(response.into_inner().change)?)
     }
 
-    /// Tells members and versions as the node sees them.
+    /// Returns the node's view of the members and of the versions in force.
     pub async fn get_status(&mut self) -> Result<DeploymentStatus, OperatorError> {
         let request = self.request(schema::GetStatusRequest {});
-        let response = self.calls.get_status(request).await.map_err(read)?;
+        let response = self
+            .generated
+            .get_status(request)
+            .await
+            .map_err(error_from_status)?;
         let status = response.into_inner();
         Ok(DeploymentStatus {
             policy: PolicyVersion(status.policy_version),
             view: ViewVersion(status.view_version),
             serving: status.serving,
-            members: status.members.into_iter().map(member).collect(),
+            members: status.members.into_iter().map(member_from_schema).collect(),
         })
     }
 
-    /// Stops the node as planned.
+    /// Starts a planned stop of the node.
     pub async fn stop_node(&mut self) -> Result<(), OperatorError> {
         let request = self.request(schema::StopNodeRequest {});
-        self.calls.stop_node(request).await.map_err(read)?;
+        self.generated
+            .stop_node(request)
+            .await
+            .map_err(error_from_status)?;
         Ok(())
     }
 
@@ -147,17 +170,17 @@
     }
 }
 
-/// Returns a change identifier as text, in the form of a UUID.
-pub fn change_text(change: ChangeId) -> String {
+/// Formats a change identifier as a UUID.
+pub fn format_change_id(change: ChangeId) -> String {
     Uuid::from_u128(change.0).to_string()
 }
 
-/// Reads a change identifier from the text form of a UUID.
-pub fn parse_change(text: &str) -> Result<ChangeId, MessageError> {
-    convert::change_id(text)
+/// Parses a change identifier from the text form of a UUID.
+pub fn parse_change_id(text: &str) -> Result<ChangeId, MessageError> {
+    convert::parse_change_id(text)
 }
 
-fn member(member: schema::MemberStatus) -> MemberStatus {
+fn member_from_schema(member: schema::MemberStatus) -> MemberStatus {
     MemberStatus {
         node: NodeName(member.node),
         zone: ZoneName(member.zone),
@@ -166,7 +189,7 @@
     }
 }
 
-fn missing(field: &str) -> MessageError {
+fn missing_field(field: &str) -> MessageError {
     MessageError::Missing {
         field: field.to_owned(),
     }
@@ -178,6 +201,6 @@
     }
 }
 
-fn read(status: Status) -> OperatorError {
-    status::read(&status)
+fn error_from_status(status: Status) -> OperatorError {
+    status::error_from_status(&status)
 }
--- a/crates/rillgap-operator/src/service.rs
+++ b/crates/rillgap-operator/src/service.rs
@@ -1,4 +1,4 @@
-//! Service: takes calls of operators and hands them to the node.
+//! gRPC service that forwards the calls of operators to the node.
 
 use std::future::Future;
 
@@ -16,35 +16,37 @@
 use crate::schema::operator_server::{Operator, OperatorServer};
 use crate::status;
 
-/// Most calls that one connection of an operator may have open.
-const CALLS_PER_CONNECTION: usize = 16;
+/// Maximum number of concurrent calls on one connection.
+const MAX_CALLS_PER_CONNECTION: usize = 16;
 
-/// Longest message that is read, in bytes: a policy of about 20,000 back ends.
-const LONGEST_MESSAGE: usize = 2 * 1024 * 1024;
+/// Maximum size of a request, in bytes; fits a policy of about 20,000 back ends.
+const MAX_REQUEST_BYTES: usize = 2 * 1024 * 1024;
 
-/// The service, in front of one node.
+/// Operator service of one node.
 #[derive(Clone, Debug)]
 pub struct OperatorService {
     node: OperatorHandle,
 }
 
 impl OperatorService {
-    /// Creates the service in front of a node.
+    /// Creates a service that forwards calls to `node`.
     pub fn new(node: OperatorHandle) -> Self {
         Self { node }
     }
 
-    /// Returns the service in the form that a tonic server takes.
+    /// Wraps the service in the generated server, which can be added to a tonic server.
     pub fn into_server(self) -> OperatorServer<Self> {
-        OperatorServer::new(self).max_decoding_message_size(LONGEST_MESSAGE)
+        OperatorServer::new(self).max_decoding_message_size(MAX_REQUEST_BYTES)
     }
 
-    async fn ask(&self, request: OperatorRequest) -> Result<OperatorReply, Status> {
-        let reply = self.node.call(request).await.map_err(|gone| {
-            status::failure(
+    /// Sends a request to the node; converts [`OperatorReply::Failed`] and a stopped node to a
+    /// [`Status`].
+    async fn call_node(&self, request: OperatorRequest) -> Result<OperatorReply, Status> {
+        let reply = self.node.call(request).await.map_err(|error| {
+            status::failure_status(
                 ResultCode::NodeStopping,
                 PolicyVersion(0),
-                &gone.to_string(),
+                &error.to_string(),
             )
         })?;
         match reply {
@@ -52,13 +54,16 @@
                 code,
                 version,
                 detail,
-            } => Err(status::failure(code, version, &detail)),
+            } => Err(status::failure_status(code, version, &detail)),
             reply => Ok(reply),
         }
     }
 
-    async fn ask_change(&self, request: OperatorRequest) -> Result<schema::Change, Status> {
-        match self.ask(request).await? {
+    async fn call_node_for_change(
+        &self,
+        request: OperatorRequest,
+    ) -> Result<schema::Change, Status> {
+        match self.call_node(request).await? {
             OperatorReply::Change { version, state } => {
                 Ok(convert::change_to_schema(version, state))
             }
@@ -67,14 +72,14 @@
     }
 }
 
-/// Serves operators on `listener` until `stop` completes and open calls are done.
+/// Serves calls on `listener` until `stop` completes and the open calls are finished.
 pub async fn serve(
     listener: TcpListener,
     node: OperatorHandle,
     stop: impl Future<Output = ()>,
 ) -> Result<(), tonic::transport::Error> {
     Server::builder()
-        .concurrency_limit_per_connection(CALLS_PER_CONNECTION)
+        .concurrency_limit_per_connection(MAX_CALLS_PER_CONNECTION)
         .add_service(OperatorService::new(node).into_server())
         .serve_with_incoming_shutdown(TcpListenerStream::new(listener), stop)
         .await
@@ -86,7 +91,7 @@
         &self,
         _request: Request<schema::GetPolicyRequest>,
     ) -> Result<Response<schema::GetPolicyResponse>, Status> {
-        match self.ask(OperatorRequest::GetPolicy).await? {
+        match self.call_node(OperatorRequest::GetPolicy).await? {
             OperatorReply::Policy(policy) => Ok(Response::new(schema::GetPolicyResponse {
                 policy: Some(convert::policy_to_schema(policy)),
             })),
@@ -102,11 +107,11 @@
         let policy = request.policy.unwrap_or_default();
         let policy = convert::policy_from_schema(policy)
             .map_err(|error| invalid_policy(&error.to_string()))?;
-        let change =
-            convert::change_id(&request.change_id).map_err(|error| status::malformed(&error))?;
+        let change = convert::parse_change_id(&request.change_id)
+            .map_err(|error| status::malformed_status(&error))?;
         let expected = request.expected_version.map(PolicyVersion);
         let change = self
-            .ask_change(OperatorRequest::ApplyPolicy {
+            .call_node_for_change(OperatorRequest::ApplyPolicy {
                 policy,
                 expected,
                 change,
@@ -122,12 +127,12 @@
         request: Request<schema::SetBackEndStateRequest>,
     ) -> Result<Response<schema::SetBackEndStateResponse>, Status> {
         let request = request.into_inner();
-        let state = convert::back_end_state("state", request.state)
-            .map_err(|error| status::malformed(&error))?;
-        let change =
-            convert::change_id(&request.change_id).map_err(|error| status::malformed(&error))?;
+        let state = convert::back_end_state_from_schema("state", request.state)
+            .map_err(|error| status::malformed_status(&error))?;
+        let change = convert::parse_change_id(&request.change_id)
+            .map_err(|error| status::malformed_status(&error))?;
         let change = self
-            .ask_change(OperatorRequest::SetBackEndState {
+            .call_node_for_change(OperatorRequest::SetBackEndState {
                 back_end: rillgap_core::id::BackEndName(request.back_end),
                 state,
                 change,
@@ -142,10 +147,10 @@
         &self,
         request: Request<schema::GetChangeRequest>,
     ) -> Result<Response<schema::GetChangeResponse>, Status> {
-        let change = convert::change_id(&request.into_inner().change_id)
-            .map_err(|error| status::malformed(&error))?;
+        let change = convert::parse_change_id(&request.into_inner().change_id)
+            .map_err(|error| status::malformed_status(&error))?;
         let change = self
-            .ask_change(OperatorRequest::GetChange { change })
+            .call_node_for_change(OperatorRequest::GetChange { change })
             .await?;
         Ok(Response::new(schema::GetChangeResponse {
             change: Some(change),
@@ -156,7 +161,7 @@
         &self,
         _request: Request<schema::GetStatusRequest>,
     ) -> Result<Response<schema::GetStatusResponse>, Status> {
-        match self.ask(OperatorRequest::GetStatus).await? {
+        match self.call_node(OperatorRequest::GetStatus).await? {
             OperatorReply::Status {
                 policy,
                 view,
@@ -173,7 +178,7 @@
         &self,
         _request: Request<schema::StopNodeRequest>,
     ) -> Result<Response<schema::StopNodeResponse>, Status> {
-        match self.ask(OperatorRequest::StopNode).await? {
+        match self.call_node(OperatorRequest::StopNode).await? {
             OperatorReply::Stopping => Ok(Response::new(schema::StopNodeResponse {})),
             reply => Err(unexpected(&reply)),
         }
@@ -181,10 +186,10 @@
 }
 
 fn invalid_policy(detail: &str) -> Status {
-    status::failure(ResultCode::PolicyInvalid, PolicyVersion(0), detail)
+    status::failure_status(ResultCode::PolicyInvalid, PolicyVersion(0), detail)
 }
 
 fn unexpected(reply: &OperatorReply) -> Status {
     log::error!("operator: the node gave an unexpected reply; reply={reply:?}");
-    status::failure(ResultCode::Internal, PolicyVersion(0), "unexpected reply")
+    status::failure_status(ResultCode::Internal, PolicyVersion(0), "unexpected reply")
 }
--- a/crates/rillgap-sidecar/src/control.rs
+++ b/crates/rillgap-sidecar/src/control.rs
@@ -1,4 +1,4 @@
-//! Small HTTP services: readiness, heartbeats of the back end, metrics.
+//! Serves readiness, the heartbeats of the back end and the metrics over HTTP.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -16,20 +16,21 @@
 use crate::dialect::{ControlCall, ControlError};
 use crate::hub::Hub;
 
-/// Longest body of a call.
-const BODY_LIMIT: usize = 64 * 1024;
-/// Content type of the metrics.
-const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// Maximum length of a call's body, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Content type of the metrics answer.
+const OPEN_METRICS_CONTENT_TYPE: &str =
+    "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Content type of the answer on readiness.
-const JSON: &str = "application/json";
+/// Content type of the readiness answer.
+const JSON_CONTENT_TYPE: &str = "application/json";
 
 /// What a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlService {
     /// Calls of the platform and of the back end.
     Calls,
-    /// Metrics.
+    /// Metrics in the OpenMetrics text format.
     Metrics,
 }
 
@@ -59,10 +60,14 @@
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     if service == ControlService::Metrics {
         hub.update_gauges();
-        return Ok(text(StatusCode::OK, OPEN_METRICS, hub.metrics().encode()));
+        return Ok(text(
+            StatusCode::OK,
+            OPEN_METRICS_CONTENT_TYPE,
+            hub.metrics().encode(),
+        ));
     }
     let (parts, body) = request.into_parts();
-    let Ok(body) = Limited::new(body, BODY_LIMIT).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
         let code = ResultCode::BodyTooLong.number();
         log::warn!(code, path = parts.uri.path(); "control: call refused: body cut short or too long");
         return Ok(empty(StatusCode::PAYLOAD_TOO_LARGE));
@@ -73,18 +78,18 @@
         .control_call(parts.method.as_str(), parts.uri.path(), &body);
     Ok(match call {
         Ok(ControlCall::Readiness) => readiness(&hub),
-        Ok(call) => empty(carry_out(&hub, call).await),
+        Ok(call) => empty(execute(&hub, call).await),
         Err(ControlError::UnknownCall) => empty(StatusCode::NOT_FOUND),
         Err(error @ ControlError::Malformed(_)) => {
-            note_malformed(&hub, parts.uri.path(), &error);
+            record_malformed_call(&hub, parts.uri.path(), &error);
             empty(StatusCode::BAD_REQUEST)
         }
     })
 }
 
-/// Counts a malformed call, and logs the first, second, fourth, eighth and so on: another writer may go on for
-/// ever.
-fn note_malformed(hub: &Hub, path: &str, error: &ControlError) {
+/// Counts a malformed call, and logs it if the count is a power of two: a faulty client may send
+/// malformed calls without end.
+fn record_malformed_call(hub: &Hub, path: &str, error: &ControlError) {
     let calls = &hub.metrics().refused_control_calls;
     let count = calls.inc() + 1;
     if count.is_power_of_two() {
@@ -93,14 +98,14 @@
     }
 }
 
-async fn carry_out(hub: &Rc<Hub>, call: ControlCall) -> StatusCode {
+async fn execute(hub: &Rc<Hub>, call: ControlCall) -> StatusCode {
     let acknowledged = match call {
         ControlCall::Readiness => return readiness_status(hub),
         ControlCall::Heartbeat(heartbeat) => hub.announce(|announcement| Event::Heartbeat {
             announcement,
             heartbeat,
         }),
-        ControlCall::Leave { incarnation } => hub.announce(|announcement| Event::BackEndLeaves {
+        ControlCall::Leave { incarnation } => hub.announce(|announcement| Event::BackEndLeft {
             announcement,
             incarnation,
         }),
@@ -119,8 +124,9 @@
     }
 }
 
-/// Answers whether new callers are welcome, and tells the configuration in force with its age: the store may have come
-/// back from a copy that holds an older one.
+/// Returns the readiness answer. The status says whether the node accepts new callers. The body
+/// gives version and age of the configuration in force, since the store may have been restored from
+/// a backup that holds an older one.
 fn readiness(hub: &Hub) -> Response<Full<Bytes>> {
     let now = hub.now();
     let body = hub.with_node(|node| {
@@ -132,7 +138,7 @@
             r#"{{"configuration-version":{version},"configuration-age-seconds":{age},"proof-age-seconds":{proof_age},"store-epoch":{epoch}}}"#
         )
     });
-    text(readiness_status(hub), JSON, body)
+    text(readiness_status(hub), JSON_CONTENT_TYPE, body)
 }
 
 fn seconds_or_null(duration: Option<Duration>) -> String {
--- a/crates/rillgap-sidecar/src/metrics.rs
+++ b/crates/rillgap-sidecar/src/metrics.rs
@@ -10,17 +10,17 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Registry, Unit};
-use rillgap_forward::note::Note;
+use rillgap_forward::log_record::LogRecord;
 use rillgap_forward::store_sync::StoreReply;
 
-/// Lower end of the latency buckets in seconds.
-const FIRST_LATENCY_BUCKET: f64 = 0.001;
-/// Number of latency buckets, each twice as wide as the one before.
+/// Upper bound of the first latency bucket, in seconds.
+const FIRST_LATENCY_BOUND: f64 = 0.001;
+/// Number of latency buckets; each bound is twice the one before.
 const LATENCY_BUCKETS: u16 = 14;
 
-/// Lower end of the buckets of the time that nodes add, in seconds.
-const FIRST_FORWARDING_BUCKET: f64 = 0.000_25;
-/// Number of those buckets, each twice as wide as the one before.
+/// Upper bound of the first bucket of the forwarding latency, in seconds.
+const FIRST_FORWARDING_BOUND: f64 = 0.000_25;
+/// Number of buckets of the forwarding latency; each bound is twice the one before.
 const FORWARDING_BUCKETS: u16 = 12;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -46,14 +46,17 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct MoveLabels {
+struct RetryLabels {
+    /// `yes` if the retry was charged to the retry budget, otherwise `no`.
     paid: &'static str,
 }
 
-/// Tenants that are counted by name; all others are counted together.
-const MOST_TENANTS: usize = 200;
-/// Name under which the others are counted.
-const OTHER_TENANTS: &str = "other";
+/// Maximum number of tenants with a label of their own, which bounds the number of time series. All
+/// further tenants share one label.
+const MAX_TENANT_LABELS: usize = 200;
+/// Label shared by all tenants beyond [`MAX_TENANT_LABELS`]. A tenant of this name cannot be told
+/// apart from them.
+const OTHER_TENANTS_LABEL: &str = "other";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct TenantLabels {
@@ -61,15 +64,21 @@
     outcome: &'static str,
 }
 
-/// Metrics of a sidecar node; clones share them.
+/// Metrics of a sidecar node; clones share their values.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Arc<Registry>,
+    /// Answered requests, by status and result code.
     answers: Family<AnswerLabels, Counter>,
+    /// Time from the arrival of a request to its answer.
     latency: Histogram,
+    /// Time that nodes and links add to a request (metric `forwarding_latency`).
     forwarding: Histogram,
+    /// Requests that ended at the node of the back end without an answer (metric
+    /// `back_end_failures`).
     failures: Family<CodeLabels, Counter>,
-    moves: Family<MoveLabels, Counter>,
+    /// Requests sent to another node (metric `moves`).
+    retries: Family<RetryLabels, Counter>,
     tenants: Family<TenantLabels, Counter>,
     tenant_names: Arc<Mutex<BTreeSet<String>>>,
     store_calls: Family<StoreLabels, Counter>,
@@ -79,15 +88,17 @@
     unreadable_records: Counter,
     /// Connections that were opened to the back end.
     pub back_end_connections: Counter,
-    /// Calls of the platform or of back ends that were refused because they are malformed.
+    /// Calls to the control address that were refused because they are malformed.
     pub refused_control_calls: Counter,
-    /// Log lines that were left out.
+    /// Log lines that were dropped because the queue of the log was full.
     pub log_lines_dropped: Counter,
     /// Version of the configuration in force.
     pub configuration_version: Gauge<u64, AtomicU64>,
-    /// Epoch of the store, as far as the node has heard of it; 0 if the store tells none.
+    /// Highest epoch of the store that the node has received; 0 if the store has sent none
+    /// or is in its first epoch.
     pub store_epoch: Gauge<u64, AtomicU64>,
-    /// Age of the proof that the configuration is the newest, in seconds; -1 without one.
+    /// Age of the proof that the configuration in force is the newest, in seconds; -1 without a
+    /// proof.
     pub proof_age: Gauge<f64, AtomicU64>,
     /// Requests that run at the back end.
     pub running: Gauge<u64, AtomicU64>,
@@ -95,11 +106,12 @@
     pub queued: Gauge<u64, AtomicU64>,
     /// Requests that may run at the back end at once.
     pub limit: Gauge<u64, AtomicU64>,
-    /// Contents of requests that are refused because back ends have ended under them.
+    /// Distinct requests (by content) that are refused because back ends crashed while running
+    /// them.
     pub quarantined: Gauge<u64, AtomicU64>,
     /// Peers with an open link.
     pub peers: Gauge<u64, AtomicU64>,
-    /// Whether new callers are welcome.
+    /// 1 if the node accepts new callers, otherwise 0.
     pub ready: Gauge<u64, AtomicU64>,
 }
 
@@ -112,16 +124,16 @@
 impl Metrics {
     /// Creates and registers the metrics.
     pub fn new() -> Self {
-        let buckets = exponential_buckets(FIRST_LATENCY_BUCKET, 2.0, LATENCY_BUCKETS);
+        let buckets = exponential_buckets(FIRST_LATENCY_BOUND, 2.0, LATENCY_BUCKETS);
         let forwarding_buckets =
-            exponential_buckets(FIRST_FORWARDING_BUCKET, 2.0, FORWARDING_BUCKETS);
+            exponential_buckets(FIRST_FORWARDING_BOUND, 2.0, FORWARDING_BUCKETS);
         let mut metrics = Self {
             registry: Arc::default(),
             answers: Family::default(),
             latency: Histogram::new(buckets),
             forwarding: Histogram::new(forwarding_buckets),
             failures: Family::default(),
-            moves: Family::default(),
+            retries: Family::default(),
             tenants: Family::default(),
             tenant_names: Arc::default(),
             store_calls: Family::default(),
@@ -142,11 +154,11 @@
             peers: Gauge::default(),
             ready: Gauge::default(),
         };
-        metrics.registry = Arc::new(metrics.registered());
+        metrics.registry = Arc::new(metrics.build_registry());
         metrics
     }
 
-    /// Returns the metrics as text.
+    /// Encodes the metrics in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -154,10 +166,10 @@
         text
     }
 
-    /// Counts what a record for the log tells.
-    pub fn observe(&self, note: &Note) {
-        match note {
-            Note::Answered {
+    /// Updates the metrics from a log record.
+    pub fn observe(&self, record: &LogRecord) {
+        match record {
+            LogRecord::Answered {
                 status,
                 code,
                 elapsed_micros,
@@ -167,30 +179,33 @@
                 ..
             } => {
                 self.count_tenant(tenant, *status);
+                // Without a code of the node, the answer is that of a back end.
                 let code = code.map_or(0, |code| code.number());
                 let status = *status;
                 self.answers
                     .get_or_create(&AnswerLabels { status, code })
                     .inc();
                 self.latency.observe(*elapsed_micros as f64 / 1e6);
+                // The timing covers one attempt only; its time at the back end is 0 if no back end
+                // ran the request.
                 if *attempts == 1 && timing.back_end_micros > 0 {
-                    let elsewhere = timing.queued_micros + timing.back_end_micros;
-                    let added = elapsed_micros.saturating_sub(elsewhere);
+                    let outside_forwarding = timing.queued_micros + timing.back_end_micros;
+                    let added = elapsed_micros.saturating_sub(outside_forwarding);
                     self.forwarding.observe(added as f64 / 1e6);
                 }
             }
-            Note::Moved { paid, .. } => {
+            LogRecord::Retried { paid, .. } => {
                 let paid = if *paid { "yes" } else { "no" };
-                self.moves.get_or_create(&MoveLabels { paid }).inc();
+                self.retries.get_or_create(&RetryLabels { paid }).inc();
             }
-            Note::NotAnswered { code, .. } => {
+            LogRecord::NotAnswered { code, .. } => {
                 let code = code.number();
                 self.failures.get_or_create(&CodeLabels { code }).inc();
             }
-            Note::BackEndCrashed { .. } => {
+            LogRecord::BackEndCrashed { .. } => {
                 self.back_end_crashes.inc();
             }
-            Note::UnreadableRecords { unreadable } => {
+            LogRecord::UnreadableRecords { unreadable } => {
                 self.unreadable_records.inc_by(*unreadable as u64);
             }
             _ => {}
@@ -213,7 +228,8 @@
             .inc();
     }
 
-    /// Returns the name under which a tenant is counted; the number of names is bounded.
+    /// Returns the label of a tenant: its name, or [`OTHER_TENANTS_LABEL`] if
+    /// [`MAX_TENANT_LABELS`] others have their own.
     fn tenant_label(&self, tenant: &str) -> String {
         let mut names = self
             .tenant_names
@@ -222,8 +238,8 @@
         if names.contains(tenant) {
             return tenant.to_owned();
         }
-        if names.len() >= MOST_TENANTS {
-            return OTHER_TENANTS.to_owned();
+        if names.len() >= MAX_TENANT_LABELS {
+            return OTHER_TENANTS_LABEL.to_owned();
         }
         names.insert(tenant.to_owned());
         tenant.to_owned()
@@ -247,7 +263,7 @@
             .inc();
     }
 
-    fn registered(&self) -> Registry {
+    fn build_registry(&self) -> Registry {
         let mut registry = Registry::with_prefix("rillgap");
         registry.register(
             "answers",
@@ -268,13 +284,13 @@
         );
         registry.register(
             "back_end_failures",
-            "Requests that the inbound side did not get answered, by result code",
+            "Requests that ended at the node of the back end without an answer, by result code",
             self.failures.clone(),
         );
         registry.register(
             "moves",
-            "Requests sent to another node, by whether the retry budget paid",
-            self.moves.clone(),
+            "Requests sent to another node, by whether the retry was charged to the retry budget",
+            self.retries.clone(),
         );
         registry.register(
             "tenant_answers",
@@ -293,12 +309,13 @@
         );
         registry.register(
             "store_epoch",
-            "Epoch of the store, which rises when it comes back from a copy; 0 if it tells none",
+            "Epoch of the store, which rises when it is restored from a backup; 0 if it has sent \
+             none or is in its first one",
             self.store_epoch.clone(),
         );
         registry.register(
             "unreadable_records",
-            "Entries of the store in place of nodes' records that are none",
+            "Unreadable node records in lists of the store; an entry counts again in every list",
             self.unreadable_records.clone(),
         );
         registry.register(
@@ -308,7 +325,7 @@
         );
         registry.register_with_unit(
             "configuration_proof_age",
-            "Age of the proof that the configuration is the newest; -1 without one",
+            "Age of the proof that the configuration in force is the newest; -1 without a proof",
             Unit::Seconds,
             self.proof_age.clone(),
         );
@@ -319,7 +336,7 @@
         );
         registry.register(
             "back_end_crashes",
-            "Unexpected ends of the back end while requests were under way",
+            "Crashes of the back end while requests were in flight",
             self.back_end_crashes.clone(),
         );
         registry.register(
@@ -329,7 +346,7 @@
         );
         registry.register(
             "log_lines_dropped",
-            "Log lines left out",
+            "Log lines dropped because the queue of the log was full",
             self.log_lines_dropped.clone(),
         );
         let gauges = [
@@ -355,11 +372,16 @@
             ),
             (
                 "quarantined",
-                "Contents of requests that are refused because back ends have ended under them",
+                "Distinct requests (by content) that are refused because back ends \
+                 crashed while running them",
                 &self.quarantined,
             ),
             ("peers", "Peers with an open link", &self.peers),
-            ("ready", "1 if new callers are welcome", &self.ready),
+            (
+                "ready",
+                "1 if the node accepts new callers, otherwise 0",
+                &self.ready,
+            ),
         ];
         for (name, help, gauge) in gauges {
             registry.register(name, help, gauge.clone());
--- a/crates/rillgap-sidecar/tests/frames.rs
+++ b/crates/rillgap-sidecar/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between nodes.
+//! Encoding and decoding of the frames between nodes.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use rillgap_forward::id::Sequence;
 use rillgap_forward::message::{
     ForwardResponse, ForwardResult, ForwardedAnswer, ForwardedRequest, Hello, LinkMessage, Load,
-    NodeRecord, ServiceLevel, Status, Timing, level_of,
+    NodeRecord, ServiceAdmissionLevel, Status, Timing, level_of,
 };
 use rillgap_forward::store_epoch::StoreEpoch;
 use rillgap_sidecar::link::{FrameDecoder, FrameEncoder, FrameError};
@@ -45,7 +45,7 @@
                 tenant: Some("t".to_owned()),
                 level: level_of(2, "id"),
                 is_call: false,
-                is_repeat: false,
+                is_retry: false,
                 remaining_micros: 1,
                 queue_limit_micros: 2,
             }),
@@ -54,7 +54,7 @@
         LinkMessage::Response(ForwardResponse {
             sequence: Sequence(5),
             load: Load::default(),
-            involved: vec![ServiceLevel {
+            downstream_levels: vec![ServiceAdmissionLevel {
                 service: "s".to_owned(),
                 level: level_of(1, "id"),
             }],
@@ -69,7 +69,7 @@
         LinkMessage::Response(ForwardResponse {
             sequence: Sequence(7),
             load: Load::default(),
-            involved: vec![ServiceLevel {
+            downstream_levels: vec![ServiceAdmissionLevel {
                 service: "s".to_owned(),
                 level: level_of(1, "id"),
             }],
@@ -84,8 +84,8 @@
         LinkMessage::StoreEpoch(StoreEpoch(4)),
         LinkMessage::Follow(true),
         LinkMessage::Follow(false),
-        LinkMessage::StoreNews(Some(1_200)),
-        LinkMessage::StoreNews(None),
+        LinkMessage::StoreContact(Some(1_200)),
+        LinkMessage::StoreContact(None),
         LinkMessage::Pong,
         LinkMessage::ConfigurationOffer(8),
         LinkMessage::ConfigurationQuery(9),
@@ -94,7 +94,7 @@
 }
 
 #[gtest]
-fn every_message_survives_its_frame_also_byte_by_byte() {
+fn every_message_is_decoded_unchanged_when_received_byte_by_byte() {
     let mut bytes = BytesMut::new();
     let mut encoder = FrameEncoder::default();
     for message in messages() {
@@ -105,7 +105,7 @@
     let mut decoded = Vec::new();
     for byte in bytes {
         input.extend_from_slice(&[byte]);
-        decoded.extend(decoder.decode(&mut input).expect("no error"));
+        decoded.extend(decoder.decode(&mut input).expect("a valid frame"));
     }
     expect_that!(decoded, eq(&messages()));
 }
@@ -122,7 +122,7 @@
             input.extend_from_slice(&length.to_be_bytes());
             input.extend_from_slice(&[kind]);
             input.resize(4 + length as usize, kind);
-            // Some are messages by chance; none may end the process.
+            // Some of these bytes happen to be valid messages; none may cause a panic.
             let _ = FrameDecoder::default().decode(&mut input);
         }
     }
--- a/crates/rillgap-sidecar/tests/path/support.rs
+++ b/crates/rillgap-sidecar/tests/path/support.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// A store in memory; a watch waits for ever.
+/// A store in memory; a watch never returns.
 #[derive(Default)]
 pub struct MemoryStore {
     nodes: RefCell<Vec<NodeRecord>>,
@@ -141,17 +141,17 @@
 /// What a back end does with a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Sends these bytes and goes on.
+    /// Sends these bytes and keeps the connection open.
     Bytes(Vec<u8>),
-    /// Sends these bytes and closes.
+    /// Sends these bytes and closes the connection.
     BytesAndClose(Vec<u8>),
-    /// Sends these bytes once the back end has seen so many requests.
+    /// Sends these bytes once the back end has received this many requests.
     AfterSeen(usize, Vec<u8>),
-    /// Never answers.
-    Silence,
+    /// Sends nothing and keeps the connection open.
+    NoAnswer,
 }
 
-/// A request as the back end saw it.
+/// A request as the back end received it.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub method: String,
@@ -232,7 +232,7 @@
                     until(|| self.seen.borrow().len() >= count).await;
                     let _ = stream.write_all(&bytes).await;
                 }
-                Reply::Silence => {}
+                Reply::NoAnswer => {}
             }
         }
         self.closed.set(self.closed.get() + 1);
@@ -243,7 +243,7 @@
     stream: &mut TcpStream,
     input: &mut BytesMut,
 ) -> Option<(RequestHead, Vec<u8>)> {
-    let limits = HeadLimits { bytes: 100_000 };
+    let limits = HeadLimits { max_bytes: 100_000 };
     let head = loop {
         if let Some(head) = decode_request(input, limits, |_, _| true).ok()? {
             break head;
@@ -262,14 +262,14 @@
     Some((head, body))
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 pub async fn until(mut holds: impl FnMut() -> bool) {
     while !holds() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// An answer as a caller sees it.
+/// An answer as a caller received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
@@ -298,7 +298,7 @@
 
     /// Returns the next answer; `None` if the connection ends before it is whole.
     pub async fn answer(&mut self) -> Option<Answer> {
-        let limits = HeadLimits { bytes: 100_000 };
+        let limits = HeadLimits { max_bytes: 100_000 };
         let head = loop {
             let head = decode_response(&mut self.input, limits, false, |_, _| true).ok()?;
             match head {
@@ -329,10 +329,10 @@
     }
 }
 
-/// An entry node and a node beside a scripted back end.
+/// An entry node, and another node with a scripted back end.
 pub struct Pair {
     pub entry: Rc<Hub>,
-    pub beside: Rc<Hub>,
+    pub back_end_node: Rc<Hub>,
     pub back_end: Rc<BackEnd>,
     callers: SocketAddr,
 }
@@ -344,8 +344,8 @@
             ..MemoryStore::default()
         });
         let (back_end, address) = BackEnd::start(script).await;
-        let (beside, _) = start_node(&store, "beside", "work", address).await;
-        let nowhere = own_address();
+        let (back_end_node, _) = start_node(&store, "beside", "work", address).await;
+        let nowhere = unused_address();
         let (entry, callers) = start_node(&store, "entry", "front", nowhere).await;
         let heartbeat = Heartbeat {
             incarnation: Incarnation::without_start(INSTANCE),
@@ -355,24 +355,24 @@
             state: AnnouncedState::Ready,
             sequence: 1,
         };
-        until(|| beside.with_node(|node| node.is_ready())).await;
-        let acknowledged = beside.announce(|announcement| Event::Heartbeat {
+        until(|| back_end_node.with_node(|node| node.is_ready())).await;
+        let acknowledged = back_end_node.announce(|announcement| Event::Heartbeat {
             announcement,
             heartbeat,
         });
         assert!(acknowledged.await.expect("an answer to the heartbeat"));
         until(|| {
             entry.with_node(|node| {
-                let serves = |name: &str| name == "beside";
-                node.directory()
-                    .peers()
-                    .any(|peer| serves(&peer.record.name) && peer.serving_link().is_some())
+                let is_back_end_node = |name: &str| name == "beside";
+                node.directory().peers().any(|peer| {
+                    is_back_end_node(&peer.record.name) && peer.serving_link().is_some()
+                })
             })
         })
         .await;
         Self {
             entry,
-            beside,
+            back_end_node,
             back_end,
             callers,
         }
@@ -396,10 +396,11 @@
 /// Port of all listeners of nodes; their addresses differ.
 const NODE_PORT: u16 = 7_000;
 
-/// Returns an address of its own for each call, also of tests that run side by side.
+/// Returns a different address at each call, also in tests that run concurrently.
 ///
-/// A port that the system hands out and gets back could meanwhile serve an outgoing connection.
-fn own_address() -> SocketAddr {
+/// A port that was assigned by the system and released again could meanwhile be in use by an
+/// outgoing connection.
+fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let network = 64 + (std::process::id() % 128) as u8;
@@ -413,10 +414,10 @@
     service: &str,
     back_end: SocketAddr,
 ) -> (Rc<Hub>, SocketAddr) {
-    let callers = own_address();
-    let control = own_address();
-    let readiness = own_address();
-    let mesh = own_address();
+    let callers = unused_address();
+    let control = unused_address();
+    let readiness = unused_address();
+    let mesh = unused_address();
     let text = format!(
         "[node]\nname = \"{name}\"\nzone = \"z\"\nregion = \"r\"\n\
          [listen]\ncallers = \"{callers}\"\ncontrol = \"{control}\"\n\
@@ -435,7 +436,7 @@
     (hub, callers)
 }
 
-/// A signed answer of a back end to the request with this identifier.
+/// Returns a signed answer of a back end to the request with this identifier.
 pub fn signed(id: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!(
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -10,41 +10,41 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use rillgap_soak::deployment::{DEFAULT_NODES, Layout, MOST_NODES};
+use rillgap_soak::deployment::{DEFAULT_NODES, Layout, MAX_NODES};
 use rillgap_soak::faults::{Proxies, Schedule, Targets};
 use rillgap_soak::node::Files;
 use rillgap_soak::proxy::Proxy;
 use rillgap_soak::soak::Soak;
 use rillgap_soak::{back_end, caller, node, operator};
 
-/// Time for the first start before the schedule begins.
+/// Time for the nodes to start before callers and the schedule begin.
 const START_TIME: Duration = Duration::from_secs(4);
 
-/// Soaks rillgap-fleet: real processes, disturbed by proxies and signals.
+/// Soaks rillgap-fleet: runs real processes and injects faults by proxies and signals.
 #[derive(Debug, FromArgs)]
 struct Arguments {
     /// seed of the schedule
     #[argh(option, default = "1")]
     seed: u64,
-    /// seconds for which to go on
+    /// duration in seconds; the last cycle is completed
     #[argh(option, default = "60")]
     seconds: u64,
-    /// the program
+    /// path of the rillgap-fleet program
     #[argh(option, default = "PathBuf::from(\"target/release/rillgap-fleet\")")]
     program: PathBuf,
-    /// folder for settings and logs
+    /// folder for settings files and logs
     #[argh(option, default = "PathBuf::from(\"target/soak\")")]
     folder: PathBuf,
-    /// second byte of the loopback addresses, to run several side by side
+    /// second byte of the loopback addresses, so that several soaks can run side by side
     #[argh(option, default = "77")]
     network: u8,
-    /// machines, each with a process, a back end and callers
+    /// number of machines, each with a node process, a back end and callers
     #[argh(option, default = "DEFAULT_NODES")]
     nodes: usize,
-    /// let the store come back from copies, and back ends start again under the identifier that they had
+    /// restore the store from backups, and restart back ends under the identifier that they had
     #[argh(switch)]
     renewals: bool,
-    /// callers beside each node
+    /// number of callers on each machine
     #[argh(option, default = "3")]
     callers: usize,
 }
@@ -62,10 +62,10 @@
     }
 }
 
-/// Runs a soak; returns whether all promises were kept.
+/// Runs a soak; returns whether no violation was found.
 async fn run(arguments: &Arguments) -> io::Result<bool> {
-    if arguments.nodes == 0 || arguments.nodes > MOST_NODES {
-        let text = format!("--nodes must be from 1 to {MOST_NODES}");
+    if arguments.nodes == 0 || arguments.nodes > MAX_NODES {
+        let text = format!("--nodes must be from 1 to {MAX_NODES}");
         return Err(io::Error::new(io::ErrorKind::InvalidInput, text));
     }
     let layout = Layout {
@@ -83,7 +83,7 @@
     };
     let soak = Soak::new(layout, arguments.seed, arguments.renewals);
     if arguments.renewals {
-        soak.store.keep_copies();
+        soak.store.start_backups();
     }
     operator::configure(&soak);
     let (targets, supervisors) = start(&soak, &files).await?;
@@ -98,7 +98,8 @@
     while soak.now() < end {
         schedule.cycle().await;
     }
-    // Without anybody to order anything, the supervisors end their processes.
+    // Dropping the schedule closes the channels of actions; the supervisors then kill their
+    // processes.
     drop(schedule);
     for supervisor in supervisors {
         let _ = supervisor.await;
@@ -118,11 +119,11 @@
     let mut supervisors = Vec::new();
     for node in 0..soak.layout.nodes {
         targets.proxies.push(start_proxies(soak, node).await?);
-        let (orders, received) = mpsc::unbounded_channel();
-        targets.back_ends.push(orders);
+        let (actions, received) = mpsc::unbounded_channel();
+        targets.back_ends.push(actions);
         tokio::spawn(back_end::supervise(soak.clone(), node, received));
-        let (orders, received) = mpsc::unbounded_channel();
-        targets.nodes.push(orders);
+        let (actions, received) = mpsc::unbounded_channel();
+        targets.nodes.push(actions);
         let process = node::supervise(soak.clone(), node, files.clone(), received);
         supervisors.push(tokio::spawn(process));
     }
@@ -143,21 +144,21 @@
 
 fn conclude(soak: &Arc<Soak>, seed: u64) -> bool {
     let now = soak.now();
-    let mut judge = soak.judge();
-    judge.conclude(now);
-    let totals = judge.totals();
+    let mut checker = soak.checker();
+    checker.conclude(now);
+    let totals = checker.totals();
     println!(
         "seed {seed}: {} asked, {} served, {} refused, {} failed, {} left, {} denied; {} broken promises",
-        totals.asked,
+        totals.requests,
         totals.served,
         totals.refused,
         totals.failed,
-        totals.left,
+        totals.cancelled,
         totals.denied,
-        judge.violation_count()
+        checker.violation_count()
     );
-    for violation in judge.violations() {
+    for violation in checker.violations() {
         println!("BROKEN {violation}");
     }
-    judge.violation_count() == 0
+    checker.violation_count() == 0
 }
--- a/tests/soak/src/operator.rs
+++ b/tests/soak/src/operator.rs
@@ -1,15 +1,15 @@
-//! The operator: writes configurations to the store.
+//! The operator: writes configurations to the fake store.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
 use serde_json::{Value, json};
 
-use crate::caller::{STANDING_VERSIONS, VERSION_SERVICE, key_of};
+use crate::caller::{ROUTED_VERSIONS, VERSION_SERVICE, key_of};
 use crate::deployment::{HOST, SERVICES, TENANT};
 use crate::soak::Soak;
 
-/// Writes the next version; it is accepted when this returns.
+/// Writes the next version of the configuration; it is accepted when this returns.
 pub fn configure(soak: &Arc<Soak>) {
     let version = soak.version.load(Ordering::SeqCst) + 1;
     let mut resources = vec![
@@ -18,7 +18,7 @@
         route(soak, "/once/", "middle", "non_idempotent", 0),
         route(soak, "/deep/", "deep", "safe", 1),
     ];
-    let first = (version + 1).saturating_sub(STANDING_VERSIONS).max(1);
+    let first = (version + 1).saturating_sub(ROUTED_VERSIONS).max(1);
     for standing in first..=version {
         let prefix = format!("/v{standing}/");
         resources.push(route(soak, &prefix, VERSION_SERVICE, "safe", 2));
@@ -30,8 +30,8 @@
             "spec": {"health-path": "/health", "max-connections": 400},
         }));
     }
-    // Callers go over to the key of a version once that is accepted. It already stands in the version
-    // before, since not all nodes know the newest one yet.
+    // Callers use the key of a version as soon as it is accepted. The previous version already
+    // contains that key, since not all nodes have the newest version by then.
     let keys = [key_of(version), key_of(version + 1)];
     resources.push(json!({
         "type": "tenants",
@@ -51,19 +51,19 @@
     let spec = json!({"version": version, "resources": resources});
     *soak.configuration() = spec.clone();
     soak.store.put("config", "main", spec);
-    soak.judge().accepted(soak.now(), version);
-    // Callers use the new route only after this.
+    soak.checker().on_version_accepted(soak.now(), version);
+    // Callers use the new route and key only from here on, after the checker knows the version.
     soak.version.store(version, Ordering::SeqCst);
 }
 
-/// Writes the newest version again, which the store may have lost.
-pub fn write_again(soak: &Arc<Soak>) {
+/// Writes the newest configuration again, since the store may have lost it in a restore.
+pub fn rewrite_newest(soak: &Arc<Soak>) {
     let spec = soak.configuration().clone();
     soak.store.put("config", "main", spec);
 }
 
 fn route(soak: &Arc<Soak>, prefix: &str, service: &'static str, kind: &str, priority: u8) -> Value {
-    soak.judge().allow(prefix, service);
+    soak.checker().allow_route(prefix, service);
     json!({
         "type": "routes",
         "metadata": {"name": prefix.trim_matches('/')},
--- a/tests/soak/src/store.rs
+++ b/tests/soak/src/store.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the platform's store: objects with revisions, lists, watches; one door a node, each
-//! of which can misbehave for itself.
+//! Fake platform store: objects with revisions, lists and watches. Each node has its own endpoint,
+//! into which faults can be injected independently.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,24 +13,24 @@
 
 use crate::wire::{Connection, Request, encode_response};
 
-/// Time that an answer takes.
-const ANSWER_TIME: Duration = Duration::from_millis(4);
-/// Longest time for which a watch waits.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+/// Delay of each response.
+const ANSWER_DELAY: Duration = Duration::from_millis(4);
+/// Maximum time for which a watch waits for changes.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
 
-/// How a door of the store treats its node.
+/// Fault of a store endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Treatment {
-    /// Well.
+pub enum StoreFault {
+    /// Calls are answered normally.
     #[default]
-    Serve,
-    /// Refuses everything with 503.
+    None,
+    /// All calls are refused with 503.
     Busy,
-    /// Refuses everything with 429.
+    /// All calls are refused with 429.
     Throttle,
-    /// Does what is asked and says nothing.
+    /// Calls are performed, but not answered.
     LoseAnswers,
-    /// Takes this much longer.
+    /// Responses are delayed by this time.
     Slow(Duration),
 }
 
@@ -58,140 +58,144 @@
     gone: bool,
 }
 
-/// Copies that are kept, and the time between two.
-const MOST_COPIES: usize = 20;
-const COPY_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of backups that are kept.
+const MAX_BACKUPS: usize = 20;
+/// Time between two backups.
+const BACKUP_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug, Default)]
 struct Contents {
-    /// Rises by one each time the store comes back from a copy.
+    /// Increases by one each time the store is restored from a backup.
     epoch: u64,
+    /// Revision of the last change.
     revision: u64,
-    forgotten: u64,
+    /// Revision up to which the history has been discarded.
+    compacted_revision: u64,
     kinds: BTreeMap<String, BTreeMap<String, Object>>,
     history: Vec<Change>,
 }
 
-/// The store.
+/// The fake store.
 #[derive(Debug)]
 pub struct Store {
     contents: Mutex<Contents>,
     revision: watch::Sender<u64>,
-    /// Copies of what it held, the newest last.
-    copies: Mutex<Vec<Contents>>,
-    treatments: Vec<watch::Sender<Treatment>>,
+    /// Backups of the contents, newest last.
+    backups: Mutex<Vec<Contents>>,
+    faults: Vec<watch::Sender<StoreFault>>,
 }
 
 impl Store {
-    /// Creates an empty store with so many doors.
-    pub fn new(doors: usize) -> Arc<Self> {
-        let treatments = (0..doors).map(|_| watch::Sender::new(Treatment::Serve));
+    /// Creates an empty store with this number of endpoints.
+    pub fn new(endpoints: usize) -> Arc<Self> {
+        let faults = (0..endpoints).map(|_| watch::Sender::new(StoreFault::None));
         Arc::new(Self {
             contents: Mutex::default(),
             revision: watch::Sender::new(0),
-            copies: Mutex::default(),
-            treatments: treatments.collect(),
+            backups: Mutex::default(),
+            faults: faults.collect(),
         })
     }
 
-    /// Opens a door.
+    /// Accepts calls to an endpoint at `address`.
     ///
     /// # Errors
     ///
     /// Fails if the address cannot be bound.
-    pub async fn listen(self: &Arc<Self>, door: usize, address: SocketAddr) -> io::Result<()> {
+    pub async fn listen(self: &Arc<Self>, endpoint: usize, address: SocketAddr) -> io::Result<()> {
         let listener = TcpListener::bind(address).await?;
         let store = self.clone();
         tokio::spawn(async move {
             loop {
                 if let Ok((stream, _)) = listener.accept().await {
-                    tokio::spawn(store.clone().serve(door, stream));
+                    tokio::spawn(store.clone().serve(endpoint, stream));
                 }
             }
         });
         Ok(())
     }
 
-    /// Changes how a door treats its node from now on.
-    pub fn treat(&self, door: usize, treatment: Treatment) {
-        self.treatments[door].send_replace(treatment);
+    /// Sets the fault of an endpoint.
+    pub fn set_fault(&self, endpoint: usize, fault: StoreFault) {
+        self.faults[endpoint].send_replace(fault);
     }
 
-    /// Writes an object, as the operator does.
+    /// Writes an object on behalf of the operator.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         let mut contents = self.lock();
         contents.write(kind, name, spec);
         self.revision.send_replace(contents.revision);
     }
 
-    /// Forgets all history, and lets waiting watches know.
+    /// Discards the whole history and wakes up waiting watches, which then fail with 410.
     pub fn compact(&self) {
         let mut contents = self.lock();
         contents.revision += 1;
-        contents.forgotten = contents.revision;
+        contents.compacted_revision = contents.revision;
         contents.history.clear();
         self.revision.send_replace(contents.revision);
     }
 
-    /// Keeps copies for as long as the store is there.
-    pub fn keep_copies(self: &Arc<Self>) {
+    /// Starts a task that takes backups periodically.
+    pub fn start_backups(self: &Arc<Self>) {
         let store = self.clone();
         tokio::spawn(async move {
             loop {
-                store.keep_copy();
-                tokio::time::sleep(COPY_INTERVAL).await;
+                store.take_backup();
+                tokio::time::sleep(BACKUP_INTERVAL).await;
             }
         });
     }
 
-    fn keep_copy(&self) {
-        let copy = self.lock().clone();
-        let mut copies = self.copies();
-        if copies.len() >= MOST_COPIES {
-            copies.remove(0);
+    fn take_backup(&self) {
+        let backup = self.lock().clone();
+        let mut backups = self.backups();
+        if backups.len() >= MAX_BACKUPS {
+            backups.remove(0);
         }
-        copies.push(copy);
+        backups.push(backup);
     }
 
-    /// Comes back from a copy of about this age: what was written since is gone, and revisions are given out again.
-    /// Watches that wait are cut, or hear nothing any more.
-    pub fn return_from_copy(&self, age: Duration) {
-        let back = usize::try_from(age.as_millis() / COPY_INTERVAL.as_millis()).unwrap_or(0);
-        let copies = self.copies();
-        let Some(copy) = copies.iter().rev().nth(back).or(copies.first()) else {
+    /// Restores a backup of about this age, or the oldest one if all are younger: later writes are
+    /// lost and revisions are reused. Waiting watches after a lost revision fail with 410; others
+    /// see no change until a later revision is written.
+    pub fn restore_backup(&self, age: Duration) {
+        let back = usize::try_from(age.as_millis() / BACKUP_INTERVAL.as_millis()).unwrap_or(0);
+        let backups = self.backups();
+        let Some(backup) = backups.iter().rev().nth(back).or(backups.first()) else {
             return;
         };
         let mut contents = self.lock();
         let epoch = contents.epoch + 1;
-        *contents = copy.clone();
+        *contents = backup.clone();
         contents.epoch = epoch;
         self.revision.send_replace(contents.revision);
     }
 
-    fn copies(&self) -> std::sync::MutexGuard<'_, Vec<Contents>> {
-        self.copies.lock().unwrap_or_else(PoisonError::into_inner)
+    fn backups(&self) -> std::sync::MutexGuard<'_, Vec<Contents>> {
+        self.backups.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Contents> {
         self.contents.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn serve(self: Arc<Self>, door: usize, stream: TcpStream) {
+    async fn serve(self: Arc<Self>, endpoint: usize, stream: TcpStream) {
         let mut connection = Connection::new(stream);
         while let Ok(Some(request)) = connection.read_request().await {
-            let treatment = *self.treatments[door].borrow();
-            tokio::time::sleep(ANSWER_TIME).await;
-            let (status, body) = match treatment {
-                Treatment::Busy => (503, json!({"error": "busy"})),
-                Treatment::Throttle => (429, json!({"error": "too many calls"})),
+            let fault = *self.faults[endpoint].borrow();
+            tokio::time::sleep(ANSWER_DELAY).await;
+            let (status, body) = match fault {
+                StoreFault::Busy => (503, json!({"error": "busy"})),
+                StoreFault::Throttle => (429, json!({"error": "too many calls"})),
                 _ => self.answer(&request).await,
             };
-            if let Treatment::Slow(delay) = treatment {
+            if let StoreFault::Slow(delay) = fault {
                 tokio::time::sleep(delay).await;
             }
-            if *self.treatments[door].borrow() == Treatment::LoseAnswers {
-                // Says nothing further on this connection.
-                return connection.closed().await;
+            if *self.faults[endpoint].borrow() == StoreFault::LoseAnswers {
+                // The connection stays open without any further response.
+                return connection.wait_closed().await;
             }
             let fields = [
                 ("Content-Type", "application/json".to_owned()),
@@ -228,7 +232,7 @@
             ("GET", None) => match number("watch") {
                 Some(after) => {
                     let wait = Duration::from_millis(number("wait-ms").unwrap_or(0));
-                    self.watch(kind, after, wait.min(LONGEST_WAIT)).await
+                    self.watch(kind, after, wait.min(MAX_WATCH_WAIT)).await
                 }
                 None => self.lock().list(kind),
             },
@@ -246,8 +250,8 @@
                 let Ok(body) = serde_json::from_slice::<Value>(&request.body) else {
                     return (400, json!({"error": "not JSON"}));
                 };
-                let own_name = body["metadata"]["name"].as_str().unwrap_or_default();
-                let name = name.unwrap_or(own_name).to_owned();
+                let name_in_body = body["metadata"]["name"].as_str().unwrap_or_default();
+                let name = name.unwrap_or(name_in_body).to_owned();
                 contents.put(kind, &name, &body, method == "POST")
             }
         };
@@ -346,9 +350,10 @@
         (200, body)
     }
 
-    /// Returns the changes after a revision, and the revision now; fails if they are forgotten.
+    /// Returns the changes after a revision and the current revision. Fails if these changes have
+    /// been discarded, or if the revision is newer than the store's.
     fn events(&self, kind: &str, after: u64) -> Result<(Vec<Value>, u64), ()> {
-        if after < self.forgotten || after > self.revision {
+        if after < self.compacted_revision || after > self.revision {
             return Err(());
         }
         let events = self
